--- a/src/main/java/cinderhollow/policy/Choice.java
+++ b/src/main/java/cinderhollow/policy/Choice.java
@@ -16,70 +16,112 @@
 import java.util.TreeSet;
 
 /**
- * The decisions of one gateway. Its interface (settings, events, actions) is in Protocol.java, the plain
- * holders of what it remembers in State.java; every decision is here.
+ * Makes all decisions of one gateway: which server gets a request, whether it is retried, and what is shed. Its interface
+ * (settings, events, actions) is {@link Protocol}; the state that it keeps is held by the classes of {@link State}.
  *
- * <p>The ordinary path is the paper's load shifting (section 4.1, Algorithm 1), run by each gateway over its
- * own attempts: a share for each server, a random draw by share, a renormalised multiplicative step. Around
- * it stands one shape, draw weight = share x gates. A gate is 1 on the ordinary path and falls only under the
- * condition written at it. Every send passes {@link #maySend}, every refusal {@link RetryRules#mayRefuse}.
- * Single-threaded, without a clock of its own, all chance from one seed.
+ * <p>The normal path is the paper's load shifting (section 4.1, Algorithm 1), which each gateway runs over its own attempts:
+ * each server has a share, a server is drawn at random in proportion to its share, and a multiplicative step with
+ * renormalisation updates the shares. The draw weight of a server is its share times a number of gates. A gate is a factor that
+ * is 1 in normal operation and lower only under the condition that its method describes. Every send is checked by {@link
+ * #maySend}, every refusal by {@link RetryRules#mayRefuse}. The class is single-threaded, reads no clock and takes all
+ * randomness from one seed.
  */
 public final class Choice {
-    /** The paper's learning rate, and a fifth of its interval: unlike machines are told apart in seconds. */
+    /**
+     * The paper's learning rate. The interval is a fifth of the paper's, so that unlike machines are told apart within seconds.
+     */
     private static final double ETA = 0.2;
     private static final long TICK_NANOS = 1_000_000_000L;
-    /** One step at most halves a share, and no share falls so low that later steps can't bring it back. */
+    /**
+     * One update halves a share at most, and no share falls below this fraction of the equal share, so that later updates can
+     * raise it again.
+     */
     private static final double LEAST_FACTOR = 0.5, LEAST_SHARE = 0.05;
-    /** Latencies spread about as wide as their mean: so many samples of the mean are mixed into each. */
+    /**
+     * Weight of the prior mean, in samples, when a server's mean latency is estimated: latencies deviate by about as much as
+     * their mean.
+     */
     private static final double SHRINK_SAMPLES = 5;
-    /** What of a tick's samples the next one keeps: about five ticks count, the paper's interval. */
+    /** Factor by which the weight of samples decays with each tick: about five ticks count, which is the paper's interval. */
     private static final double KEPT = 0.8;
-    /** Of the last latencies the newest counts most; a queue lasts for seconds, and so does what is known of it. */
+    /**
+     * Weight of the newest latency sample in a server's recent latency, and the time constant with which that returns to 1: a
+     * queue lasts for seconds.
+     */
     private static final double NEWEST = 0.65, QUEUE_NANOS = 8e9;
-    /** Answers in half of the usual time mean no queue; beyond, the gate falls by so steep a power; one answer tells so much. */
+    /**
+     * A relative latency up to the first value means that the server has no queue; beyond it the queue gate falls with this
+     * exponent. The last value bounds a single sample.
+     */
     private static final double NO_QUEUE = 0.5, STEEP = 5, MOST_RECENT = 4;
-    /** Answers should take a fifth of the aim: the rest is for waiting here, a second try and long work. */
+    /** Fraction of a class's aim that an answer should take. The rest is for holding the request, a retry and long work. */
     private static final double BUDGET_OF_AIM = 0.2;
-    /** At half the aim, a second try still fits into what is left. */
+    /**
+     * An answer that takes longer than this fraction of the aim counts as late: before it, a retry still fits into what is left.
+     */
     private static final double PATIENCE_OF_AIM = 0.5;
-    /** An attempt out for so much of its aim is lost if later ones were answered; a second try may be in time. */
+    /**
+     * An attempt in flight for longer than this fraction of its aim is taken as lost if an attempt sent later was answered: a
+     * retry may still be in time.
+     */
     private static final double OVERTAKEN_OF_AIM = 0.6;
-    /** The most of its aim that work is thought to need: a fresh request always has a hope. */
+    /**
+     * Upper bound, as a fraction of the aim, of the time that a request is estimated to need, so that a fresh request is never
+     * taken to miss its aim.
+     */
     private static final double MOST_OF_AIM = 0.9;
-    /** In flight at one server from all gateways: one in work, one on its way, one waiting; one at first. */
+    /**
+     * Minimum of the in-flight limit of one server over all gateways (one request in work, one on its way, one waiting), and its
+     * initial value.
+     */
     private static final double LEAST_IN_FLIGHT = 3, FIRST_IN_FLIGHT = 1;
-    /** A Poisson count rarely lies so many of its deviations above its mean. */
+    /** Standard deviations above its mean that a Poisson count rarely exceeds. */
     private static final double CHANCE_DEVIATIONS = 2;
-    /** Weight of the newest answer in a server's health: about the last five count. */
+    /** Weight of the newest answer in a server's failure rate: about the last five answers count. */
     private static final double HEALTH_RATE = 0.2;
-    /** Two failures among the last five are no chance; the memory outlasts some trials. */
+    /**
+     * A server is suspect from the first failure rate on, since two failures among the last five are unlikely to be chance, and
+     * fails nearly always from the second on. The rates decay slowly enough to outlast several trials.
+     */
     private static final double FAILING = 0.3, SURE = 0.85, FAILURE_MEMORY_NANOS = 20e9;
-    /** A server that gave errors to more of a class's last requests than not can't serve this class. */
+    /** Error rate of a class at one server from which on the server is taken as unable to serve that class. */
     private static final double FAILS_CLASS = 0.5;
-    /** A doubtful server gets one request in so much time from all gateways, to notice its recovery. */
+    /** Interval, over all gateways, of the trial requests that a suspect server gets so that its recovery is noticed. */
     private static final long TRIAL_NANOS = 1_000_000_000L;
-    /** Part of what the cold rule allows that is used: other gateways and long work need the rest. */
+    /** Fraction of what the rule on cold servers allows that is used. The rest is for other gateways and long work. */
     private static final double COLD_SAFETY = 0.5;
-    /** Tries after a failure: one for ten requests, so that no storm can grow. */
+    /**
+     * Retry budget: tokens that each request adds, and the most that it holds. One retry for ten requests prevents a retry
+     * storm.
+     */
     private static final double EXTRA_PER_REQUEST = 0.1, MOST_EXTRA = 10;
-    /** A late answer adds so much pressure and one in time takes less off: it settles where two in five are late. */
+    /** Change of the pressure by a late answer and by one in time: it is in balance where two answers in five are late. */
     private static final double LATE_STEP = 0.045, IN_TIME_STEP = 0.03;
-    /** Up to 1 the zones share the load, from there on some is shed; chance alone must not shed. */
+    /**
+     * Pressure from which on requests are shed; below it, pressure only opens the other zones. The second value is the minimum
+     * pressure of a fleet in one zone, which has no other zones to open; it is below 1 so that random variation alone sheds
+     * nothing.
+     */
     private static final double ZONES_OPEN = 1, CALM = 0.9;
-    /** The least part of its share that another zone's server gets, and the least that is admitted. */
+    /** Minimum fraction of its share that a server of another zone gets, and minimum fraction of requests that is admitted. */
     private static final double LEAST_CROSSING = 1e-3, LEAST_ADMITTED = 0.05;
-    /** Connections to servers are kept for about so much of the time after which servers close them. */
+    /** Fraction of the servers' idle timeout for which an idle connection counts as reusable. */
     private static final double KEPT_PART = 0.6;
-    /** How steeply servers without a kept connection fall behind as traffic thins out. */
+    /**
+     * Exponent with which the draw weight of servers without a reusable connection falls as traffic gets sparse, and minimum of
+     * that gate and of a zone's weight.
+     */
     private static final double THIN = 3, LEAST_FRESH = 1e-6;
-    /** From so much of the usual on, a zone is thought to be back. */
+    /** A zone whose weight rises to this value or above counts as returned to service. */
     private static final double BACK = 0.01;
-    /** So many draws in vain for requests that were tried before; the others of them wait for the next event. */
+    /** Maximum number of unsuccessful draws for retries in one dispatch; further retries wait for the next event. */
     private static final int MOST_PASSED_OVER = 8;
-    /** How often held and overdue requests are looked at; short against any aim. */
+    /** Interval of the checks of held requests and overdue attempts; it is short against any aim. */
     private static final long SWEEP_NANOS = 10_000_000L;
-    /** Up to so many servers a draw walks over all; beyond, picks by share are tried first: so many, or that part of the fleet. */
+    /**
+     * Up to the first number of servers, a draw scans all of them. In a larger fleet, picks by share are tried first: the second
+     * number of them, or the number of servers divided by the third if that is more.
+     */
     private static final int FEW = 64, PICKS = 32, PICKS_PART = 16;
     private static final double SECOND_NANOS = 1e9;
     private static final long NEVER = Long.MAX_VALUE / 2;
@@ -94,43 +136,58 @@
     private final Map<String, Quota> quotas = new HashMap<>();
     private final Map<String, Server> servers = new LinkedHashMap<>();
     private final List<Server> ready = new ArrayList<>();
-    /** What servers of one zone and kind had in this tick together. */
+    /** Latency samples of this tick by zone and machine type, added up over their servers. */
     private final Map<String, Pool> alike = new HashMap<>();
     private final Map<String, Request> open = new LinkedHashMap<>();
-    /** The worthiest first, and of equals the one that was held last. */
+    /** Requests without a server, by descending priority; among equals, the one that was held last comes first. */
     private final TreeSet<Request> held = new TreeSet<>(Choice::worthier);
     private Map<String, Double> weights = Map.of();
     private double total = 1, bears, borne, lateness, warmRate, extra = MOST_EXTRA, pressure, leastPressure, bestValue;
-    /** The gateways that share each server, and the processes that share what this gateway may do. */
+    /**
+     * Number of gateways that share each server, and number of overlapping processes of this gateway, which share its quotas and
+     * budgets.
+     */
     private int sharers, processes = 1;
     private int inFlight, inDoubt, arrivals, refusals, servedWarm, failedAsks;
     private long now, tickStart, endsAt = Long.MAX_VALUE;
-    /** What is to be done at a timer of one request's own. */
+    /** Actions of timers that belong to single requests, by timer token. */
     private final Map<Long, Runnable> due = new HashMap<>();
     private long lastToken = ASK_TOKEN;
     private final Shares shares = new Shares();
-    /** Servers that warm up: their part of the in-flight limits moves with time. */
+    /** Servers in warm-up, whose effective in-flight limits rise with time. */
     private final Set<Server> warming = new LinkedHashSet<>();
-    /** Servers that draws have looked at so far. */
+    /** Number of servers that draws have examined so far; tests read it. */
     long looks;
-    /** Of a large fleet those with attempts out or just ended; of any those that were doubtful at some time. */
+    /**
+     * In a large fleet, the servers that have or lately had attempts in flight; in any fleet, the servers that are or lately
+     * were suspect.
+     */
     private final Set<Server> busy = new LinkedHashSet<>(), suspects = new LinkedHashSet<>();
-    /** The in-flight limits of a large fleet, kept as they move and added up anew in each step. */
+    /**
+     * Sum of the effective in-flight limits of a large fleet. It is adjusted as limits move and added up anew with each update
+     * of the shares, which bounds rounding errors.
+     */
     private double limits;
-    /** What they would be with every server warm. */
+    /** The same sum as if every server were warm and its zone had the weight 1. */
     private double warmLimits;
-    /** How many requests were held so far. */
+    /** Sequence number of the request that was held last. */
     private long turns;
-    /** The in-flight limits of those that the last walk looked at. */
+    /** Sum of the effective in-flight limits of the servers that the last scan examined. */
     private double walkedLimits;
-    /** After a walk that found no room: those that have ended an attempt since; null where not so. */
+    /**
+     * Servers that have ended an attempt since a scan of the whole fleet found no server with room; null when there was no such
+     * scan.
+     */
     private Set<Server> freed;
     private final Set<Kind> roomless = new HashSet<>();
-    /** In this tick the kept ones of a large fleet come first, and {@link #shares} is told who they are. */
+    /**
+     * Whether servers with a reusable connection are preferred in this tick. Then {@link #shares} of a large fleet keeps them
+     * apart.
+     */
     private boolean thin;
     private boolean started, sweeping;
 
-    /** A gateway that has just started and knows its settings alone. */
+    /** Creates the module of a gateway that knows its settings only; the server list arrives as an event. */
     public Choice(Settings settings, long seed, Actions actions) {
         this.settings = settings;
         this.actions = actions;
@@ -152,14 +209,17 @@
         }
     }
 
-    /** Open requests hold their old class. What was learnt of a class counts on, also where it has other figures now. */
+    /**
+     * Applies other settings. Open requests keep their old class. What was learned of a class is kept, also where its figures
+     * change.
+     */
     private void retune(Settings next) {
         Map<String, Kind> before = new HashMap<>(kinds);
         sharers = sharers == settings.gateways() * processes ? next.gateways() * processes : sharers;
         settings = next;
         rules = next.rules();
         kinds.clear();
-        // Guards against a share that is full again with each file: what a tenant has used of it stays used.
+        // A tenant's token bucket is kept: otherwise each reload would fill its quota anew.
         quotas.keySet().retainAll(next.tenants().stream().map(Tenant::name).toList());
         roomless.clear();
         learnClassesAndTenants();
@@ -171,16 +231,17 @@
         }
     }
 
-    /** Takes one event; times never go back. */
+    /** Handles one event. The times of successive calls must not decrease. */
     public void on(long nowNanos, Event event) {
         if (started && nowNanos < now) {
-            throw new IllegalArgumentException("nowNanos: " + nowNanos + " lies before " + now);
+            throw new IllegalArgumentException("nowNanos: " + nowNanos + " is before the last event, at " + now);
         }
         now = nowNanos;
         if (!started) {
             started = true;
             tickStart = now;
-            // Guards against all gateways cutting the same slow server in the same instant.
+            // The first update has a random phase: otherwise all gateways would lower the share of the same slow server at the
+            // same instant.
             actions.setTimer((long) (TICK_NANOS * (1 - random.nextDouble())), STEP_TOKEN);
             if (settings.subscribe()) {
                 actions.subscribe();
@@ -223,7 +284,11 @@
         }
     }
 
-    /** Guards against trials one by one where a whole zone is back, and against each gateway's saved token coming at once. */
+    /**
+     * Applies the weights of zones. The servers of a zone that returns to service are no longer suspect, since otherwise each
+     * would be tried one request at a time. Their cold budgets start at a random level, since otherwise the tokens that all
+     * gateways saved would be spent at once.
+     */
     private void weigh(Map<String, Double> byZone) {
         weights = byZone;
         for (Server s : ready) {
@@ -239,19 +304,22 @@
         dispatch();
     }
 
-    /** Never nothing: where all are left, all are drawn on as ever. */
+    /** Returns the weight of a zone, which is never 0: where all zones are left, all servers are used as before. */
     private double weight(String zone) {
         return Math.max(LEAST_FRESH, weights.getOrDefault(zone, 1.0));
     }
 
-    /** What it has learnt, for another process of this same gateway. */
+    /** Returns what the module has learned, for another process of this same gateway. */
     public Memory memory() {
         return new Memory(pressure, lateness, warmRate(), ready.stream().map(s -> new Memory.OfServer(s.info.id(),
                 s.info.startedAtNanos(), s.share, s.limit, recent(s), failures(s), s.silent)).toList(),
                 kinds.values().stream().map(k -> new Memory.OfClass(k.spec.name(), k.latency, k.calmest, k.served)).toList());
     }
 
-    /** Guards against steering by what can't be, or was true of a server before its last start: such entries are dropped. */
+    /**
+     * Takes over what another process has learned. Entries that are invalid, or about a server that has restarted since, are
+     * dropped, since they would misdirect traffic.
+     */
     private void recall(Memory m) {
         pressure = Math.max(leastPressure, Math.min(1 + ZONES_OPEN - LEAST_ADMITTED, m.pressure()));
         lateness = m.lateness();
@@ -293,14 +361,15 @@
         if (kind == null) {
             throw new IllegalArgumentException("requestClass: unknown class " + e.requestClass());
         }
-        // Guards against owing an answer past the gateway's end, where nobody could give it.
+        // After shutdown began, a request must be answered before the gateway ends: afterwards nobody could answer it.
         long deadline = Math.min(now + e.expiresInNanos(), endsAt);
         if (e.course() != null) {
             e.course().arrived(now);
             deadline = Math.min(deadline, now + e.course().totalNanos());
         }
-        // Guards against serving a client's repeat whose aim passed with its first try. Such a repeat has what is
-        // left of the deadline; first tries have one time-out, which most requests share.
+        // A client's retry whose aim passed during its first try is not to be served before fresh requests. Such a retry
+        // arrives with the rest of its deadline as its timeout, while first tries share one timeout; the difference gives the
+        // time of the first try.
         long firstAsked = now - kind.shorterBy(e.expiresInNanos());
         Request r = new Request(e.id(), kind, overShare(e.tenant()), e.course(), firstAsked, deadline, mostAttempts(e.course()));
         if (arriving) {
@@ -319,7 +388,10 @@
         sweepLater();
     }
 
-    /** From its last byte on it is a request like any other, also to the server that was chosen for it. */
+    /**
+     * Handles the end of a request's body: from now on the request has its time limits, and an attempt that was chosen meanwhile
+     * counts as in flight.
+     */
     private void whole(Request r, long expiresInNanos) {
         r.arriving = false;
         r.arrivedAt = now;
@@ -333,8 +405,9 @@
     }
 
     /**
-     * Guards against answering all and nothing in time: least worth for its work is shed first. The best is not shed
-     * by chance at all, only held: what has waited too long for a place is refused by {@link #sweep}.
+     * Decides at random whether to shed a request for overload, least priority first: serving everything would answer nothing in
+     * time. Requests of the best priority are never shed here but held, and {@link #sweep} refuses what has been held for too
+     * long.
      */
     private boolean shed(Request r) {
         double rank = bestValue / Math.max(r.value, Double.MIN_NORMAL);
@@ -342,14 +415,20 @@
         return admitted < 1 && random.nextDouble() >= Math.pow(admitted, Math.max(0, rank - 1));
     }
 
-    /** Worth for work: less of it outside the tenant's share, or when it can only be answered late. */
+    /**
+     * Returns the priority of a request: the worth of its answer divided by the mean latency of its class. The worth is reduced
+     * beyond the tenant's quota and where the answer can only be late.
+     */
     private double value(Request r) {
         RequestClass c = r.kind.spec;
         double part = hopeless(r) ? c.lateWorth() : r.overShare ? settings.overShareWorth() : 1;
         return part * c.worth() / r.kind.latency;
     }
 
-    /** Many answers taking half their aim means more work than the servers drawn on can do in time. */
+    /**
+     * Updates the pressure. Many answers that take more than half their aim mean more load than the servers in use can serve in
+     * time.
+     */
     private void feel(Kind kind, Outcome outcome, long elapsedNanos) {
         boolean late = outcome != Outcome.SERVED || elapsedNanos > kind.spec.aimNanos() * PATIENCE_OF_AIM;
         pressure = Math.max(leastPressure, Math.min(1 + ZONES_OPEN - LEAST_ADMITTED,
@@ -361,12 +440,18 @@
         return q != null && !q.bucket().take(now, q.perSecond() / SECOND_NANOS / processes, q.perSecond());
     }
 
-    /** In one plain method: it is called for each step through what is held, and at a start it is not compiled yet. */
+    /**
+     * Compares by descending priority, then by descending hold sequence. It is one plain method because it is called for each
+     * step through the held requests, and is not yet compiled after a start.
+     */
     private static int worthier(Request a, Request b) {
         return a.value != b.value ? Double.compare(b.value, a.value) : Long.compare(b.turn, a.turn);
     }
 
-    /** Guards against losing a request that has less time left than the next sweep is away. */
+    /**
+     * Holds a request and dispatches. A request that finds no server and would expire before the next sweep is answered at once,
+     * since the sweep would be too late.
+     */
     private void place(Request r) {
         r.turn = ++turns;
         held.add(r);
@@ -381,9 +466,9 @@
     }
 
     /**
-     * Too late to be answered within the aim, even if it were sent now. Guards against giving up on a class
-     * for good after a time in which its mean answer took longer than its aim: with all of its requests shed,
-     * no answer would ever tell that this time is over.
+     * Returns whether a request would miss its aim even if it were sent now. The estimate is bounded by a fraction of the aim:
+     * otherwise a class whose mean latency once exceeded its aim would be shed for good, and no answer would show that it is
+     * fast again.
      */
     private boolean hopeless(Request r) {
         double aim = r.kind.spec.aimNanos();
@@ -392,10 +477,10 @@
     }
 
     /**
-     * Sends what is held while a server has room: best worth for its work first and, guarding against
-     * sending in overload only what is about to miss its aim, the newest of these first. A request that was tried before may
-     * find no server for a reason of its own (those it had, its pause, its group), and is passed over: guards against one such
-     * request that keeps all that are worth less waiting until its own time is over, with servers idle.
+     * Sends held requests while a server has room, by descending priority. Among equals the newest goes first: otherwise only
+     * requests that are about to miss their aim would be sent in overload. A retry may find no server for a reason of its own
+     * (servers already tried, a pause, its dedup group) and is skipped: otherwise one such request would block all of lower
+     * priority until its own deadline while servers are idle.
      */
     private void dispatch() {
         int passedOver = 0;
@@ -417,7 +502,7 @@
         }
     }
 
-    /** A server at random in proportion to share x gates, or null where none may take the request now. */
+    /** Returns a server drawn at random with the weight share x gates, or null if none may take the request now. */
     Server draw(Request r) {
         if (ready.size() <= FEW) {
             Server drawn = walk(r, ready);
@@ -432,7 +517,7 @@
         double fresh = freshGate();
         double ofKept = shares.sum(true, farGate);
         ofKept /= ofKept + fresh * shares.sum(false, farGate);
-        // No gate is above 1: to take a pick by share with the gates' chance is to draw by share x gates.
+        // No gate is above 1, so accepting a pick by share with a probability equal to its gates draws by share x gates.
         for (int i = 0; i < Math.max(PICKS, ready.size() / PICKS_PART) && freed == null; i++) {
             boolean kept = ofKept > 0 && random.nextDouble() < ofKept;
             Server s = shares.pick(random, kept, farGate);
@@ -441,8 +526,8 @@
                 return s;
             }
         }
-        // Guards against a walk for each of many held requests while there is no room: only who has ended an attempt
-        // since the last walk may have some, or who is noticed at the next sweep.
+        // Avoids a full scan for each held request while no server has room: since the last full scan, only servers that have
+        // ended an attempt can have room; other changes are noticed at the next sweep.
         boolean looked = freed != null && roomless.contains(r.kind) && r.attempts.isEmpty();
         Server drawn = walk(r, looked ? freed : ready);
         if (drawn == null && !looked && r.attempts.isEmpty()) {
@@ -452,12 +537,12 @@
         return drawn;
     }
 
-    /** The servers that are ready, and a class: for comparing the two ways to draw. */
+    /** Returns the servers that are ready; tests compare both ways to draw with it. */
     List<Server> ready() {
         return ready;
     }
 
-    /** What is left of a tenant's share at this time. */
+    /** Returns the tokens that are left of a tenant's quota now. */
     double left(String tenant) {
         Quota q = quotas.get(tenant);
         return q.bucket().refill(now, q.perSecond() / SECOND_NANOS / processes, q.perSecond());
@@ -467,7 +552,7 @@
         return kinds.get(name);
     }
 
-    /** The same law by looking at each of them. */
+    /** Draws from the same distribution as {@link #draw} by examining each candidate. */
     Server walk(Request r, Collection<Server> among) {
         Server drawn = null;
         double sum = 0;
@@ -491,10 +576,11 @@
     }
 
     /**
-     * Guards against meeting all servers so seldom that nothing is learnt of any, that each meeting pays a new connection, and
-     * that those of many gateways fill the servers' tables: where a server's part of the traffic is under one request a tick,
-     * those whose connection is free come first, the more so the thinner it is. The others come in where these are slow,
-     * failing or gone. It could do harm where gateways are few and unlike: each would crowd its own servers.
+     * Returns the gate of servers without a reusable connection. It falls below 1 where a server gets less than one request a
+     * tick from this gateway, so that servers with a free open connection are preferred, the more the sparser the traffic.
+     * Otherwise this gateway would meet each server too seldom to learn of any, each request would pay for a new connection, and
+     * the connections of many gateways would fill the servers' tables. The other servers are used where the preferred ones are
+     * slow, failing or gone. It could do harm where gateways are few and unlike: each would crowd its own servers.
      */
     private double freshGate() {
         return Math.max(LEAST_FRESH, Math.min(1, Math.pow(warmRate() * TICK_NANOS / SECOND_NANOS, THIN)));
@@ -504,13 +590,16 @@
         return s.inFlight == 0 && s.answeredAt > 0 && now - s.answeredAt < settings.allowed().idleNanos() * KEPT_PART;
     }
 
-    /** Guards against holding back chance crowding: a part of the traffic crowds more than the whole. */
+    /**
+     * Returns whether the attempts in flight reach the sum of the limits plus a margin for chance: one gateway's part of the
+     * traffic varies more, relatively, than the whole.
+     */
     private boolean crowded() {
         double chance = CHANCE_DEVIATIONS * Math.sqrt(total) * (1 - 1.0 / sharers);
         return inFlight > 0 && inFlight >= total + chance;
     }
 
-    /** Counts what a server of a large fleet adds to the limits now. */
+    /** Updates a server's contribution to the limit sums of a large fleet. */
     private void count(Server s) {
         double counted = s.limit * coldGate(s) * s.weight;
         limits += counted - s.counted;
@@ -519,7 +608,10 @@
         s.countedWarm = s.limit;
     }
 
-    /** Brings up to date what time has changed since the last sweep, with a look at those alone where it can. */
+    /**
+     * Recomputes what depends on time, which in a large fleet are the limits of the servers in warm-up, and lets the next draw
+     * scan the whole fleet again.
+     */
     private void survey() {
         freed = null;
         roomless.clear();
@@ -527,7 +619,10 @@
         warming.removeIf(s -> coldGate(s) >= 1);
     }
 
-    /** Guards against crossing zones for nothing: falls while own zone answers most within half their aim. */
+    /**
+     * Returns the gate of a server's zone. For other zones it is low while the own zone answers most requests within half their
+     * aim, since crossing zones would gain nothing.
+     */
     private double zoneGate(Server s) {
         return near(s) ? 1 : farGate();
     }
@@ -540,39 +635,46 @@
         return s.info.zone().equals(settings.zone());
     }
 
-    /** Guards against choking: falls where the attempts in flight reach the limit that adapt() sets. */
+    /**
+     * Returns a gate that falls to 0 where the attempts in flight reach the server's limit, which {@link #adapt} sets, so that
+     * no server is overloaded.
+     */
     private double roomGate(Server s, double cold) {
         return Math.min(1, s.inFlight == 0 ? s.limit * ready.size() / total : s.limit * cold - s.inFlight);
     }
 
     /**
-     * Guards against sending behind a queue: falls where the last answers took more than half of the usual time. Where
-     * each of many gateways meets a server about once a second, shares tell a slow one after many seconds, and in
-     * flight stands mostly what others sent; but a queue lasts for many requests, so the last answer speaks of the next.
+     * Returns a gate that falls where the last answers took more than half of the usual time, so that requests are not sent
+     * behind a queue. Where each of many gateways meets a server about once a second, shares show a slow server only after many
+     * seconds, and its load is mostly what others sent; but a queue lasts for many requests, so the last answer predicts the
+     * next.
      */
     private double queueGate(Server s) {
         return Math.pow(Math.max(1, recent(s) + 1 - NO_QUEUE), -STEEP);
     }
 
-    /** Guards against toppling a server after its start: rises as its capacity does, at the slowest. */
+    /**
+     * Returns a gate that rises with the capacity of a server that has just started, assuming its slowest warm-up, so that the
+     * server is not overloaded.
+     */
     private double coldGate(Server s) {
         return rules.warmth(s.info.startedAtNanos(), now);
     }
 
     /**
-     * Guards against silent servers, and fast errors, which would gain share: such a server gets one request
-     * a trial time from all gateways, even if it alone has room. Where most are doubtful, only those stay so
-     * that fail nearly always (a lost zone); where all are, none.
+     * Returns 0 for a suspect server except for one trial per interval over all gateways, even if only that server has room. It
+     * covers servers that are silent and servers whose fast errors would gain them share. Where most servers are suspect (a lost
+     * zone), only those that fail nearly always stay excluded; where all are suspect, none is.
      */
     private double healthGate(Server s) {
         return now >= s.trialAt || serves(s) || !doubtful(s) ? 1 : 0;
     }
 
     /**
-     * Guards against servers that fail one class and serve the others, which among all their answers hide it:
-     * a part of them that is broken, a release that can't do it, a store behind them that is gone. Only errors
-     * count, a server's own word, as slowness and crowding have other causes. It could do harm where the few
-     * that still serve a class can't bear all of it; where none does, all are tried.
+     * Returns 0 for a server that fails this class while it serves others, which hide that in its overall failure rate: a part
+     * of it is broken, its release can't do it, or a store behind it is gone. Only errors count, since they are explicit, while
+     * slowness and overload have other causes. It could do harm where the few servers that still serve a class can't bear all of
+     * it; where none serves it, all are tried.
      */
     private double classGate(Kind kind, Server s) {
         ClassHealth h = s.classes.get(kind);
@@ -583,13 +685,16 @@
         return h.errors.at(now, FAILURE_MEMORY_NANOS);
     }
 
-    /** This class and not all: what fails at every class is {@link #healthGate}'s. */
+    /**
+     * Returns whether a server fails this class but not all of them. A server that fails all classes is covered by
+     * {@link #healthGate}.
+     */
     private boolean fails(Server s, Kind kind) {
         ClassHealth h = s.classes.get(kind);
         return h != null && errors(h) >= FAILS_CLASS && s.classes.values().stream().anyMatch(o -> errors(o) < FAILING);
     }
 
-    /** How many servers are drawn on now: what the list names and this leaves out is avoided. */
+    /** Returns how many servers are in use now. Ready servers that it does not count are avoided as suspect. */
     public int drawnOn() {
         return (int) ready.stream().filter(s -> serves(s) || !doubtful(s)).count();
     }
@@ -602,13 +707,16 @@
         return s.silent || failures(s) >= FAILING;
     }
 
-    /** The one guard that every send passes: drains, further tries, effects, the cold budget. */
+    /**
+     * Returns whether a request may be sent to a server now. Every send is checked here: drains, retries, effects and the cold
+     * budget.
+     */
     private boolean maySend(Request r, Server s) {
         if (!s.ready || r.concluded || r.streaming || now >= r.deadline
                 || r.attempts.size() >= r.mostAttempts || r.outstanding > (r.copying ? 1 : 0) || coldBudget(s) < 1) {
             return false;
         }
-        // Guards against spending a cold server's budget on what another server has in work.
+        // A hedge is not sent to a cold server: its budget is small, and another server already works on the request.
         if (r.copying && coldGate(s) < 1) {
             return false;
         }
@@ -620,7 +728,7 @@
         return course == null ? most : Math.min(most, course.attempts());
     }
 
-    /** Requests that may go to a cold server now, by what a warm one was seen to bear. */
+    /** Returns how many requests may go to a cold server now, from the rate that a warm server was seen to bear. */
     private double coldBudget(Server s) {
         double gate = coldGate(s);
         if (gate >= 1) {
@@ -656,7 +764,7 @@
         }
     }
 
-    /** The server has it in work from now on. */
+    /** Counts an attempt as in flight at its server. */
     private void takeUp(Attempt a) {
         a.server().waiting.add(a);
         if (a.server().slot >= 0) {
@@ -667,7 +775,7 @@
         mark(a.server());
     }
 
-    /** Does this for the request after so long, unless it has its answer by then. */
+    /** Runs the action for the request after a delay, unless the request is concluded by then. */
     private void later(long nanos, Request r, Runnable work) {
         due.put(++lastToken, () -> {
             if (!r.concluded) {
@@ -678,8 +786,8 @@
     }
 
     /**
-     * A second copy of a request whose first is slow: to a server that is warm, has room and has not had it.
-     * Guards against paying for a copy that can't be answered in time, and against one where the first has ended.
+     * Sends a hedge of a request whose attempt is slow, to a warm server that has room and has not had the request. Sends none
+     * if it could not be answered in time or if the first attempt has ended.
      */
     private void copy(Request r) {
         if (r.outstanding != 1 || r.streaming || now + r.kind.latency > r.deadline) {
@@ -723,7 +831,10 @@
         dispatch();
     }
 
-    /** A further try; one that may repeat work comes out of the budget. {@link #maySend} decides where to. */
+    /**
+     * Retries a request after an attempt ended, or answers it. A retry that may repeat work costs a token of the retry budget.
+     * {@link #maySend} decides where it may go.
+     */
     private void tryAgain(Request r, Outcome outcome) {
         double cost = outcome.provesItNeverRan() ? 0 : 1;
         boolean may = r.kind.spec.effect() != Effect.UNSAFE || r.firstThatMayRun() == null;
@@ -738,7 +849,10 @@
         }
     }
 
-    /** Back-off with jitter; one that would outlast the request's time is none, and ends it at once. */
+    /**
+     * Retries within the limits of the route policy, after a backoff with jitter. If the backoff would outlast the request's
+     * deadline, the request is answered at once.
+     */
     private void tryAgainOnItsCourse(Request r, Outcome outcome, boolean may) {
         long most = r.course.backoffNanos(r.attempts.size());
         long wait = most == 0 ? 0 : (long) (most * (1 + random.nextDouble()) / 2);
@@ -754,7 +868,8 @@
     private void finish(Request r) {
         if (RetryRules.mayRefuse(r)) {
             refusals++;
-            // By itself without advice to wait: a try at once meets a coin, not a queue.
+            // Without a route policy there is no advice to wait: shedding is decided at random, so an immediate retry may be
+            // admitted.
             actions.refuse(r.id, r.course == null ? 0 : r.course.adviceNanos());
         } else {
             actions.fail(r.id);
@@ -762,7 +877,7 @@
         conclude(r);
     }
 
-    /** Calls off what is still out, once, and forgets the request when nothing is. */
+    /** Marks a request as concluded and cancels its attempts in flight, once; removes it when no attempt is in flight. */
     private void conclude(Request r) {
         for (Attempt a : r.attempts) {
             if (!r.concluded && !a.ended() && (r.kind.spec.effect() != Effect.SAFE || (r.lost >> a.number() & 1) == 0)
@@ -786,8 +901,8 @@
             if (served) {
                 a.request().course.served(elapsedNanos);
             }
-            // Guards against taking a short time-out, or a copy that lost early, for a fast answer or a bad server:
-            // all that it tells is that the answer takes longer than this.
+            // A short attempt timeout, or a hedge that was cancelled early, is neither a fast answer nor a sign of a bad
+            // server: it only shows that the answer takes longer than this.
             boolean givenUp = outcome == Outcome.TIMED_OUT || outcome == Outcome.CANCELLED;
             if (givenUp && elapsedNanos < Math.max(kind.latency, kind.spec.aimNanos() * PATIENCE_OF_AIM)) {
                 if (elapsedNanos > kind.latency) {
@@ -796,7 +911,8 @@
                 return;
             }
         }
-        // Guards against a mix of long and short classes passing for a slow or a fast server.
+        // Latencies are relative to the class's mean: otherwise a server that got more requests of long or short classes would
+        // pass for slow or fast.
         hear(s, kind, outcome, elapsedNanos);
         if (served) {
             kind.took(elapsedNanos);
@@ -825,8 +941,9 @@
     }
 
     /**
-     * Guards against dividing by a mean of nothing, which samples that fade would not forget; and against a server
-     * that errors or is full at once passing for one without a queue.
+     * Records an attempt's latency relative to the mean of its class. That mean is taken as 1 ns at least, since a division by 0
+     * would leave a value that decaying samples never lose. For the queue gate, an error or a full server does not count as a
+     * fast answer, since the server would pass for one without a queue.
      */
     private void hear(Server s, Kind kind, Outcome outcome, long elapsedNanos) {
         double latency = elapsedNanos / Math.max(1, kind.latency);
@@ -838,12 +955,15 @@
         s.recent.add(told, NEWEST, now, QUEUE_NANOS);
     }
 
-    /** Its last latencies as multiples of the usual, which they turn to again as they grow old. */
+    /** Returns a server's last latencies relative to the usual one; with age the value returns to 1. */
     private double recent(Server s) {
         return s.recent.at(now, QUEUE_NANOS);
     }
 
-    /** Guards against aims that are short for the work: never below the mean answer at the calmest. */
+    /**
+     * Returns the time that an answer of the class should take. It is not below the minimum mean latency of the class, up to
+     * half the aim, so that an aim that is short for the work does not keep the limits at their minimum.
+     */
     private static double budget(Kind kind) {
         double aim = kind.spec.aimNanos();
         return Math.max(aim * BUDGET_OF_AIM, Math.min(aim * PATIENCE_OF_AIM, kind.calmest));
@@ -854,8 +974,9 @@
     }
 
     /**
-     * Moves the in-flight limit by the lateness of answers; where they are rare, by the fleet's. Guards
-     * against limits that rise unused in calm times and choke what is left when a zone is lost.
+     * Adjusts a server's in-flight limit by the ratio of latencies to their budget; where its answers are rare, mostly by that
+     * of the fleet. The limit rises only while it is used and the gateway is at its limit: limits that rise unused in calm times
+     * would overload the remaining servers when a zone is lost.
      */
     private void adapt(Server s, double late) {
         s.lateness += HEALTH_RATE * (late - s.lateness);
@@ -888,7 +1009,7 @@
         suspects.removeIf(s -> !s.ready || !doubtful(s));
         inDoubt = suspects.size();
         for (Kind k : kinds.values()) {
-            // All can only fail a class where each has done so at some time.
+            // All servers can only fail a class if each is among those that failed it at some time.
             k.failsEverywhere = k.failing.size() >= ready.size() && ready.stream().allMatch(s -> fails(s, k));
         }
         if (held.isEmpty()) {
@@ -908,7 +1029,10 @@
         dispatch();
     }
 
-    /** Guards against a silent server before time-outs tell: overdue attempts and no answer since. */
+    /**
+     * Marks a server as silent when attempts are overdue and none was answered since they were sent, before their timeouts
+     * expire.
+     */
     private void listen(Server s) {
         int overdue = 0;
         double slowness = Math.max(1, lateness);
@@ -929,15 +1053,15 @@
         if (overdue >= (rare() ? 1 : 2) && !s.silent) {
             s.silent = true;
             suspects.add(s);
-            actions.log("server " + s.info.id() + " is silent: no answer to " + overdue + " attempts");
+            actions.log("server " + s.info.id() + " is silent: no answer to " + overdue + " overdue attempts, now suspect");
         }
     }
 
     /**
-     * Guards against answers that never come, while later ones do: such an attempt would hold a place at its
-     * server until its time-out, and two of them all places; equally against work that is stuck in a server.
-     * Where it may run again it is called off, and tried again. It could do harm where work differs so much
-     * that long requests are overtaken as a rule: they would be run twice, within the budget for tries.
+     * Releases the place of an attempt whose answer seems lost, since later attempts were answered: it would otherwise count as
+     * in flight until its timeout, and two of them could use up a server's limit. The same holds for work that is stuck in a
+     * server. An attempt of a safe request is cancelled and retried. It could do harm where work differs so much that long
+     * requests are overtaken as a rule: they would run twice, within the retry budget.
      */
     private void lose(Attempt a) {
         Request r = a.request();
@@ -950,21 +1074,24 @@
         }
     }
 
-    /** Whether this gateway has under one request for a server in a tick, and so seldom two out at one. */
+    /** Returns whether this gateway sends a server less than one request a tick, and so seldom has two in flight at one. */
     private boolean rare() {
         return warmRate() * TICK_NANOS < SECOND_NANOS;
     }
 
-    /** Algorithm 1: D_j *= 1 + eta F_j |l_mean - l_j| / l_mean, where F_j |l_mean - l_j| = l_mean - l_j. */
+    /**
+     * Updates the shares once a tick.
+     * Algorithm 1: D_j *= 1 + eta F_j |l_mean - l_j| / l_mean, where F_j |l_mean - l_j| = l_mean - l_j.
+     */
     private void step() {
-        actions.setTimer(TICK_NANOS, STEP_TOKEN); // First: a fault in what follows must not be the end of all steps.
+        actions.setTimer(TICK_NANOS, STEP_TOKEN); // Set first, so that a fault below does not end all updates.
         alike.values().forEach(Pool::clear);
         Pool fleet = new Pool();
         for (Server s : ready) {
             s.like.add(s.tick.sum, s.tick.samples);
             fleet.add(s.tick.sum, s.tick.samples);
         }
-        // With fewer samples than make a mean of its own, a server without one moves as those like it do.
+        // With too few samples for a mean of its own, a server without a sample moves as similar servers do.
         boolean few = fleet.samples < SHRINK_SAMPLES * ready.size();
         double mean = 0;
         int counted = 0;
@@ -985,10 +1112,11 @@
             }
         }
         if (refusals > 0) {
-            actions.log("refused " + refusals + " requests in this tick, " + arrivals + " came");
+            actions.log("refused " + refusals + " requests in this tick, " + arrivals + " arrived");
         }
         warmRate = Math.max(warmRate * 0.95, warmRate());
-        // Guards against cold servers pushed over where most are lost: what came for the others is not what one bears.
+        // Divided by the number of warm servers only: where most servers are lost, the load of the others is not what one
+        // server bears, and would overload the cold ones.
         long warm = ready.stream().filter(s -> coldGate(s) >= 1).count();
         borne = Math.max(borne * 0.95, servedWarm / Math.max(1.0, warm));
         arrivals = refusals = servedWarm = 0;
@@ -1022,14 +1150,17 @@
         survey();
     }
 
-    /** Tells whether it is kept where that counts: with each change of its places, and of what it answered. */
+    /**
+     * Updates in {@link #shares} whether a server has a reusable connection. Called whenever its attempts in flight or its last
+     * answer change.
+     */
     private void mark(Server s) {
         if (s.slot >= 0) {
             shares.keep(s, thin && isKept(s));
         }
     }
 
-    /** Takes a ready server into the sums that draws over a large fleet use. */
+    /** Adds a ready server to the sums that draws over a large fleet use. */
     private void enter(Server s) {
         count(s);
         if (coldGate(s) < 1) {
@@ -1040,7 +1171,7 @@
         }
     }
 
-    /** Takes one out of it. */
+    /** Removes a server from the sums that draws over a large fleet use. */
     private void leave(Server s) {
         shares.remove(s);
         limits -= s.counted;
@@ -1053,8 +1184,8 @@
     private void list(ListReceived e) {
         failedAsks = e.kind() == ListKind.FAILED ? failedAsks + 1 : 0;
         if (e.kind() == ListKind.FAILED) {
-            // Guards against failing list calls: asks again, with jitter, before the list counts as told.
-            // An agent of the gateway's own, where lists are pushed, has nobody to be spared from.
+            // Retries a failed list call with backoff and jitter, early enough for the time within which the rules require a
+            // new call. Where lists are pushed, an agent of the gateway's own answers, and the backoff does not grow.
             double backoff = SECOND_NANOS / 5 * (settings.subscribe() ? 1 << Math.min(failedAsks, 8) : 1);
             double wait = Math.min(rules.askWithinNanos() / 2.0, backoff);
             actions.setTimer((long) (wait * (1 + random.nextDouble()) / 2), ASK_TOKEN);
@@ -1074,11 +1205,12 @@
             servers.values().forEach(s -> s.ready = false);
         }
         double mean = ready.stream().mapToDouble(s -> s.share).average().orElse(1);
-        // Guards against holding back the whole traffic when all servers are replaced one by one.
+        // New servers start with the average limit: with the initial one, replacing all servers one by one would hold back all
+        // traffic.
         double first = Math.max(FIRST_IN_FLIGHT / sharers,
                 ready.stream().mapToDouble(s -> s.limit).average().orElse(0));
         e.servers().forEach(info -> update(info, mean, first));
-        // Guards against remembering for ever each machine that was once in the list.
+        // Servers that are no longer ready are removed, so that memory does not grow with each machine that was ever listed.
         servers.values().removeIf(s -> !s.ready);
         kinds.values().forEach(k -> k.failing.removeIf(s -> !s.ready));
         ready.clear();
@@ -1088,8 +1220,8 @@
     }
 
     /**
-     * The same for a few changes to a large fleet, in time that follows from how many they are. Shares add up to 1
-     * again, and keep their least, from the next step on; a draw needs neither.
+     * Applies a few changes to a large fleet in time that depends on their number only. The shares add up to 1 and respect their
+     * minimum again from the next update on; a draw needs neither.
      */
     private void change(List<ServerInfo> changes) {
         double mean = (shares.sum(true, 1) + shares.sum(false, 1)) / ready.size();
@@ -1125,7 +1257,7 @@
         leastPressure = shares.allNear() ? CALM : 0;
     }
 
-    /** Takes in what the list says of one. */
+    /** Creates or updates the server of a list entry. A restarted server starts without any learned state. */
     private Server update(ServerInfo info, double share, double limit) {
         Server s = servers.get(info.id());
         if (s == null || s.info.startedAtNanos() != info.startedAtNanos()) {
--- a/src/main/java/cinderhollow/policy/Protocol.java
+++ b/src/main/java/cinderhollow/policy/Protocol.java
@@ -4,14 +4,14 @@
 import java.util.Map;
 
 /**
- * The interface of the decision module {@link Choice}: what a gateway tells it and what it may ask for.
- * All times are nanoseconds; the clock starts anywhere and only moves forward.
+ * The interface of the decision module {@link Choice}: the events that a gateway delivers to it and the actions that it may
+ * request. All times are nanoseconds; the clock has an arbitrary origin and never goes back.
  *
- * <p>A gateway owns one {@link Choice} and calls it from one thread, each event as it happens. It delivers
- * each request once, under an id that is not used again; exactly one {@link AttemptEnded} for each send; a
- * {@link TimerFired} for each timer, never early; and the server list whenever it changes. In return each
- * request gets one final answer: the first SERVED outcome, which the host passes to the client itself, a
- * refusal or a failure, all before the request expires. Equal settings, seed and events give equal actions.
+ * <p>A gateway owns one {@link Choice} and calls it from one thread, each event as it happens. It delivers each request once,
+ * under an id that is not used again; exactly one {@link AttemptEnded} for each send; a {@link TimerFired} for each timer, never
+ * early; and the server list whenever it changes. In return each request gets one final answer before it expires: the first
+ * SERVED outcome, which the host passes to the client itself, a refusal or a failure. Equal settings, seed and events give equal
+ * actions.
  */
 public interface Protocol {
 
@@ -26,52 +26,93 @@
             this.neverRan = neverRan;
         }
 
-        /** Whether this outcome proves that the server never ran the request. */
+        /** Returns whether this outcome proves that the server never ran the request. */
         public boolean provesItNeverRan() {
             return neverRan;
         }
     }
 
-    /** What a second run of the same request would do. */
+    /**
+     * The effect of running the same request twice: SAFE, none; KEYED, none while servers drop repeats of its key; UNSAFE, it
+     * may do harm.
+     */
     enum Effect { SAFE, KEYED, UNSAFE }
 
-    /** Which servers drop a repeat of a keyed request: all, those of one zone, or those of one cell. */
+    /** The servers that drop a repeat of a keyed request: all, those of one zone, or those of one cell. */
     enum Group { ALL, ZONE, CELL }
 
-    /** What the server list says of a server. */
+    /** The state of a server according to the server list. */
     enum Readiness { READY, DRAINING, GONE }
 
-    /** Changes only, the whole list, the list as last held by a gateway that starts, or a failed call. */
+    /**
+     * What a server list contains: changes only, the whole list, the list as it was last known to a gateway that starts, or
+     * nothing because the call failed.
+     */
     enum ListKind { CHANGES, WHOLE, CACHED, FAILED }
 
-    /** A class of requests; {@code dedupWindowNanos} counts from the first send that may have run. */
+    /**
+     * A class of requests.
+     *
+     * @param dedupWindowNanos how long servers drop repeats of a keyed request, from the first send that may have run
+     * @param aimNanos the target latency
+     * @param deadlineNanos the end of a request's time, counted from its arrival
+     * @param worth the value of an answer in time
+     * @param lateWorth the factor on the worth of an answer after the aim
+     * @param stream whether answers are streamed
+     */
     record RequestClass(String name, Effect effect, Group group, long dedupWindowNanos, long aimNanos,
                         long deadlineNanos, double worth, double lateWorth, boolean stream) { }
 
-    /** A tenant and the requests a second, over all gateways, that are within its share. */
+    /** A tenant and its quota in requests per second, over all gateways. */
     record Tenant(String name, double quotaPerSecond) { }
 
-    /** What a gateway may do; servers close a connection that has idled for so long. */
+    /**
+     * What a gateway may do with attempts: how many a request may have, whether they can be cancelled, and the idle time after
+     * which servers close a connection.
+     */
     record Allowed(int maxAttempts, boolean cancel, long idleNanos) {
         private static final long USUAL_IDLE_NANOS = 15_000_000_000L;
 
-        /** With the usual time for connections. */
+        /** Creates options with the default idle timeout. */
         public Allowed(int maxAttempts, boolean cancel) {
             this(maxAttempts, cancel, USUAL_IDLE_NANOS);
         }
     }
 
-    /** The figures of the four rules. */
+    /**
+     * The figures of the four rules that the gateways are held to: answers in time, no sends to draining servers, a new list
+     * call soon after a failed one, and no overload of cold servers.
+     *
+     * @param answerSlackNanos how long after its deadline a request may still be answered
+     * @param drainGraceNanos how long after a server was first listed as not ready sends to it are tolerated
+     * @param askWithinNanos the time after a failed list call within which the next must follow
+     * @param coldFrom the fraction of its capacity that a server has at its start
+     * @param warmUpNanos the time from its start until a server has its full capacity
+     * @param overloadFactor the multiple of its capacity that a cold server may get
+     * @param overloadForNanos the length of the window over which that is measured
+     */
     record Rules(long answerSlackNanos, long drainGraceNanos, long askWithinNanos, double coldFrom,
                  long warmUpNanos, double overloadFactor, long overloadForNanos) {
-        /** Which part of its capacity a server surely has that started then, 0 being long ago: it rises with time, at the slowest. */
+        /**
+         * Returns the fraction of its capacity that a server with this start time has at least, where a start time of 0 means
+         * long ago. It rises linearly over the warm-up.
+         */
         public double warmth(long startedAtNanos, long now) {
             long age = now - startedAtNanos;
             return startedAtNanos == 0 || age >= warmUpNanos ? 1 : coldFrom + (1 - coldFrom) * Math.max(0, age) / warmUpNanos;
         }
     }
 
-    /** What a gateway is told once, at its start. */
+    /**
+     * The settings of a gateway.
+     *
+     * @param gateways how many gateways share the servers
+     * @param gatewayNumber this gateway's number among them
+     * @param zone the gateway's own zone
+     * @param subscribe whether to subscribe to the server list at the start
+     * @param resolutionNanos the resolution of the host's timers
+     * @param overShareWorth the factor on the worth of requests beyond their tenant's quota
+     */
     record Settings(int gateways, int gatewayNumber, String zone, boolean subscribe, long resolutionNanos,
                     List<RequestClass> classes, List<Tenant> tenants, double overShareWorth,
                     Allowed allowed, Rules rules) {
@@ -102,63 +143,63 @@
         }
     }
 
-    /** One entry of the server list; {@code startedAtNanos} is 0 where the start is long ago. */
+    /** One entry of the server list; {@code startedAtNanos} is 0 if the server started long ago. */
     record ServerInfo(String id, String zone, String kind, int cell, Readiness readiness,
                       double capacityHint, long startedAtNanos) { }
 
-    /** A server's own account of its load; a value that it doesn't report is NaN. */
+    /** The load that a server reports of itself; a value that it does not report is NaN. */
     record LoadReport(double requestsPerSecond, double utilisation, double errorsPerSecond,
                       double inFlight, double queued, double latencyMillis) { }
 
-    /** What the host tells the module. */
+    /** An event that the host delivers to the module. */
     sealed interface Event { }
 
-    /** The server list, or changes to it; empty where a call failed. */
+    /** The server list, or changes to it; empty if the call failed. */
     record ListReceived(ListKind kind, List<ServerInfo> servers) implements Event { }
 
     /**
-     * What an operator lets the module do for the requests of a route. The module asks it and decides the rest; its
-     * rules on effects, drains and cold servers hold all the same. Times are nanoseconds.
+     * The operator's policy for the requests of a route. The module consults it and makes all other decisions itself; its rules
+     * on effects, drains and cold servers apply regardless. Times are nanoseconds.
      */
     interface Course {
-        /** The most time until the final answer. */
+        /** Returns the maximum time from a request's arrival to its final answer. */
         long totalNanos();
 
-        /** When an attempt is given up. */
+        /** Returns the timeout of one attempt. */
         long attemptNanos();
 
-        /** How many attempts a request may have, second copies among them. */
+        /** Returns how many attempts a request may have, hedges included. */
         int attempts();
 
-        /** A request of the route has arrived. */
+        /** Records that a request of the route has arrived. */
         void arrived(long now);
 
-        /** An attempt was served after so long. */
+        /** Records that an attempt was served, with its latency. */
         void served(long nanos);
 
-        /** Whether another attempt may follow this end of one; if so it counts as made. */
+        /** Returns whether a retry may follow an attempt with this outcome; if so, it is counted against the retry budget. */
         boolean mayRetry(Outcome outcome, long now);
 
-        /** How long to wait at the most before this retry, the first being 1. */
+        /** Returns the maximum backoff before a retry; the first retry has the number 1. */
         long backoffNanos(int retry);
 
-        /** How long after the first attempt a second copy is due; 0 for never. */
+        /** Returns the time from an attempt to its hedge, or 0 for no hedge. */
         long copyAfterNanos();
 
-        /** Whether a second copy may go out now; if so it counts as made. */
+        /** Returns whether a hedge may be sent now; if so, it is counted against the hedge budget. */
         boolean mayCopy(long now);
 
-        /** What a refusal tells the client to wait; 0 for nothing. */
+        /** Returns how long a refusal advises the client to wait before a retry, or 0 for no advice. */
         long adviceNanos();
     }
 
     /**
-     * A request; {@code tenant} and {@code key} may be null, {@code workNanos} is 0 where unknown, and
-     * {@code course} is null where no operator has set anything.
+     * A request has arrived; {@code tenant} and {@code key} may be null, {@code workNanos} is 0 if unknown, and
+     * {@code routePolicy} is null if the operator has set none for its route.
      */
     record RequestArrived(String id, String requestClass, String tenant, String key, long expiresInNanos,
                           long workNanos, boolean retry, Course course) implements Event {
-        /** One for which no operator has set anything. */
+        /** Creates the event of a request without a route policy. */
         public RequestArrived(String id, String requestClass, String tenant, String key, long expiresInNanos,
                               long workNanos, boolean retry) {
             this(id, requestClass, tenant, key, expiresInNanos, workNanos, retry, null);
@@ -166,116 +207,122 @@
     }
 
     /**
-     * A request whose body is still on its way. A server is wanted for it now, but its time, and what it costs a server, begin
-     * with {@link Whole}.
+     * The head of a request has arrived, and its body is still being received. The module chooses a server now, but the
+     * request's time limit and its cost to the server begin with {@link Whole}.
      */
     record Arriving(RequestArrived request) implements Event { }
 
-    /** The last byte of a request that was {@link Arriving} has come: it expires so long from now. */
+    /**
+     * The last byte of a request that began with {@link Arriving} has been received; it expires {@code expiresInNanos} from now.
+     */
     record Whole(String id, long expiresInNanos) implements Event { }
 
-    /** A part of the request is gone: it can't be sent to another server any more. */
+    /** A part of the request's body is no longer buffered, so that it can't be sent to another server. */
     record Spent(String id) implements Event { }
 
-    /** The client left, or the answer is overdue: nothing is owed any more. */
+    /** The client left, or the time for its answer is over: no answer is needed any more. */
     record ClientLeft(String id) implements Event { }
 
-    /** A streamed answer has begun: the attempt is the client's and no time-out runs any more. */
+    /** A streamed answer has begun: it is forwarded to the client, and the attempt's timeout no longer applies. */
     record StreamStarted(String id, int attempt, String server) implements Event { }
 
-    /** An attempt ended; {@code concluded} says that the request has its final answer. */
+    /** An attempt ended; {@code concluded} says whether the request has its final answer. */
     record AttemptEnded(String id, int attempt, String server, Outcome outcome, long elapsedNanos,
                         boolean concluded, LoadReport load) implements Event { }
 
-    /** A probe ended. */
+    /** A probe of a server ended. */
     record Probed(String server, Outcome outcome, long elapsedNanos, LoadReport load) implements Event { }
 
-    /** Another gateway's message. */
+    /** A message of another gateway was received. */
     record PeerSaid(int gateway, byte[] body) implements Event { }
 
-    /** The gateway is to end: what comes from now on needs its final answer within this time. */
+    /** Shutdown of the gateway started: requests that arrive from now on need their final answer within this time. */
     record Ending(long answerWithinNanos) implements Event { }
 
     /**
-     * So many gateways share each server from now on, where that is not all of them: in-flight limits and trials go by
-     * it, tenants' quotas by the settings.
+     * The number of gateways that share each server changed, where that is not all of them. In-flight limits and trials follow
+     * this number, tenants' quotas follow the settings.
      */
     record Sharing(int gateways) implements Event { }
 
-    /** Other settings from now on; requests that are open keep the class and the number of attempts that they came with. */
+    /** The settings changed. Open requests keep their class and their maximum number of attempts. */
     record Retuned(Settings settings) implements Event { }
 
-    /** What another process of this same gateway has learnt before this one. */
+    /** The state that another process of this same gateway learned earlier was received. */
     record Recalled(Memory memory) implements Event { }
 
     /**
-     * Whether another process of this same gateway serves beside this one: to rules and limits both are one, so that
-     * each has a part of what may go to cold servers, of trials and of tenants' quotas.
+     * Another process of this same gateway began or stopped serving beside this one. Rules and limits treat both as one gateway,
+     * so each gets a part of the trials, of tenants' quotas and of what may go to cold servers.
      */
     record Overlap(boolean begins) implements Event { }
 
     /**
-     * How much of the usual goes to the servers of each zone from now on, 0 to 1; zones that are not named are as usual. One
-     * whose weight comes up again begins anew: what made its servers doubtful was the zone's.
+     * The weights of zones changed: the fraction of its usual load that each zone gets from now on, 0 to 1. Zones that are not
+     * named have the weight 1. The servers of a zone that returns to service are no longer suspect, since the cause was their
+     * zone.
      */
     record Weighed(Map<String, Double> byZone) implements Event {
-        /** Keeps a copy. */
+        /** Copies the map. */
         public Weighed {
             byZone = Map.copyOf(byZone);
         }
     }
 
-    /** Requests a second that a warm server bears of this gateway's traffic, as the fleet has seen; 0 where nobody knows. */
+    /** The requests per second of this gateway that a warm server bears, as observed by the fleet; 0 if unknown. */
     record Bears(double perSecond) implements Event { }
 
-    /** A timer that the module set. */
+    /** A timer that the module set has fired. */
     record TimerFired(long token) implements Event { }
 
     /**
-     * What the module asks of its host. Each is called from within {@link Choice#on}, on its thread, and
-     * takes effect at the time of the event under way; none may call the module. Those with a default body
-     * are no-ops unless a host implements them.
+     * The actions that the module requests from its host. Each is called from within {@link Choice#on}, on its thread, and takes
+     * effect at the time of the current event; none may call the module. Actions with a default body are optional for a host.
      */
     interface Actions {
         /**
-         * Starts the request's next attempt; attempts count from 0. The host owes one {@link AttemptEnded}
-         * for it, at the time-out at the latest.
+         * Starts the request's next attempt; attempts count from 0. The host must deliver one {@link AttemptEnded} for it, at
+         * its timeout at the latest.
          */
         void send(String request, String server, long timeoutNanos);
 
         /**
-         * The same of an attempt of which nothing may go out any more when so long is over: it has then not been sent. Where
-         * sending takes no time that is any attempt.
+         * Starts the next attempt like {@link #send(String, String, long)}, on condition that sending starts within
+         * {@code startWithinNanos}; after that time nothing may be sent, and the attempt ends as not sent. A host whose sends
+         * take no time can ignore the condition.
          */
         default void send(String request, String server, long timeoutNanos, long withinNanos) {
             send(request, server, timeoutNanos);
         }
 
-        /** Final answer: not served, and a further try is harmless, best after the pause (0: no advice). */
+        /**
+         * Refuses the request as its final answer: it was not served, and a retry is harmless, preferably after the pause (0: no
+         * advice).
+         */
         void refuse(String request, long pauseNanos);
 
-        /** Final answer: failed, it may have run. */
+        /** Fails the request as its final answer: it may have run. */
         void fail(String request);
 
-        /** Stops waiting for an attempt; how it ended is still told. */
+        /** Stops waiting for an attempt; its end is still reported. */
         void cancel(String request, int attempt);
 
-        /** Asks for a {@link TimerFired}; timers can't be taken back. */
+        /** Sets a timer, which fires as {@link TimerFired} and can't be cancelled. */
         void setTimer(long delayNanos, long token);
 
-        /** Asks for changes to the server list from now on; a {@link ListReceived} answers. */
+        /** Subscribes to changes of the server list; a {@link ListReceived} follows. */
         void subscribe();
 
-        /** Asks for the whole server list once. */
+        /** Requests the whole server list once. */
         default void fetchList() { }
 
-        /** Checks a server. */
+        /** Probes a server. */
         default void probe(String server) { }
 
         /** Sends a message to all other gateways. */
         default void tellAll(byte[] body) { }
 
-        /** A line for the operators. */
+        /** Logs a line for the operators. */
         default void log(String line) { }
     }
 }
--- a/src/main/java/cinderhollow/policy/RetryRules.java
+++ b/src/main/java/cinderhollow/policy/RetryRules.java
@@ -8,25 +8,28 @@
 import cinderhollow.policy.State.Server;
 import java.util.List;
 
-/** Which server may have a request again, and what its client may be told, from what became of its attempts. Times are nanoseconds. */
+/**
+ * Decides from a request's earlier attempts which server it may be sent to and whether its client may be refused. Times are
+ * nanoseconds.
+ */
 final class RetryRules {
-    /** Before a server is tried again that no connection came up to; doubled with each such try. */
+    /** Pause before a server is retried to which no connection could be opened; doubled with each such attempt. */
     private static final long RETRY_PAUSE_NANOS = 20_000_000L;
-    /** The draw weight of a server that had the request already: drawn only where no other may have it. */
+    /** Gate of a server that had the request already: it is drawn only if no other server may have it. */
     private static final double LEAST_AGAIN = 1e-9;
 
     private RetryRules() { }
 
-    /** Whether the server may have the request now, by its class's effect and by the attempts before. */
+    /** Returns whether the request may be sent to the server now, given its class's effect and its earlier attempts. */
     static boolean mayHave(Request r, Server s, long now) {
         return effectAllows(r, s, now) && mayTry(r, s, now);
     }
 
     /**
-     * Guards against a request that waits until half of its aim is over, and is refused then, since no server was ever tried
-     * twice: in a small fleet a moment without sockets used them all up. A server that no connection came up to may be tried
-     * again, after a pause that keeps such tries from being a storm; the allowed attempts bound them. One that has turned the
-     * request away is not asked again.
+     * Returns whether a server that had the request may have it again. A server to which no connection could be opened may be
+     * retried, after a pause that prevents a storm of retries; the maximum number of attempts bounds them. If no server were
+     * ever tried twice, a moment without sockets would use up all servers of a small fleet, and the request would be held until
+     * half of its aim is over and then refused. A server that has turned the request away is not asked again.
      */
     private static boolean mayTry(Request r, Server s, long now) {
         int before = 0;
@@ -45,19 +48,23 @@
     }
 
     /**
-     * Whether none of the servers may ever take it: each has failed it or turned it away, or lies outside what its effect allows. Guards against a
-     * request that is held for nothing, and whose client hears only at half of its aim that it should ask elsewhere.
+     * Returns whether no server may ever take the request: each has failed it or turned it away, or is excluded by its effect.
+     * Such a request would be held for nothing, and its client would learn only at half of its aim that it should ask elsewhere.
      */
     static boolean isExhausted(Request r, List<Server> ready, long now) {
         return !r.attempts.isEmpty() && !ready.isEmpty() && ready.stream().noneMatch(s -> effectAllows(r, s, now)
                 && r.attempts.stream().allMatch(a -> a.server() != s || a.neverReached()));
     }
 
-    /** Guards against trying a server again while another has not been tried. */
+    /** Returns the gate that keeps a server from being retried while another has not been tried. */
     static double triedGate(Request r, Server s) {
         return !r.attempts.isEmpty() && r.attempts.stream().anyMatch(a -> a.server() == s) ? LEAST_AGAIN : 1;
     }
 
+    /**
+     * Returns whether a run at this server would be harmless: nothing may have run yet, the request is safe, or the server drops
+     * it as a repeat, within the dedup window and group of the first attempt that may have run.
+     */
     private static boolean effectAllows(Request r, Server s, long now) {
         RequestClass c = r.kind.spec;
         Attempt first = r.firstThatMayRun();
@@ -72,7 +79,10 @@
         };
     }
 
-    /** The one guard that every refusal passes: it tells the client that a further try is harmless. */
+    /**
+     * Returns whether the request may be refused instead of failed. Every refusal is checked here, since it tells the client
+     * that a retry is harmless.
+     */
     static boolean mayRefuse(Request r) {
         RequestClass c = r.kind.spec;
         return c.effect() == Effect.SAFE || r.firstThatMayRun() == null
--- a/src/main/java/cinderhollow/policy/SettingsReader.java
+++ b/src/main/java/cinderhollow/policy/SettingsReader.java
@@ -12,26 +12,30 @@
 import java.util.Map;
 
 /**
- * Reads a deployment's settings from path and value pairs such as {@code grades.0.name}, the form of the
- * simulator's wire; a real gateway flattens its configuration into the same form. Unknown keys are passed
- * over. What is missing or unreadable ends as an {@link IllegalArgumentException} that names the key.
+ * Reads the settings of the decision module from pairs of path and value such as {@code grades.0.name}. This is the form of the
+ * simulator's protocol; a real gateway flattens its configuration into the same form. Unknown keys are ignored. A missing or
+ * unreadable value causes an {@link IllegalArgumentException} that names the key.
  */
 public final class SettingsReader {
     private final Map<String, String> values;
 
-    /** Reads from these pairs. */
+    /** Creates a reader of these pairs of path and value. */
     public SettingsReader(Map<String, String> values) {
         this.values = values;
     }
 
-    /** The settings that the module needs. */
+    /** Reads all settings that the module needs. */
     public Settings read() {
         return new Settings((int) number("group_size"), (int) number("my_number"), text("zone", ""),
                 text("discovery").equals("subscribe"), number("resolution_ns"), classes(), tenants(),
                 decimal("over_share_worth", 1), allowed(), rules());
     }
 
-    /** A whole number that has to be there. */
+    /**
+     * Returns the whole number under a key.
+     *
+     * @throws IllegalArgumentException if it is missing or unreadable
+     */
     public long number(String name) {
         String value = text(name);
         try {
@@ -107,7 +111,7 @@
         return values.getOrDefault(name, absent);
     }
 
-    /** A whole number, or this where there is none. */
+    /** Returns the whole number under a key, or the default value if the key is missing. */
     public long number(String name, long absent) {
         return values.containsKey(name) ? number(name) : absent;
     }
@@ -121,7 +125,7 @@
         }
     }
 
-    /** Whether a flag is set, or this where it is not there. */
+    /** Returns whether a flag is set ("true" or "1"), or the default value if the key is missing. */
     public boolean flag(String name, boolean absent) {
         String value = text(name, absent ? "true" : "false");
         return value.equals("true") || value.equals("1");
--- a/src/main/java/cinderhollow/policy/Shares.java
+++ b/src/main/java/cinderhollow/policy/Shares.java
@@ -6,14 +6,15 @@
 import java.util.SplittableRandom;
 
 /**
- * Servers by their shares, for picks in proportion to them and changes that don't walk the fleet: trees of sums for
- * those of the gateway's zone and for the others, since how much the others count moves by the moment; of each, one for
- * those that are kept and one for the rest.
+ * The ready servers of a large fleet by their shares. Picks a server with a probability in proportion to its share, and applies
+ * changes, in time logarithmic in the size of the fleet. It has four sum trees: servers of the gateway's zone and of other zones
+ * are apart, since the weight of other zones changes from moment to moment, and in each, servers with a reusable connection are
+ * apart from the rest.
  */
 final class Shares {
     private final List<Side> sides = List.of(new Side(), new Side(), new Side(), new Side());
 
-    /** A complete binary tree in one array: each node is the sum of the two below it, the leaves are the shares. */
+    /** A complete binary tree in one array: each node is the sum of its two children, the leaves are the shares. */
     private static final class Side {
         private static final int FIRST_LEAVES = 64;
         private Server[] servers = new Server[FIRST_LEAVES];
@@ -26,6 +27,7 @@
             size = 0;
         }
 
+        /** Adds a server as the last leaf and doubles the tree if it is full. The new leaf is not yet part of the sums. */
         void add(Server s) {
             if (size == servers.length) {
                 double[] leaves = Arrays.copyOfRange(sums, size, 2 * size);
@@ -45,7 +47,7 @@
             }
         }
 
-        /** The last one takes its place. */
+        /** Removes a server; the last leaf moves into its place. */
         void remove(Server s) {
             Server last = servers[--size];
             servers[s.slot] = last;
@@ -56,7 +58,7 @@
             s.slot = -1;
         }
 
-        /** Sums are made anew on the way up, so that no error adds up. */
+        /** Sets a leaf. The sums above it are computed anew, so that rounding errors do not accumulate. */
         private void set(int slot, double share) {
             int i = servers.length + slot;
             sums[i] = share;
@@ -65,12 +67,13 @@
             }
         }
 
+        /** Returns the server in whose interval of the added-up shares the point lies. */
         Server at(double drawn) {
             int i = 1;
             double left = drawn;
             while (i < servers.length) {
                 i *= 2;
-                // Guards against rounding that leads to where nobody stands.
+                // Rounding must not lead into an empty subtree.
                 if (left >= sums[i] && sums[i + 1] > 0) {
                     left -= sums[i++];
                 }
@@ -79,7 +82,7 @@
         }
     }
 
-    /** Takes these servers, none of them kept, and no others, with the shares that they have now. */
+    /** Replaces the content by these servers, with their current shares and all without a reusable connection. */
     void build(List<Server> ready) {
         sides.forEach(Side::clear);
         for (Server s : ready) {
@@ -89,7 +92,7 @@
         sides.forEach(Side::sumUp);
     }
 
-    /** Takes in one more. */
+    /** Adds a server. */
     void add(Server s) {
         Side side = side(s);
         side.add(s);
@@ -100,7 +103,7 @@
         side(s).remove(s);
     }
 
-    /** Whether it is one of the kept from now on. */
+    /** Sets whether a server has a reusable connection. */
     void keep(Server s, boolean kept) {
         if (s.kept != kept) {
             remove(s);
@@ -117,16 +120,23 @@
         return sides.get((near ? 2 : 0) + (kept ? 1 : 0));
     }
 
+    /** Returns whether all servers are in the gateway's zone. */
     boolean allNear() {
         return side(false, false).size + side(false, true).size == 0;
     }
 
-    /** Of the kept or of the rest, those of other zones times {@code farGate}. */
+    /**
+     * Returns the sum of the shares of the servers with or without a reusable connection; those of other zones are multiplied by
+     * {@code otherZoneGate}.
+     */
     double sum(boolean kept, double farGate) {
         return side(true, kept).sums[1] + side(false, kept).sums[1] * farGate;
     }
 
-    /** One of them in proportion to its share, those of other zones times {@code farGate}; null where there is none. */
+    /**
+     * Returns a random server of these with a probability in proportion to its share, where shares of other zones are multiplied
+     * by {@code otherZoneGate}; null if there is none.
+     */
     Server pick(SplittableRandom random, boolean kept, double farGate) {
         double near = side(true, kept).sums[1];
         double others = side(false, kept).sums[1] * farGate;
--- a/src/main/java/cinderhollow/policy/State.java
+++ b/src/main/java/cinderhollow/policy/State.java
@@ -12,46 +12,64 @@
 import java.util.Map;
 import java.util.Set;
 
-/** What a gateway remembers: plain holders without a decision, all of which are in {@link Choice}. */
+/**
+ * The state that a gateway keeps about servers, classes, requests and tenants: plain data holders. All decisions are made in
+ * {@link Choice}.
+ */
 interface State {
 
-    /** A server as this gateway has seen it since its last start. */
+    /** What this gateway knows of a server since the server's last start. */
     final class Server {
         ServerInfo info;
-        /** The one of all servers that are held alike. */
+        /** The latency samples of all servers of this zone and machine type. */
         Pool like;
         boolean ready;
-        /** Where it stands among the ready ones, and in {@link Shares}, or -1. */
+        /** The index among the ready servers, and the leaf index in {@link Shares}, or -1 in a small fleet. */
         int place;
         int slot = -1;
+        /** Whether it is in the gateway's own zone. Set in large fleets only, like the next field. */
         boolean near;
+        /** Whether it is kept in {@link Shares} among those with a reusable connection. */
         boolean kept;
-        /** How much of the usual goes to its zone. */
+        /** The fraction of its usual load that its zone gets. */
         double weight = 1;
+        /** Its part of the requests before gates apply; the shares of the ready servers add up to about 1. */
         double share;
-        /** Latencies in this tick and, fading, in those before, as multiples of their classes' means. */
+        /** Latency samples of this tick and, with decaying weight, of earlier ones, as multiples of their classes' means. */
         final Pool tick = new Pool();
+        /** The estimate of its mean latency from the last tick, as a multiple of its classes' means. */
         double latency;
+        /** Whether the last tick had a sample of it, or of servers like it where samples were too few. */
         boolean sampled;
-        /** Answered in this tick. */
+        /** Whether this tick has a latency sample of it. */
         boolean heard;
-        /** The last few latencies, likewise. */
+        /** Average of the last few latencies, as multiples of their classes' means; with age it returns to 1. */
         final Fading recent = new Fading(1);
         int inFlight;
+        /** The maximum of attempts in flight from this gateway; may be a fraction of 1 where gateways are many. */
         double limit;
-        /** What it adds to the sum of a large fleet's limits. */
+        /** The contribution to the sum of a large fleet's effective limits, and to that of the limits of warm servers. */
         double counted;
         double countedWarm;
+        /** Average ratio of latencies to their classes' latency budgets; above 1 the limit falls. */
         double lateness;
+        /** Part of the last attempts that failed; it decays to 0. */
         final Fading failures = new Fading(0);
+        /** Time of the last answer, or 0. */
         long answeredAt;
-        /** When the latest sent of its answered attempts went out. */
+        /** The latest send time among its answered attempts. */
         long answeredSentAt;
+        /** Whether attempts were overdue without an answer; ends with the next answer. */
         boolean silent;
+        /** Time from which on it may get the next trial request while it is suspect. */
         long trialAt;
         final Map<Kind, ClassHealth> classes = new HashMap<>();
+        /** Tokens for requests to it during its warm-up. */
         final Bucket cold;
-        /** Few at a time, and there may be thousands of servers. */
+        /**
+         * Attempts whose end is awaited. The initial capacity is small: there are few at a time, and there may be thousands of
+         * servers.
+         */
         final ArrayDeque<Attempt> waiting = new ArrayDeque<>(2);
 
         Server(Bucket cold, double share, double limit) {
@@ -60,18 +78,18 @@
             this.limit = limit;
         }
 
-        /** What another process has learnt of it. */
+        /** Takes over what another process has learned of this server. */
         void recall(Memory.OfServer o, long now) {
             share = o.share();
             limit = o.limit();
             recent.set(o.recent(), now);
             failures.set(o.failures(), now);
             silent = o.silent();
-            // What a cold server may get by now the other process has sent it.
+            // The other process has already sent what a cold server may get by now.
             cold.tokens = 0;
         }
 
-        /** What it did with a class counts for the one of that name that there is now. */
+        /** Moves the health of each class to the class of the same name in the new settings. */
         void retune(Map<String, Kind> kinds) {
             Map<Kind, ClassHealth> known = new HashMap<>(classes);
             classes.clear();
@@ -83,13 +101,13 @@
         }
     }
 
-    /** How a server has answered one class: the part of errors, and when the next trial may be. */
+    /** How a server has answered one class: the rate of errors, and the time from which on the next trial may be sent. */
     final class ClassHealth {
         final Fading errors = new Fading(0);
         long trialAt;
     }
 
-    /** An average of the newest samples, which returns to where it rests as it grows old. */
+    /** An average of the newest samples that returns exponentially to its rest value as it ages. */
     final class Fading {
         private final double rest;
         private double value;
@@ -100,12 +118,15 @@
             value = rest;
         }
 
-        /** What is left of it by now, where its distance from the rest falls by e in so many nanoseconds. */
+        /**
+         * Returns the average at this time. Its distance from the rest value falls by a factor of e in each {@code
+         * timeConstantNanos}.
+         */
         double at(long now, double memory) {
             return value == rest ? rest : rest + (value - rest) * Math.exp((at - now) / memory);
         }
 
-        /** Takes in a sample with so much weight; the average now. */
+        /** Adds a sample with this weight and returns the new average. */
         double add(double sample, double weight, long now, double memory) {
             double before = at(now, memory);
             set(before + weight * (sample - before), now);
@@ -118,7 +139,7 @@
         }
     }
 
-    /** Samples of latency, and how many. */
+    /** A sum of latency samples and their number. */
     final class Pool {
         double sum;
         double samples;
@@ -128,7 +149,7 @@
             samples += count;
         }
 
-        /** Forgets a part of them, the same of each. */
+        /** Multiplies the weight of all samples by a factor. */
         void fade(double kept) {
             sum *= kept;
             samples *= kept;
@@ -143,51 +164,56 @@
             return sum / Math.max(1, samples);
         }
 
+        /** Returns the mean shrunk towards a prior mean that weighs as much as this number of samples. */
         double mixed(double prior, double weight) {
             return (sum + weight * prior) / (samples + weight);
         }
     }
 
-    /** One send of a request to a server. */
+    /** One sending of a request to a server. */
     record Attempt(Request request, Server server, int number, long sentAt) {
         boolean ended() {
             return (request.ended >> number & 1) == 1;
         }
 
-        /** Whether it has ended without a connection to its server, which therefore knows nothing of it. */
+        /** Returns whether it has ended without a connection to its server, which therefore never received any of it. */
         boolean neverReached() {
             return (request.neverReached >> number & 1) == 1;
         }
     }
 
-    /** A request that is owed an answer, or whose attempts have not all ended. */
+    /** A request that needs an answer, or that has attempts in flight. */
     final class Request {
         final String id;
         final Kind kind;
         final boolean overShare;
-        /** What the operator lets it have, or null. */
+        /** The operator's policy for its route, or null. */
         final Course course;
+        /** When the time of its aim began: its arrival or, for a client's retry, the estimated time of the first try. */
         long arrivedAt;
         long deadline;
-        /** Its body is on its way: no server has it in work yet. */
+        /** Whether its body is still being received; until then its attempts do not count as in flight. */
         boolean arriving;
-        /** So many attempts it may have. */
+        /** The maximum number of attempts. */
         int mostAttempts;
         final List<Attempt> attempts = new ArrayList<>(2);
-        /** A bit for each attempt that ended, and for each that is proved never to have run. */
+        /** One bit for each attempt that has ended, and for each that is proved never to have run. */
         long ended;
         long neverRan;
-        /** Of the latter those that no connection came up for. */
+        /** One bit for each attempt that ended without a connection to its server. */
         long neverReached;
-        /** A bit for each attempt that holds no place any more. */
+        /** One bit for each attempt that is taken as lost and no longer counts as in flight. */
         long lost;
+        /** The number of attempts that have not ended. */
         int outstanding;
+        /** Whether it has its final answer or needs none any more. */
         boolean concluded;
         boolean streaming;
-        /** A second copy is looking for a server. */
+        /** Whether a server for a hedge is being chosen. */
         boolean copying;
+        /** The worth of its answer for the work it takes; held requests are sent by descending priority. */
         double value;
-        /** Its number among those that were held. */
+        /** Its sequence number among held requests. */
         long turn;
 
         Request(String id, Kind kind, boolean overShare, Course course, long firstAsked, long deadline,
@@ -201,15 +227,15 @@
             this.mostAttempts = mostAttempts;
         }
 
-        /** The first attempt that may have run or may yet run, or null. */
+        /** Returns the first attempt that may have run or may yet run, or null. */
         Attempt firstThatMayRun() {
             int i = Long.numberOfTrailingZeros(~neverRan);
             return i < attempts.size() ? attempts.get(i) : null;
         }
 
         /**
-         * How much longer the newest attempt may go out, in nanoseconds. Guards against one of a keyed request that waits for its
-         * connection until the servers have forgotten the key of an earlier one: its effect would happen twice.
+         * Returns for how many nanoseconds from now sending the newest attempt may still start. A repeat of a keyed request that
+         * waits for its connection beyond the dedup window of an earlier attempt would have its effect twice.
          */
         long repeatableFor(long now) {
             Attempt first = firstThatMayRun();
@@ -218,21 +244,29 @@
         }
     }
 
-    /** A class as this gateway has seen it. */
+    /** A class of requests and what this gateway has learned of it. */
     final class Kind {
-        /** Time-outs this near to each other, in parts of the deadline, are one: the way here takes some time. */
+        /**
+         * Timeouts that differ by at most this fraction of the deadline count as equal, since the way to the gateway takes a
+         * varying time.
+         */
         private static final double SAME_TIME_OUT = 0.02;
-        /** Votes for the usual time-out that count, and answers until a class's mean is known. */
+        /**
+         * Maximum number of votes for the usual timeout, and number of answers from which on the mean latency counts as known.
+         */
         private static final int MOST_VOTES = 40, LEAST_SAMPLES = 20;
+        /** Number of answers over which the mean latency is averaged. */
         private static final double MEAN_SAMPLES = 100;
         final RequestClass spec;
+        /** The mean latency in nanoseconds, and its minimum so far. */
         double latency;
         double calmest;
         long served;
         private long usualTimeOut;
         private int votes;
+        /** Whether all ready servers fail this class. */
         boolean failsEverywhere;
-        /** Servers that gave mostly errors at some time. */
+        /** Servers that answered this class mostly with errors at some time. */
         final Set<Server> failing = new LinkedHashSet<>();
 
         Kind(RequestClass spec, double firstLatency) {
@@ -240,7 +274,7 @@
             latency = firstLatency;
         }
 
-        /** The same class with other figures. */
+        /** Creates the state of a class whose figures changed, with what was learned of it before. */
         Kind(RequestClass spec, Kind before) {
             this(spec, before.latency);
             calmest = before.calmest;
@@ -248,13 +282,17 @@
             failing.addAll(before.failing);
         }
 
+        /** Takes over what another process has learned of this class. */
         void recall(Memory.OfClass o) {
             latency = o.latencyNanos();
             calmest = o.calmestNanos();
             served = o.served();
         }
 
-        /** The class's mean over about the last hundred answers, and the least it has been once known. */
+        /**
+         * Adds the latency of a served answer to the class's mean, which covers about the last hundred answers, and to the
+         * minimum of that mean once it is known.
+         */
         void took(long nanos) {
             served++;
             latency += (nanos - latency) * Math.max(1 / MEAN_SAMPLES, 1.0 / served);
@@ -262,8 +300,9 @@
         }
 
         /**
-         * Takes in one request's time-out; how much shorter it is than the one that most have, where one is known. A vote
-         * finds the time-out that more than a third agree on, in one pass and without a list of them.
+         * Estimates how long ago a request was first asked from its timeout, and takes that timeout into account. The result is
+         * the difference to the deadline where the timeout is shorter than the usual one, and 0 while no usual timeout is known.
+         * A majority vote finds the timeout that more than a third of requests have, in one pass and without a list.
          */
         long shorterBy(long timeOut) {
             if (Math.abs(timeOut - usualTimeOut) <= spec.deadlineNanos() * SAME_TIME_OUT) {
@@ -277,10 +316,10 @@
         }
     }
 
-    /** A tenant's part of its share at this gateway, and what of it is left. */
+    /** A tenant's quota at this gateway in requests per second, and the tokens that are left of it. */
     record Quota(double perSecond, Bucket bucket) { }
 
-    /** Tokens that come at a rate up to a most. */
+    /** A token bucket that is refilled at a rate up to a capacity. */
     final class Bucket {
         double tokens;
         private long at;
@@ -290,13 +329,14 @@
             at = now;
         }
 
+        /** Refills the bucket up to this time and returns its tokens. */
         double refill(long now, double perNano, double most) {
             tokens = Math.min(most, tokens + (now - at) * perNano);
             at = now;
             return tokens;
         }
 
-        /** Takes a token if there is one. */
+        /** Takes a token and returns true if there is one. */
         boolean take(long now, double perNano, double most) {
             boolean there = refill(now, perNano, most) >= 1;
             tokens -= there ? 1 : 0;
--- a/src/main/java/cinderhollow/policy/package-info.java
+++ b/src/main/java/cinderhollow/policy/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The decision module: which server gets a request, whether it is tried again, what is turned away; its events,
- * actions, state and settings. No I/O, no clock of its own, no dependency.
+ * The decision module: chooses the server of each request and decides on retries and shedding. It contains its events, actions,
+ * state and settings, does no I/O, reads no clock and has no dependencies.
  */
 package cinderhollow.policy;
--- a/src/test/java/cinderhollow/policy/ChoiceTest.java
+++ b/src/test/java/cinderhollow/policy/ChoiceTest.java
@@ -25,10 +25,11 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
+/** Decisions of one gateway: draws by share, gates, retries, shedding, the server list and errors in events and settings. */
 class ChoiceTest {
     private static final int DRAWS = 6000;
 
-    /** How often each of the servers is drawn when every answer comes at once. */
+    /** Counts how often each server is drawn when every request is answered at once. */
     private static Map<String, Integer> draws(Fleet fleet, int n) {
         Map<String, Integer> counts = new HashMap<>();
         for (int i = 0; i < n; i++) {
@@ -37,10 +38,10 @@
         return counts;
     }
 
-    /** So long after an answer nothing is left of what it told of a queue. */
+    /** Time after an answer at which the queue gate no longer depends on it. */
     private static final long QUEUE_FORGOTTEN = 200 * SECOND;
 
-    /** One tick in which the servers' answers take the given times, so many for each; shares alone move by it. */
+    /** Runs one tick in which each server answers this many requests with the given latencies. Only the shares change by it. */
     private static void tick(Fleet fleet, int each, long... elapsed) {
         int[] left = new int[elapsed.length];
         java.util.Arrays.fill(left, each);
@@ -65,7 +66,7 @@
         assertEquals(expected, part, 0.03, server + " of " + counts);
     }
 
-    /** Each server has all that is left of the client's time, whatever it is. */
+    /** The timeout of an attempt is all that is left of the client's time, however short or long. */
     @Test
     void anAttemptIsGivenAllThatIsLeftOfTheClientsTime() {
         Fleet fleet = new Fleet().with(4);
@@ -86,7 +87,7 @@
     @Test
     void aStepMovesSharesAsThePaperSays() {
         Fleet fleet = new Fleet().with(2);
-        // l = 30 and 10, l_mean = 20, l^ = 0.5: with many samples 0.5 * 0.9 and 0.5 * 1.1 a step.
+        // l = 30 and 10, l_mean = 20, l^ = 0.5: with many samples, factors 0.9 and 1.1 on shares of 0.5 in each update.
         for (int i = 0; i < 5; i++) {
             tick(fleet, 400, 30 * MS, 10 * MS);
         }
@@ -133,7 +134,7 @@
     void aFactorThatWouldTurnNegativeOnlyHalvesAndTheShareComesBack() {
         Fleet fleet = new Fleet().with(8);
         long[] elapsed = {2000 * MS, MS, MS, MS, MS, MS, MS, MS};
-        tick(fleet, 50, elapsed); // l^ = 7 there: 1 - 0.2 * 7 is below zero
+        tick(fleet, 50, elapsed); // l^ = 7 at this server: the factor 1 - 0.2 * 7 would be negative
         double others = 1 + 0.2 * 0.98;
         double expected = 0.5 / (0.5 + 7 * others);
         assertPart(expected, draws(fleet, DRAWS), "s0");
@@ -144,7 +145,7 @@
         RequestClass brief = new RequestClass("brief", Effect.SAFE, Group.ALL, 0, 500 * MS, SECOND, 1, 0, false);
         Fleet fleet = new Fleet(settings(false, 1, List.of(), List.of(READ, brief)), 7).with(2);
         for (int t = 0; t < 6; t++) {
-            for (int i = 0; i < 400; i++) { // s0 happens to get only long work, s1 only brief
+            for (int i = 0; i < 400; i++) { // s0 gets only long work, s1 only short work
                 RequestClass c = i % 2 == 0 ? READ : brief;
                 String id = fleet.ask(c);
                 boolean fits = fleet.sentTo().equals(c == READ ? "s0" : "s1");
@@ -166,7 +167,7 @@
         }
         fleet.fire(SWEEP);
         fleet.host.take();
-        for (int i = 0; i < 2000; i++) { // calm again
+        for (int i = 0; i < 2000; i++) { // low load again
             fleet.serve(ORDER, Outcome.SERVED, 10 * MS);
             fleet.now += 5 * MS;
         }
@@ -180,7 +181,7 @@
 
     @Test
     void requestsStayInTheirZoneUntilMostOfItsAnswersTakeHalfTheirAim() {
-        Fleet fleet = new Fleet().with(4, "b"); // s1 and s3 lie in the other zone
+        Fleet fleet = new Fleet().with(4, "b"); // s1 and s3 are in the other zone
         assertEquals(Set.of("s0", "s2"), draws(fleet, 200).keySet());
         for (int i = 0; i < 12; i++) {
             fleet.serve(READ, Outcome.SERVED, 260 * MS);
@@ -229,7 +230,7 @@
         Fleet fleet = new Fleet().with(0);
         String id = fleet.ask(ORDER);
         assertNull(fleet.sentTo());
-        fleet.now += 600 * MS; // past the aim, and late answers are worth nothing
+        fleet.now += 600 * MS; // past the aim, and late answers have no worth
         fleet.fire(SWEEP);
         assertEquals(id, fleet.host.take("refuse").get(0).id());
     }
@@ -391,7 +392,7 @@
                 .contains(a.what())));
     }
 
-    /** Servers whose early answers have let more than one attempt in flight at each. */
+    /** Servers whose in-flight limits have risen above one by early answers. */
     private static Fleet fastServers(int servers) {
         Fleet fleet = new Fleet().with(servers);
         fleet.serveTogether(READ, 50 * servers, 10 * MS);
@@ -411,7 +412,7 @@
         assertPart(0.25, draws(fleet, DRAWS), "s0");
     }
 
-    /** Asks for an order that s0 answers with an error and all others serve; whether s0 got it. */
+    /** Submits an order, which s0 answers with an error and all others serve; returns whether s0 got it. */
     private static boolean failsAtS0(Fleet fleet) {
         String id = fleet.ask(ORDER);
         String s = fleet.sentTo();
@@ -427,7 +428,7 @@
         assertEquals(1, trials(10, 10), 1, "one of ten");
     }
 
-    /** Requests that a failing server, known as such, gets from one of so many gateways. */
+    /** Returns how many requests a server that is known to fail gets from one of this many gateways. */
     private static int trials(int gateways, int seconds) {
         Fleet fleet = new Fleet(settings(false, gateways, List.of(), List.of(ORDER)), 7).with(20);
         int before = 0;
@@ -446,7 +447,7 @@
     void aFullFleetDoesNotPourItsRestIntoADeadServer() {
         Fleet fleet = new Fleet().with(3);
         int toDead = 0;
-        for (int i = 0; i < 200; i++) { // the others never answer, so all their room is taken
+        for (int i = 0; i < 200; i++) { // the other servers never answer, so they have no room
             fleet.ask(READ);
             for (List<Recorder.Action> out = fleet.host.take("send"); !out.isEmpty();
                     out = fleet.host.take("send")) {
@@ -473,7 +474,7 @@
             fleet.fire(SWEEP);
             int orders = 0;
             int bulks = 0;
-            for (int i = 0; i < 300; i++) { // without an outcome that tells anything
+            for (int i = 0; i < 300; i++) { // with outcomes that don't count for or against a server
                 orders += fleet.serve(ORDER, Outcome.NOT_SENT, MS, true) == null ? 0 : 1;
                 bulks += fleet.serve(bulk, Outcome.NOT_SENT, MS, true) == null ? 0 : 1;
             }
@@ -491,7 +492,7 @@
         assertTrue(some > 40, "every second answer is an error: " + some);
     }
 
-    /** Of 200 requests, those to four of five servers, where one request in so many fails. */
+    /** Returns how many of 200 requests go to four of five servers, where one request in this many fails. */
     private static int toFourOfFive(int oneIn) {
         Fleet fleet = new Fleet().with(5);
         int sent = 0;
@@ -526,7 +527,7 @@
         Fleet fleet = fastServers(3);
         Map<String, String> unanswered = new HashMap<>();
         for (int i = 0; i < 60; i++) {
-            String id = fleet.ask(ORDER); // no second copies
+            String id = fleet.ask(ORDER); // orders get no hedges
             String s = fleet.sentTo();
             if (s.equals("s0") && unanswered.size() < 3) {
                 unanswered.put(id, s);
@@ -560,7 +561,7 @@
             met.add(fleet.serve(ORDER, Outcome.SERVED, 20 * MS));
         }
         assertTrue(!met.contains(s) && met.size() > 30, met::toString);
-        // One answer in ten is late where all is well: a late one too shows that the server is not silent.
+        // With all servers healthy, one answer in ten is late: a late answer also shows that its server is not silent.
         fleet.end(first, 0, s, Outcome.SERVED, 1200 * MS);
         for (int i = 0; i < 400; i++) {
             met.add(fleet.serve(ORDER, Outcome.SERVED, 20 * MS));
@@ -647,7 +648,7 @@
     void anAimThatIsShortForTheWorkDoesNotPinTheLimitToItsFloor() {
         RequestClass tight = new RequestClass("tight", Effect.SAFE, Group.ALL, 0, 200 * MS, SECOND, 1, 0, false);
         Fleet fleet = new Fleet(settings(false, 1, List.of(), List.of(tight)), 7).with(1);
-        for (int i = 0; i < 14; i++) { // a fifth of the aim is 40 ms, the median at the calmest 0.69 * 80 ms
+        for (int i = 0; i < 14; i++) { // a fifth of the aim is 40 ms, the median at the lowest load is 0.69 * 80 ms
             fleet.serveTogether(tight, 10, (i < 10 ? 80 : 50) * MS);
         }
         assertTrue(fleet.inFlightAtMost() > 3);
@@ -662,7 +663,7 @@
         for (int i = 0; i < 12; i++) {
             fleet.ask(READ);
         }
-        fleet.now += 350 * MS; // past half the aim, yet within what answers take now
+        fleet.now += 350 * MS; // past half the aim, but within the time that answers take now
         fleet.fire(SWEEP);
         assertTrue(fleet.host.take("log").isEmpty());
     }
@@ -678,7 +679,7 @@
         fleet.fire(STEP);
         List<Recorder.Action> logged = fleet.host.take("log");
         assertEquals(1, logged.size());
-        assertEquals("refused 2 requests in this tick, 2 came", logged.get(0).id());
+        assertEquals("refused 2 requests in this tick, 2 arrived", logged.get(0).id());
         fleet.fire(STEP);
         assertEquals(List.of(), fleet.host.take("log"));
     }
@@ -714,7 +715,7 @@
             sent += fleet.serve(READ, Outcome.SERVED, MS) == null ? 0 : 1;
             fleet.now += 5 * MS;
         }
-        // 200 a second come; 0.5 * 2.5 * 0.2 of that may go to it, rising a little as it warms
+        // 200 requests arrive a second; 0.5 * 2.5 * 0.2 of that may go to the cold server, rising slowly as it warms up
         assertTrue(sent > 10 && sent < 110, "sent in 1.5 s: " + sent);
     }
 
