--- a/src/test/java/cinderhollow/policy/ColdBankTest.java
+++ b/src/test/java/cinderhollow/policy/ColdBankTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** A bank of gateways, none of which knows of the others, beside a server that has just started. */
+/** Gateways that know nothing of each other send to the same cold server: together they must not overload it. */
 class ColdBankTest {
     private static final int GATEWAYS = 40;
     private static final int PER_SECOND = 240;
@@ -59,7 +59,7 @@
             }
             most = Math.max(most, window.size());
         }
-        // What a warm server would be asked to bear, at the capacity of one that is four seconds old.
+        // The load that a warm server would get, times the capacity of a server four seconds after its start.
         double capacity = RULES.coldFrom() + (1 - RULES.coldFrom()) * 4 * SECOND / RULES.warmUpNanos();
         double seconds = RULES.overloadForNanos() / (double) SECOND;
         double bound = RULES.overloadFactor() * capacity * PER_SECOND / (WARM + 1.0) * seconds;
--- a/src/test/java/cinderhollow/policy/CourseTest.java
+++ b/src/test/java/cinderhollow/policy/CourseTest.java
@@ -23,7 +23,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** What an operator lets the module do, in made-up time: second copies, time-outs, retries and their budgets. */
+/** Route policies, in simulated time: hedges, timeouts, retries and their budgets. */
 class CourseTest {
     private static final Allowance ALL = new Allowance(1, 1000), NONE = new Allowance(0, 0);
     private static final Set<Outcome> ANY = EnumSet.of(Outcome.CONNECT_FAILED, Outcome.FULL, Outcome.ERROR,
@@ -43,7 +43,10 @@
         return fleet.ask(c, null, c.deadlineNanos(), course);
     }
 
-    /** Fires the timers of requests' own that are due by then; the module's own two are the test's to fire. */
+    /**
+     * Lets time pass and fires the timers of single requests that are due by then. The timers of sweeps and updates are left to
+     * the test.
+     */
     private List<Recorder.Action> pass(List<Recorder.Action> actions, long nanos) {
         fleet.now += nanos;
         actions.stream().filter(a -> a.what().equals("setTimer") && Long.parseLong(a.id()) > Fleet.ASK
@@ -68,12 +71,15 @@
         fleet.end(id, 1, copied.get(0).server(), Outcome.SERVED, 5 * MS);
         List<Recorder.Action> after = fleet.host.take();
         assertEquals(List.of(0L), only("cancel", after).stream().map(Recorder.Action::number).toList());
-        assertTrue(only("refuse", after).isEmpty() && only("fail", after).isEmpty(), "the answer was the copy's");
+        assertTrue(only("refuse", after).isEmpty() && only("fail", after).isEmpty(), "the hedge gave the answer");
         fleet.end(id, 0, first, Outcome.CANCELLED, 85 * MS, true);
         assertTrue(only("send", fleet.host.take()).isEmpty());
     }
 
-    /** Both answered in the same instant: each place is given back once, and nobody is answered twice. */
+    /**
+     * An attempt and its hedge are answered at the same instant: each in-flight place is released once, and no request is
+     * answered twice.
+     */
     @Test
     void twoCopiesThatAnswerInTheSameInstantGiveBackBothPlacesAndOneAnswer() {
         int before = new Fleet().with(3).inFlightAtMost();
@@ -88,13 +94,13 @@
             fleet.end(id, 0, first, Outcome.SERVED, 10 * MS, true);
             if (!copied.isEmpty()) {
                 fleet.end(id, 1, copied.get(0).server(), Outcome.SERVED, 0, true);
-                // What is told once more of an attempt that ended counts for nothing.
+                // A second end of an attempt that has ended must be ignored.
                 fleet.end(id, 1, copied.get(0).server(), Outcome.CANCELLED, 0, true);
             }
             List<Recorder.Action> after = fleet.host.take();
             assertTrue(only("refuse", after).isEmpty() && only("fail", after).isEmpty());
         }
-        assertTrue(fleet.inFlightAtMost() >= before, "no place was lost");
+        assertTrue(fleet.inFlightAtMost() >= before, "no in-flight place was lost");
     }
 
     @Test
@@ -144,7 +150,7 @@
         }
         String late = fleet.ask(READ, null, 60 * MS, copies(50 * MS));
         assertTrue(only("send", pass(fleet.host.take(), 50 * MS)).stream().noneMatch(a -> a.id().equals(late)),
-                "10 ms are too short for a copy");
+                "10 ms are too short for a hedge");
     }
 
     @Test
@@ -171,7 +177,10 @@
         assertTrue(sent >= 450 && copied >= 40 && copied <= 51, sent + " and " + copied);
     }
 
-    /** All servers fail for 10 s: in each second no more goes out than (1 + budget) of what came, and at the end none. */
+    /**
+     * All servers fail for 10 s: in each second at most (1 + budget) times the requests that arrive are sent, and no request is
+     * open at the end.
+     */
     @Test
     void aRetryStormStaysWithinTheBudgetAndEndsAtOnce() {
         Course course = tries(2 * SECOND, 0, new Allowance(0.2, 0));
@@ -209,7 +218,7 @@
         assertEquals(200 * MS, only("send", fleet.host.take()).get(0).number());
     }
 
-    /** The client of this one request waits 100 ms, the operator's tries would take 600. */
+    /** The client of this request waits 100 ms, while the operator's attempts would take 600 ms. */
     @Test
     void triesThatWouldOutlastTheClientAreCutAndItsAnswerComesInTime() {
         String id = fleet.ask(READ, null, 100 * MS, tries(60 * MS, 50 * MS, ALL));
@@ -233,7 +242,7 @@
         String first = fleet.sentTo();
         fleet.end(id, 0, first, Outcome.ERROR, 5 * MS);
         List<Recorder.Action> actions = fleet.host.take();
-        assertTrue(only("send", actions).isEmpty(), "it waits");
+        assertTrue(only("send", actions).isEmpty(), "the retry waits for its backoff");
         Recorder.Action timer = only("setTimer", actions).stream().filter(a -> Long.parseLong(a.id()) > Fleet.ASK)
                 .findFirst().orElseThrow();
         assertTrue(timer.number() >= 20 * MS && timer.number() <= 40 * MS, timer::toString);
@@ -261,7 +270,7 @@
         assertNull(fleet.sentTo());
     }
 
-    /** One route gives up after 8 ms, the other waits; the servers are alike, and their shares stay so. */
+    /** One route times out after 8 ms, the other waits. The servers are alike, so their shares must stay alike. */
     @Test
     void aShortTimeOutOfOneRouteSpoilsNoServersShare() {
         Course hasty = tries(8 * MS, 0, NONE);
@@ -272,7 +281,8 @@
             String id = ask(READ, first ? hasty : patient);
             String server = fleet.sentTo();
             if (server != null) {
-                // The one server gets all of the hasty route's time-outs, which say only: longer than 8 ms.
+                // One server gets all timeouts of the route with the short timeout; they only show that answers take longer
+                // than 8 ms.
                 boolean timesOut = first && server.equals("s0");
                 fleet.end(id, 0, server, timesOut ? Outcome.TIMED_OUT : Outcome.SERVED, timesOut ? 8 * MS : 20 * MS);
                 if (!first && i > 3000) {
--- a/src/test/java/cinderhollow/policy/Fleet.java
+++ b/src/test/java/cinderhollow/policy/Fleet.java
@@ -4,7 +4,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A gateway under test: its module, its recorder, and short ways to say what happens. */
+/** A gateway under test: its decision module, the recorder of its actions, and short methods for events. */
 final class Fleet {
     static final long MS = 1_000_000L;
     static final long SECOND = 1_000 * MS;
@@ -52,12 +52,12 @@
         return server(id, "a", Readiness.READY, 0);
     }
 
-    /** Servers s0, s1 and so on, warm, in the gateway's zone. */
+    /** Adds warm servers s0, s1 and so on in the gateway's zone. */
     Fleet with(int servers) {
         return with(servers, "a");
     }
 
-    /** The same, in the gateway's zone and another by turns. */
+    /** Adds such servers alternately in the gateway's zone and in another. */
     Fleet with(int servers, String otherZone) {
         List<ServerInfo> list = new ArrayList<>();
         for (int i = 0; i < servers; i++) {
@@ -75,7 +75,7 @@
         list(kind, List.of(servers));
     }
 
-    /** A request of the class; its id. */
+    /** Submits a request of the class and returns its id. */
     String ask(RequestClass c) {
         return ask(c, null, c.deadlineNanos());
     }
@@ -102,7 +102,7 @@
         choice.on(now, new TimerFired(token));
     }
 
-    /** The server that the only send since the last look went to, or null. */
+    /** Returns the server of the only send since the last call, or null if there was none. */
     String sentTo() {
         List<Recorder.Action> sends = host.take("send");
         if (sends.size() > 1) {
@@ -111,7 +111,7 @@
         return sends.isEmpty() ? null : sends.get(0).server();
     }
 
-    /** Asks and answers at once; the server that served. */
+    /** Submits a request and ends its attempt at once; returns the server that got it. */
     String serve(RequestClass c, Outcome outcome, long elapsed) {
         return serve(c, outcome, elapsed, outcome == Outcome.SERVED);
     }
@@ -126,7 +126,7 @@
         return server;
     }
 
-    /** How many of so many requests go out when none is answered. */
+    /** Returns how many of this many requests are sent when none is answered. */
     int sentOf(RequestClass c, int n) {
         int out = 0;
         for (int i = 0; i < n; i++) {
@@ -136,7 +136,7 @@
         return out;
     }
 
-    /** Asks all at once and answers each when it is out. */
+    /** Submits all requests at once and answers each when it has been sent. */
     void serveTogether(RequestClass c, int n, long elapsed) {
         for (int i = 0; i < n; i++) {
             ask(c);
@@ -144,7 +144,7 @@
         answerAll(elapsed);
     }
 
-    /** Answers each request when it is out, until none is; the requests in the order in which they went out. */
+    /** Answers each request when it has been sent, until none is left; returns the requests in the order of their sends. */
     List<String> answerAll(long elapsed) {
         List<String> sent = new ArrayList<>();
         for (List<Recorder.Action> out = host.take("send"); !out.isEmpty(); out = host.take("send")) {
@@ -156,7 +156,7 @@
         return sent;
     }
 
-    /** How many requests go out before the next is held; all are called back afterwards. */
+    /** Returns how many requests are sent before the next is held; all are cancelled afterwards. */
     int inFlightAtMost() {
         List<Recorder.Action> out = new ArrayList<>();
         List<String> asked = new ArrayList<>();
--- a/src/test/java/cinderhollow/policy/HeldRequestTest.java
+++ b/src/test/java/cinderhollow/policy/HeldRequestTest.java
@@ -15,18 +15,18 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Requests that are held back in small fleets. Callers saw answers that came only after half of their aim (five seconds, where one
- * system call in ten failed), while both servers were idle.
+ * Held requests in small fleets. Clients got answers only after half of their aim (five seconds, where one system call in ten
+ * failed), while both servers were idle.
  */
 class HeldRequestTest {
-    /** Far below half of any aim here. */
+    /** A time far below half of the aims used here. */
     private static final long SOON_MILLIS = 100;
     private static final int SERVERS = 2;
     private static final long SWEEP_MILLIS = 10;
 
     private Fleet fleet = new Fleet().with(SERVERS);
 
-    /** What the module asks for within this time from now. */
+    /** Returns the module's actions within this time from now. */
     private List<Recorder.Action> soon() {
         List<Recorder.Action> actions = new ArrayList<>(fleet.host.take());
         for (long waited = 0; waited < SOON_MILLIS; waited += SWEEP_MILLIS) {
@@ -41,7 +41,7 @@
         return actions.stream().filter(action -> List.of(what).contains(action.what())).toList();
     }
 
-    /** Asks, and ends an attempt at each server so; its id. */
+    /** Submits a request, ends an attempt at each server with this outcome, and returns the request's id. */
     private String askedOfAll(Protocol.RequestClass requestClass, Outcome outcome) {
         String id = fleet.ask(requestClass);
         for (int attempt = 0; attempt < SERVERS; attempt++) {
@@ -55,9 +55,9 @@
     @Test
     void aRequestThatReachedNoServerIsTriedAgainSoon() {
         for (Protocol.RequestClass requestClass : List.of(READ, ORDER)) {
-            fleet = new Fleet().with(SERVERS); // one whose servers have no failures yet
+            fleet = new Fleet().with(SERVERS); // a gateway whose servers have no failures yet
             String id = askedOfAll(requestClass, Outcome.CONNECT_FAILED);
-            assertNull(fleet.sentTo(), "not in the same instant");
+            assertNull(fleet.sentTo(), "not retried at the same instant");
             List<Recorder.Action> next = only(soon(), "send");
             assertEquals(List.of(id), next.stream().map(Recorder.Action::id).toList());
         }
@@ -76,13 +76,13 @@
         assertEquals(List.of(id), only(fleet.host.take(), "refuse").stream().map(Recorder.Action::id).toList());
     }
 
-    /** Each server has failed it or turned it away, so that none may have it again. */
+    /** Each server has failed the request or turned it away, so none may have it again. */
     @Test
     void aRequestThatNoServerMayHaveAgainIsAnsweredAtOnce() {
         for (Outcome outcome : List.of(Outcome.ERROR, Outcome.FULL)) {
             fleet = new Fleet().with(SERVERS);
             for (int i = 0; i < 20; i++) {
-                fleet.serve(READ, Outcome.SERVED, MS); // the budget for tries that may repeat work
+                fleet.serve(READ, Outcome.SERVED, MS); // fills the budget of retries that may repeat work
             }
             String id = askedOfAll(READ, outcome);
             List<Recorder.Action> actions = fleet.host.take();
@@ -90,7 +90,7 @@
         }
     }
 
-    /** A worthier request that waits for its next try is no reason for another to wait. */
+    /** A request of higher priority that waits for its retry must not block another request. */
     @Test
     void aRequestThatCannotBeSentHoldsUpNoOther() {
         askedOfAll(ORDER, Outcome.CONNECT_FAILED);
--- a/src/test/java/cinderhollow/policy/LargeFleetTest.java
+++ b/src/test/java/cinderhollow/policy/LargeFleetTest.java
@@ -24,7 +24,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Draws that don't walk the fleet: the same law as the walk, which stays as the reference. */
+/** Draws in large fleets, which don't scan all servers, have the same distribution as the scan, which serves as the reference. */
 class LargeFleetTest {
     private static final int DRAWS = 60_000;
 
@@ -41,7 +41,10 @@
         return counts;
     }
 
-    /** So many quarters of a request a server in each tick. A fleet with unlike shares, requests out, doubtful and cold servers and two zones. */
+    /**
+     * Returns a fleet with unlike shares, attempts in flight, suspect and cold servers and two zones, where each server gets
+     * this many quarters of a request a tick.
+     */
     private static Fleet random(long seed, int servers, int perServer) {
         SplittableRandom random = new SplittableRandom(seed);
         Fleet fleet = new Fleet(Fleet.settings(false), seed);
@@ -77,7 +80,10 @@
         assertTrue(assertSameLaw(seed, fleet) > servers / 3);
     }
 
-    /** Where a server is met about once in four ticks, those with a kept connection are drawn far more than the others. */
+    /**
+     * Where a server gets about one request in four ticks, servers with a reusable connection are drawn far more often than the
+     * others.
+     */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void theLawIsThatOfTheWalkWhereTrafficIsThin(long seed) {
@@ -85,7 +91,7 @@
         assertSameLaw(seed, fleet);
     }
 
-    /** Those that are kept come and go by every way in which a place is taken and given back. */
+    /** Connections become reusable and stop being so in every way in which an in-flight place is taken and released. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void theLawIsThatOfTheWalkWhileKeptOnesComeAndGo(long seed) {
@@ -111,8 +117,9 @@
     }
 
     /**
-     * Counted and not timed: what a draw looks at does not follow from how many servers there are, nor from how many of them
-     * answered lately. At a request for four servers a tick and less those that answered come first.
+     * The number of servers that a draw examines depends neither on the size of the fleet nor on how many servers answered
+     * lately; it is counted, not timed. At a request for four servers a tick and less, servers that answered lately are
+     * preferred.
      */
     @ParameterizedTest
     @ValueSource(doubles = {0.05, 0.25, 0.9, 1.5})
@@ -137,7 +144,7 @@
         assertTrue(looks < 16, perServer + " requests a server and tick: " + looks + " servers looked at a draw");
     }
 
-    /** Draws by both ways and compares them by chi-square; how many servers were drawn. */
+    /** Draws both ways, compares them by chi-square and returns how many servers were drawn. */
     private static int assertSameLaw(long seed, Fleet fleet) {
         Map<String, Integer> quick = counts(fleet.choice::draw, fleet);
         Map<String, Integer> walked = counts(r -> fleet.choice.walk(r, fleet.choice.ready()), fleet);
@@ -154,7 +161,7 @@
         return both.size();
     }
 
-    /** The one server with room among thousands is found, and then no more than the walk would find. */
+    /** The one server with room among thousands is found, and after that no more than the scan would find. */
     @Test
     void theLastServerWithRoomIsFound() {
         Fleet fleet = new Fleet().with(2000);
@@ -188,7 +195,7 @@
         assertEquals(held.get(299), sends.get(0).id(), "the newest of equals first, as with few servers");
     }
 
-    /** Half of 10,000 drain at once, and all are replaced by new ids: nothing goes to who has gone. */
+    /** Half of 10,000 servers drain at once, and all are replaced by new ids: nothing is sent to servers that are gone. */
     @Test
     void aListOfThousandsChangesAtOnce() {
         Fleet fleet = new Fleet().with(10_000);
@@ -211,7 +218,7 @@
         }
     }
 
-    /** Changes by the hundred, applied one by one, leave the same fleet and the same law as the list told whole. */
+    /** Hundreds of changes, applied one by one, lead to the same fleet and the same distribution as the whole list. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void changesAddUpToTheWholeList(long seed) {
@@ -254,7 +261,7 @@
         assertSameLaw(seed, fleet);
     }
 
-    /** One zone of three is lost, and all the others are replaced by new ids within a minute. */
+    /** One zone of three is lost, and all other servers are replaced by new ids within a minute. */
     @Test
     void aZoneIsLostAndTheRestReplacedWithinAMinute() {
         Fleet fleet = new Fleet();
@@ -291,7 +298,10 @@
         assertEquals(6_000, served, "with most of them cold there is room all the time");
     }
 
-    /** A share a thousandth of the least of the others is drawn as seldom as that, all equal ones equally often. */
+    /**
+     * A server with a thousandth of the share of the others is drawn that seldom, and servers with equal shares are drawn
+     * equally often.
+     */
     @Test
     void unlikeAndEqualSharesKeepTheLaw() {
         assertSameLaw(1, new Fleet().with(300));
@@ -307,11 +317,11 @@
         for (int i = 0; i < 5_000_000; i++) {
             hits += shares.pick(random, false, 1) == least ? 1 : 0;
         }
-        // Expected 1: a Poisson count of more than 13 has a chance below one in a hundred million.
+        // The expected count is 1: a Poisson count of more than 13 has a probability below one in a hundred million.
         assertTrue(hits <= 13, hits + " hits");
     }
 
-    /** All gates closed but one: it is found at once, after the picks by share have failed. */
+    /** Only one server may take the request: it is found at once, after the picks by share have failed. */
     @Test
     void theOnlyOpenGateIsFound() {
         Fleet fleet = new Fleet().with(10_000);
@@ -320,7 +330,10 @@
         assertEquals("s8191", fleet.sentTo());
     }
 
-    /** Hundreds are held without room; with room everywhere they go out by worth, and of equals the newest first. */
+    /**
+     * Hundreds of requests are held without room; when all servers have room they are sent by priority, and among equals the
+     * newest first.
+     */
     @Test
     void heldRequestsGoOutByWorthAndNewestFirst() {
         Fleet fleet = new Fleet().with(100);
--- a/src/test/java/cinderhollow/policy/OverbookedDiscoveryTest.java
+++ b/src/test/java/cinderhollow/policy/OverbookedDiscoveryTest.java
@@ -20,7 +20,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** A release starts all gateways in the same instant, while the one discovery that they share turns every call away. */
+/**
+ * A release starts all gateways at the same instant while the discovery service that they share rejects every call: their
+ * retries must back off and spread.
+ */
 class OverbookedDiscoveryTest {
     private static final int GATEWAYS = 14;
     private static final long DOWN = 6 * SECOND, WINDOW = 50 * MS;
@@ -93,9 +96,9 @@
             next.work.run();
         }
         assertEquals(GATEWAYS, listed);
-        // Back-off: a fifth of a second, doubled; at a constant fifth it would be 30 in six seconds.
+        // Backoff: a fifth of a second, doubled each time; a constant fifth would make 30 calls in six seconds.
         assertTrue(calls.size() <= GATEWAYS * 10, calls.size() + " calls");
-        // Jitter: only the first calls, which the release itself puts in step, come together.
+        // Jitter: only the first calls, which the release itself makes simultaneous, coincide.
         long most = calls.stream().filter(at -> at > SECOND).mapToLong(at ->
                 calls.stream().filter(other -> other >= at && other < at + WINDOW).count()).max().orElse(0);
         assertTrue(most <= GATEWAYS / 2, most + " calls at once");
--- a/src/test/java/cinderhollow/policy/QuickStartTest.java
+++ b/src/test/java/cinderhollow/policy/QuickStartTest.java
@@ -25,7 +25,7 @@
 class QuickStartTest {
     private static final long MS = 1_000_000L;
 
-    /** A gateway's side of the interface; a real one opens connections and sets timers here. */
+    /** The host's side of the interface; a real gateway opens connections and sets timers here. */
     private static final class Host implements Actions {
         final List<String> sent = new ArrayList<>();
         long timers;
--- a/src/test/java/cinderhollow/policy/RecalledTest.java
+++ b/src/test/java/cinderhollow/policy/RecalledTest.java
@@ -16,9 +16,9 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** What one process tells the next, and how both count while they overlap; in made-up time. */
+/** The learned state that one process passes to the next, and how both count while they overlap, in simulated time. */
 class RecalledTest {
-    /** A module that has seen one slow and one failing server among three. */
+    /** Returns a module that has seen one slow and one failing server among three. */
     private static Fleet experienced() {
         Fleet fleet = new Fleet().with(3);
         for (int i = 0; i < 200; i++) {
@@ -50,7 +50,7 @@
         assertEquals(old.choice.drawnOn(), next.choice.drawnOn());
     }
 
-    /** Each entry that can't be is dropped alone; a server that has started anew since is as fresh as it is. */
+    /** Each invalid entry is dropped by itself, and nothing is restored for a server that has restarted since. */
     @Test
     void whatIsDoubtfulIsDroppedAlone() {
         Fleet next = new Fleet().with(3);
@@ -74,7 +74,7 @@
         assertEquals(1 / 3.0, plain.choice.ready().get(2).share, 1e-9);
     }
 
-    /** How many requests a cold server gets in a second from a module that is offered far more than it may send. */
+    /** Returns how many requests a cold server gets in a second from a module that is offered far more than it may send. */
     private static int sentToCold(Fleet fleet, int perSecond) {
         int sent = 0;
         for (int i = 0; i < perSecond; i++) {
@@ -100,7 +100,7 @@
         return fleet;
     }
 
-    /** Two processes that each know the whole rate would else give a cold server twice what one gateway may. */
+    /** Two processes that each know the whole request rate would otherwise give a cold server twice what one gateway may. */
     @Test
     void bothTogetherGiveAColdServerWhatOneMay() {
         Fleet one = withCold(false);
@@ -114,7 +114,7 @@
         assertTrue(sentToCold(first, 400) > 0);
     }
 
-    /** A server that was cold to the predecessor has had its part already. */
+    /** A server that was cold for the predecessor has already got its budget. */
     @Test
     void aColdServerIsOwedNothingAtTheHandOver() {
         Fleet old = withCold(false);
--- a/src/test/java/cinderhollow/policy/Recorder.java
+++ b/src/test/java/cinderhollow/policy/Recorder.java
@@ -6,20 +6,20 @@
 import java.util.List;
 import java.util.Map;
 
-/** A host that only writes down what the module asks for. */
+/** A host that only records the actions that the module requests. */
 final class Recorder implements Actions {
-    /** One action; fields that an action lacks are null or 0. A timer has its token for an id. */
+    /** One action; fields that an action lacks are null or 0. A timer has its token as id. */
     record Action(String what, String id, String server, long number) { }
 
     final List<Action> actions = new ArrayList<>();
-    /** How long the newest attempt of each request may take to go out. */
+    /** For each request, the time within which its newest attempt must be sent. */
     final Map<String, Long> goesOutWithin = new HashMap<>();
 
     private void add(String what, String id, String server, long number) {
         actions.add(new Action(what, id, server, number));
     }
 
-    /** Takes out all that was recorded since the last call. */
+    /** Removes and returns all actions recorded since the last call. */
     List<Action> take() {
         List<Action> taken = new ArrayList<>(actions);
         actions.clear();
--- a/src/test/java/cinderhollow/policy/RetunedTest.java
+++ b/src/test/java/cinderhollow/policy/RetunedTest.java
@@ -11,7 +11,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Settings that change while requests are open, in made-up time. */
+/** Settings change while requests are open, in simulated time. */
 class RetunedTest {
     private static Settings with(int attempts, RequestClass... classes) {
         Settings s = Fleet.settings(false);
@@ -24,7 +24,7 @@
                 c.lateWorth(), c.stream());
     }
 
-    /** A safe request that became unsafe between two of its attempts is tried again: it came as a safe one. */
+    /** A request whose class became unsafe between two attempts is still retried, since its class was safe when it arrived. */
     @Test
     void anOpenRequestKeepsTheEffectItCameWith() {
         Fleet fleet = new Fleet(with(4, READ, ORDER), 7).with(3);
@@ -55,7 +55,7 @@
         assertEquals(1, fleet.host.take("refuse").size());
     }
 
-    /** What was held when its class was dropped is sent all the same. */
+    /** A request that was held when its class was removed is still sent. */
     @Test
     void aHeldRequestOfADroppedClassIsServed() {
         Fleet fleet = new Fleet(with(4, READ, ORDER), 7);
@@ -67,7 +67,10 @@
         assertNotEquals(null, fleet.sentTo());
     }
 
-    /** A file a second must not give a tenant its whole share anew each time: a second's worth of it would be free. */
+    /**
+     * A reload every second must not refill a tenant's quota each time, which would allow a second's quota in addition each
+     * second.
+     */
     @Test
     void aTenantsShareIsNotFullAgainWithEachFile() {
         Settings s = Fleet.settings(false, 1, List.of(new Tenant("acme", 10)), List.of(READ));
--- a/src/test/java/cinderhollow/policy/RulesTest.java
+++ b/src/test/java/cinderhollow/policy/RulesTest.java
@@ -27,7 +27,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** A seeded run of random legal events that holds every action against the four rules. */
+/** Checks every action against the four rules in a seeded run of random valid events. */
 class RulesTest {
     private static final long TICK = 5 * MS;
     private static final long LENGTH = 60 * SECOND;
@@ -39,7 +39,7 @@
 
     private record Send(String server, long at, int number, long until) { }
 
-    /** What the test knows of a request. */
+    /** The test's own record of a request. */
     private static final class Asked {
         final RequestClass kind;
         final long deadline;
@@ -58,7 +58,7 @@
         }
     }
 
-    /** A small world that delivers events and checks actions. */
+    /** A small simulation that delivers events and checks actions. */
     private static final class World {
         final SplittableRandom random;
         final Recorder host = new Recorder();
@@ -73,7 +73,7 @@
         int finals;
         long length = LENGTH;
 
-        /** What an operator has set for each class, or nothing. */
+        /** The operator's route policies by class; may be empty. */
         final Map<String, Course> courses;
 
         World(long seed) {
@@ -223,7 +223,10 @@
             }
         }
 
-        /** All that a cold server may get in the window, were each request worth a hundredth of a second of it. */
+        /**
+         * Checks that a cold server gets no more in the window than it may, if each request costs a hundredth of a second of its
+         * time.
+         */
         void checkCold() {
             coldSends.forEach((id, sends) -> {
                 sends.removeIf(at -> at < now - RULES.overloadForNanos());
@@ -245,7 +248,7 @@
         assertEquals(world.count, world.finals + world.asked.values().stream().filter(r -> !r.answered).count());
     }
 
-    /** Random files of an operator: whatever is accepted keeps the rules, through random outcomes. */
+    /** Random operator's files: whichever is accepted, the rules hold through random outcomes. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10})
     void noAcceptedFileLetsAnythingRunTwice(long seed) {
--- a/src/test/java/cinderhollow/policy/ThinTrafficTest.java
+++ b/src/test/java/cinderhollow/policy/ThinTrafficTest.java
@@ -13,7 +13,9 @@
 import java.util.stream.LongStream;
 import org.junit.jupiter.api.Test;
 
-/** Where each of many gateways meets a server about once a second: what is learnt must not be lost with each tick. */
+/**
+ * Sparse traffic, where each of many gateways sends a server about one request a second: what was learned must outlast a tick.
+ */
 class ThinTrafficTest {
     private static final int GATEWAYS = 14;
     private static final int SERVERS = 60;
@@ -28,7 +30,7 @@
                 * fleet.choice.ready().size();
     }
 
-    /** One answer a tick from each, too few to tell anything by itself: from one it takes four times as long. */
+    /** Each server gives one answer a tick, too few to show anything alone; one server takes four times as long. */
     @Test
     void aSlowServerLosesShareByWhatSeveralTicksTellTogether() {
         Fleet fleet = one(SERVERS);
@@ -47,7 +49,7 @@
         assertTrue(share(fleet, slow) < 0.3, "share " + share(fleet, slow));
     }
 
-    /** Shares do not move within a tick, but a server that was just slow is passed by, for some seconds. */
+    /** Shares do not change within a tick, but a server that was just slow is avoided for some seconds. */
     @Test
     void theLastAnswerSpeaksOfTheNextUntilItIsOld() {
         Fleet fleet = one(2);
@@ -63,7 +65,7 @@
         assertTrue(later > DRAWS / 3, "drawn " + later);
     }
 
-    /** How often it is drawn where nothing is learnt from it. */
+    /** Counts how often a server is drawn, with outcomes from which nothing is learned. */
     private static int drawn(Fleet fleet, String server) {
         int drawn = 0;
         for (int i = 0; i < DRAWS; i++) {
@@ -75,7 +77,7 @@
         return drawn;
     }
 
-    /** The whole fleet in made-up time, its nodes of two speeds, working on one request at a time. */
+    /** The whole fleet in simulated time, with nodes of two speeds that each work on one request at a time. */
     @Test
     void aBusyFleetOfManyGatewaysServesInTime() {
         double inTime = LongStream.rangeClosed(1, 4).mapToDouble(seed -> {
--- a/src/test/java/cinderhollow/policy/WeighedTest.java
+++ b/src/test/java/cinderhollow/policy/WeighedTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** A zone is left and comes back by a weight from outside; the module still picks each server. */
+/** A zone is left and returns by a weight set from outside; the module still chooses each server. */
 class WeighedTest {
     private static Fleet fleet(int servers) {
         Fleet fleet = new Fleet();
@@ -27,7 +27,7 @@
         return fleet;
     }
 
-    /** How many of a thousand requests go to each zone. */
+    /** Returns how many of a thousand requests go to each zone. */
     private static int[] served(Fleet fleet) {
         int[] zones = new int[3];
         for (int i = 0; i < 1_000; i++) {
@@ -39,7 +39,9 @@
         return zones;
     }
 
-    /** The own zone too: nothing goes to a zone of weight 0, and all requests are served; with 1 again all is as ever. */
+    /**
+     * Nothing goes to a zone of weight 0, be it the own one, and all requests are served; with weight 1 again all is as before.
+     */
     @ParameterizedTest
     @ValueSource(ints = {9, 300})
     void whatIsLeftGetsNothing(int servers) {
@@ -65,7 +67,7 @@
         served(fleet);
     }
 
-    /** One that comes into the list while its zone is left gets nothing either. */
+    /** A server that is listed while its zone is left gets nothing either. */
     @ParameterizedTest
     @ValueSource(ints = {9, 300})
     void aNewServerOfALeftZoneGetsNothing(int servers) {
@@ -75,7 +77,7 @@
         assertEquals(0, served(fleet)[1]);
     }
 
-    /** Servers that were held for doubtful while their zone was lost need no trials one by one when it is back. */
+    /** Servers that were suspect while their zone was lost need no single trials when the zone returns. */
     @ParameterizedTest
     @ValueSource(ints = {9, 300})
     void aZoneThatIsBackBeginsAnew(int servers) {
@@ -98,7 +100,7 @@
         assertTrue(served(fleet)[0] > 500, "its servers are still in doubt");
     }
 
-    /** What the fleet has seen a warm server bear is what a cold one's budget goes by. */
+    /** The budget of a cold server follows the rate that the fleet saw a warm server bear. */
     @ParameterizedTest
     @ValueSource(doubles = {20, 200})
     void aColdServerGetsWhatTheFleetSaysItBears(double perSecond) {
