--- a/src/main/java/cinderhollow/policy/Choice.java
+++ b/src/main/java/cinderhollow/policy/Choice.java
@@ -22,8 +22,8 @@
  * <p>The normal path is the paper's load shifting (section 4.1, Algorithm 1), which each gateway runs over its own attempts:
  * each server has a share, a server is drawn at random in proportion to its share, and a multiplicative step with
  * renormalisation updates the shares. The draw weight of a server is its share times a number of gates. A gate is a factor that
- * is 1 in normal operation and lower only under the condition that its method describes. Every send is checked by {@link
- * #maySend}, every refusal by {@link RetryRules#mayRefuse}. The class is single-threaded, reads no clock and takes all
+ * is 1 in normal operation and lower only under the condition that its method describes. Every send is checked by
+ * {@link #maySend}, every refusal by {@link RetryRules#mayRefuse}. The class is single-threaded, reads no clock and takes all
  * randomness from one seed.
  */
 public final class Choice {
--- a/src/main/java/cinderhollow/policy/State.java
+++ b/src/main/java/cinderhollow/policy/State.java
@@ -119,8 +119,8 @@
         }
 
         /**
-         * Returns the average at this time. Its distance from the rest value falls by a factor of e in each {@code
-         * timeConstantNanos}.
+         * Returns the average at this time. Its distance from the rest value falls by a factor of e in each
+         * {@code timeConstantNanos}.
          */
         double at(long now, double memory) {
             return value == rest ? rest : rest + (value - rest) * Math.exp((at - now) / memory);
