--- a/src/main/java/cinderhollow/policy/Choice.java
+++ b/src/main/java/cinderhollow/policy/Choice.java
@@ -27,53 +27,28 @@
  * randomness from one seed.
  */
 public final class Choice {
-    /**
-     * The paper's learning rate. The interval is a fifth of the paper's, so that unlike machines are told apart within seconds.
-     */
+    /** The paper's learning rate. Its interval is a fifth of the paper's, to tell unlike machines apart within seconds. */
     private static final double ETA = 0.2;
     private static final long TICK_NANOS = 1_000_000_000L;
-    /**
-     * One update halves a share at most, and no share falls below this fraction of the equal share, so that later updates can
-     * raise it again.
-     */
+    /** One update at most halves a share; none falls below this part of the equal share, so that updates can raise it again. */
     private static final double LEAST_FACTOR = 0.5, LEAST_SHARE = 0.05;
-    /**
-     * Weight of the prior mean, in samples, when a server's mean latency is estimated: latencies deviate by about as much as
-     * their mean.
-     */
+    /** Weight, in samples, of the prior of a server's mean latency: latencies deviate by about as much as their mean. */
     private static final double SHRINK_SAMPLES = 5;
     /** Factor by which the weight of samples decays with each tick: about five ticks count, which is the paper's interval. */
     private static final double KEPT = 0.8;
-    /**
-     * Weight of the newest latency sample in a server's recent latency, and the time constant with which that returns to 1: a
-     * queue lasts for seconds.
-     */
+    /** Weight of the newest sample in a server's recent latency; time constant of its return to 1: a queue lasts for seconds. */
     private static final double NEWEST = 0.65, QUEUE_NANOS = 8e9;
-    /**
-     * A relative latency up to the first value means that the server has no queue; beyond it the queue gate falls with this
-     * exponent. The last value bounds a single sample.
-     */
+    /** Greatest relative latency without a queue; exponent of the queue gate's fall beyond it; bound on a single sample. */
     private static final double NO_QUEUE = 0.5, STEEP = 5, MOST_RECENT = 4;
     /** Fraction of a class's aim that an answer should take. The rest is for holding the request, a retry and long work. */
     private static final double BUDGET_OF_AIM = 0.2;
-    /**
-     * An answer that takes longer than this fraction of the aim counts as late: before it, a retry still fits into what is left.
-     */
+    /** An answer that takes longer than this fraction of the aim is late: before it, a retry still fits into the rest. */
     private static final double PATIENCE_OF_AIM = 0.5;
-    /**
-     * An attempt in flight for longer than this fraction of its aim is taken as lost if an attempt sent later was answered: a
-     * retry may still be in time.
-     */
+    /** Fraction of its aim after which an attempt counts as lost if a later one was answered: a retry may still be in time. */
     private static final double OVERTAKEN_OF_AIM = 0.6;
-    /**
-     * Upper bound, as a fraction of the aim, of the time that a request is estimated to need, so that a fresh request is never
-     * taken to miss its aim.
-     */
+    /** Upper bound, as a fraction of the aim, on the estimated time of a request: a fresh one is never taken to miss its aim. */
     private static final double MOST_OF_AIM = 0.9;
-    /**
-     * Minimum of the in-flight limit of one server over all gateways (one request in work, one on its way, one waiting), and its
-     * initial value.
-     */
+    /** Least in-flight limit of a server over all gateways (a request in work, one on its way, one waiting); initial limit. */
     private static final double LEAST_IN_FLIGHT = 3, FIRST_IN_FLIGHT = 1;
     /** Standard deviations above its mean that a Poisson count rarely exceeds. */
     private static final double CHANCE_DEVIATIONS = 2;
@@ -90,17 +65,13 @@
     private static final long TRIAL_NANOS = 1_000_000_000L;
     /** Fraction of what the rule on cold servers allows that is used. The rest is for other gateways and long work. */
     private static final double COLD_SAFETY = 0.5;
-    /**
-     * Retry budget: tokens that each request adds, and the most that it holds. One retry for ten requests prevents a retry
-     * storm.
-     */
+    /** Retry budget: tokens that a request adds, and the most it holds. One retry for ten requests prevents a retry storm. */
     private static final double EXTRA_PER_REQUEST = 0.1, MOST_EXTRA = 10;
     /** Change of the pressure by a late answer and by one in time: it is in balance where two answers in five are late. */
     private static final double LATE_STEP = 0.045, IN_TIME_STEP = 0.03;
     /**
-     * Pressure from which on requests are shed; below it, pressure only opens the other zones. The second value is the minimum
-     * pressure of a fleet in one zone, which has no other zones to open; it is below 1 so that random variation alone sheds
-     * nothing.
+     * Pressure from which on requests are shed; below it, pressure only opens the other zones. Minimum pressure of a fleet in one
+     * zone, which has no others to open; below 1, so that random variation alone sheds nothing.
      */
     private static final double ZONES_OPEN = 1, CALM = 0.9;
     /** Minimum fraction of its share that a server of another zone gets, and minimum fraction of requests that is admitted. */
@@ -143,10 +114,7 @@
     private final TreeSet<Request> held = new TreeSet<>(Choice::worthier);
     private Map<String, Double> weights = Map.of();
     private double total = 1, bears, borne, lateness, warmRate, extra = MOST_EXTRA, pressure, leastPressure, bestValue;
-    /**
-     * Number of gateways that share each server, and number of overlapping processes of this gateway, which share its quotas and
-     * budgets.
-     */
+    /** Numbers of gateways that share each server and of this gateway's overlapping processes, sharing quotas and budgets. */
     private int sharers, processes = 1;
     private int inFlight, inDoubt, arrivals, refusals, servedWarm, failedAsks;
     private long now, tickStart, endsAt = Long.MAX_VALUE;
@@ -158,15 +126,9 @@
     private final Set<Server> warming = new LinkedHashSet<>();
     /** Number of servers that draws have examined so far; tests read it. */
     long looks;
-    /**
-     * In a large fleet, the servers that have or lately had attempts in flight; in any fleet, the servers that are or lately
-     * were suspect.
-     */
+    /** Servers that have or lately had attempts in flight (large fleets only); servers that are or lately were suspect. */
     private final Set<Server> busy = new LinkedHashSet<>(), suspects = new LinkedHashSet<>();
-    /**
-     * Sum of the effective in-flight limits of a large fleet. It is adjusted as limits move and added up anew with each update
-     * of the shares, which bounds rounding errors.
-     */
+    /** Sum of a large fleet's effective in-flight limits as they move; added up anew with the shares to bound rounding errors. */
     private double limits;
     /** The same sum as if every server were warm and its zone had the weight 1. */
     private double warmLimits;
@@ -174,16 +136,10 @@
     private long turns;
     /** Sum of the effective in-flight limits of the servers that the last scan examined. */
     private double walkedLimits;
-    /**
-     * Servers that have ended an attempt since a scan of the whole fleet found no server with room; null when there was no such
-     * scan.
-     */
+    /** Servers that ended an attempt since a scan of the whole fleet found no server with room; null without such a scan. */
     private Set<Server> freed;
     private final Set<Kind> roomless = new HashSet<>();
-    /**
-     * Whether servers with a reusable connection are preferred in this tick. Then {@link #shares} of a large fleet keeps them
-     * apart.
-     */
+    /** Whether a reusable connection is preferred in this tick; a large fleet's {@link #shares} then keeps such servers apart. */
     private boolean thin;
     private boolean started, sweeping;
 
@@ -209,10 +165,7 @@
         }
     }
 
-    /**
-     * Applies other settings. Open requests keep their old class. What was learned of a class is kept, also where its figures
-     * change.
-     */
+    /** Applies other settings. Open requests keep their class; what was learned of a class stays, even if its figures change. */
     private void retune(Settings next) {
         Map<String, Kind> before = new HashMap<>(kinds);
         sharers = sharers == settings.gateways() * processes ? next.gateways() * processes : sharers;
@@ -240,8 +193,7 @@
         if (!started) {
             started = true;
             tickStart = now;
-            // The first update has a random phase: otherwise all gateways would lower the share of the same slow server at the
-            // same instant.
+            // The first update's phase is random: otherwise all gateways would lower a slow server's share at the same instant.
             actions.setTimer((long) (TICK_NANOS * (1 - random.nextDouble())), STEP_TOKEN);
             if (settings.subscribe()) {
                 actions.subscribe();
@@ -285,9 +237,8 @@
     }
 
     /**
-     * Applies the weights of zones. The servers of a zone that returns to service are no longer suspect, since otherwise each
-     * would be tried one request at a time. Their cold budgets start at a random level, since otherwise the tokens that all
-     * gateways saved would be spent at once.
+     * Applies the weights of zones. Servers of a zone that returns to service are no longer suspect: otherwise each would be
+     * tried one request at a time. Their cold budgets start at random: otherwise all gateways would spend saved tokens at once.
      */
     private void weigh(Map<String, Double> byZone) {
         weights = byZone;
@@ -316,10 +267,7 @@
                 kinds.values().stream().map(k -> new Memory.OfClass(k.spec.name(), k.latency, k.calmest, k.served)).toList());
     }
 
-    /**
-     * Takes over what another process has learned. Entries that are invalid, or about a server that has restarted since, are
-     * dropped, since they would misdirect traffic.
-     */
+    /** Takes over what another process learned, but nothing invalid or of a restarted server: it would misdirect traffic. */
     private void recall(Memory m) {
         pressure = Math.max(leastPressure, Math.min(1 + ZONES_OPEN - LEAST_ADMITTED, m.pressure()));
         lateness = m.lateness();
@@ -367,9 +315,8 @@
             e.course().arrived(now);
             deadline = Math.min(deadline, now + e.course().totalNanos());
         }
-        // A client's retry whose aim passed during its first try is not to be served before fresh requests. Such a retry
-        // arrives with the rest of its deadline as its timeout, while first tries share one timeout; the difference gives the
-        // time of the first try.
+        // A client's retry whose aim passed in its first try is not to be served before fresh requests. It arrives with the rest
+        // of its deadline as its timeout, while first tries share one timeout: the difference is the first try's time.
         long firstAsked = now - kind.shorterBy(e.expiresInNanos());
         Request r = new Request(e.id(), kind, overShare(e.tenant()), e.course(), firstAsked, deadline, mostAttempts(e.course()));
         if (arriving) {
@@ -388,10 +335,7 @@
         sweepLater();
     }
 
-    /**
-     * Handles the end of a request's body: from now on the request has its time limits, and an attempt that was chosen meanwhile
-     * counts as in flight.
-     */
+    /** Handles the end of a request's body: its time limits start, and an attempt chosen meanwhile counts as in flight. */
     private void whole(Request r, long expiresInNanos) {
         r.arriving = false;
         r.arrivedAt = now;
@@ -405,9 +349,8 @@
     }
 
     /**
-     * Decides at random whether to shed a request for overload, least priority first: serving everything would answer nothing in
-     * time. Requests of the best priority are never shed here but held, and {@link #sweep} refuses what has been held for too
-     * long.
+     * Decides at random whether to shed for overload, least priority first: serving everything would answer nothing in time. The
+     * best priority is never shed here but held, and {@link #sweep} refuses what has been held for too long.
      */
     private boolean shed(Request r) {
         double rank = bestValue / Math.max(r.value, Double.MIN_NORMAL);
@@ -415,20 +358,14 @@
         return admitted < 1 && random.nextDouble() >= Math.pow(admitted, Math.max(0, rank - 1));
     }
 
-    /**
-     * Returns the priority of a request: the worth of its answer divided by the mean latency of its class. The worth is reduced
-     * beyond the tenant's quota and where the answer can only be late.
-     */
+    /** Returns the priority: worth (less beyond the tenant's quota or if sure to be late) divided by the class's mean latency. */
     private double value(Request r) {
         RequestClass c = r.kind.spec;
         double part = hopeless(r) ? c.lateWorth() : r.overShare ? settings.overShareWorth() : 1;
         return part * c.worth() / r.kind.latency;
     }
 
-    /**
-     * Updates the pressure. Many answers that take more than half their aim mean more load than the servers in use can serve in
-     * time.
-     */
+    /** Updates the pressure: many answers beyond half their aim mean more load than the servers in use can serve in time. */
     private void feel(Kind kind, Outcome outcome, long elapsedNanos) {
         boolean late = outcome != Outcome.SERVED || elapsedNanos > kind.spec.aimNanos() * PATIENCE_OF_AIM;
         pressure = Math.max(leastPressure, Math.min(1 + ZONES_OPEN - LEAST_ADMITTED,
@@ -448,10 +385,7 @@
         return a.value != b.value ? Double.compare(b.value, a.value) : Long.compare(b.turn, a.turn);
     }
 
-    /**
-     * Holds a request and dispatches. A request that finds no server and would expire before the next sweep is answered at once,
-     * since the sweep would be too late.
-     */
+    /** Holds a request and dispatches. One without a server that would expire before the next sweep is answered at once. */
     private void place(Request r) {
         r.turn = ++turns;
         held.add(r);
@@ -466,9 +400,8 @@
     }
 
     /**
-     * Returns whether a request would miss its aim even if it were sent now. The estimate is bounded by a fraction of the aim:
-     * otherwise a class whose mean latency once exceeded its aim would be shed for good, and no answer would show that it is
-     * fast again.
+     * Returns whether a request would miss its aim even if sent now. The estimate is bounded by a fraction of the aim: otherwise
+     * a class whose mean latency once exceeded its aim would be shed for good, as no answer would show it to be fast again.
      */
     private boolean hopeless(Request r) {
         double aim = r.kind.spec.aimNanos();
@@ -477,10 +410,9 @@
     }
 
     /**
-     * Sends held requests while a server has room, by descending priority. Among equals the newest goes first: otherwise only
-     * requests that are about to miss their aim would be sent in overload. A retry may find no server for a reason of its own
-     * (servers already tried, a pause, its dedup group) and is skipped: otherwise one such request would block all of lower
-     * priority until its own deadline while servers are idle.
+     * Sends held requests while a server has room, by descending priority, among equals the newest first: otherwise only those
+     * about to miss their aim would be sent in overload. A retry that finds no server for its own reasons (servers tried, a
+     * pause, its dedup group) is skipped: otherwise it would block all of lower priority until its deadline beside idle servers.
      */
     private void dispatch() {
         int passedOver = 0;
@@ -590,10 +522,7 @@
         return s.inFlight == 0 && s.answeredAt > 0 && now - s.answeredAt < settings.allowed().idleNanos() * KEPT_PART;
     }
 
-    /**
-     * Returns whether the attempts in flight reach the sum of the limits plus a margin for chance: one gateway's part of the
-     * traffic varies more, relatively, than the whole.
-     */
+    /** Returns if attempts in flight reach the limit sum plus a margin for chance: one gateway's part varies relatively more. */
     private boolean crowded() {
         double chance = CHANCE_DEVIATIONS * Math.sqrt(total) * (1 - 1.0 / sharers);
         return inFlight > 0 && inFlight >= total + chance;
@@ -608,10 +537,7 @@
         s.countedWarm = s.limit;
     }
 
-    /**
-     * Recomputes what depends on time, which in a large fleet are the limits of the servers in warm-up, and lets the next draw
-     * scan the whole fleet again.
-     */
+    /** Recomputes what depends on time (a large fleet's limits in warm-up) and lets the next draw scan the whole fleet again. */
     private void survey() {
         freed = null;
         roomless.clear();
@@ -619,10 +545,7 @@
         warming.removeIf(s -> coldGate(s) >= 1);
     }
 
-    /**
-     * Returns the gate of a server's zone. For other zones it is low while the own zone answers most requests within half their
-     * aim, since crossing zones would gain nothing.
-     */
+    /** Returns the zone's gate: low for others while the own answers most requests within half their aim: nothing to gain. */
     private double zoneGate(Server s) {
         return near(s) ? 1 : farGate();
     }
@@ -635,28 +558,21 @@
         return s.info.zone().equals(settings.zone());
     }
 
-    /**
-     * Returns a gate that falls to 0 where the attempts in flight reach the server's limit, which {@link #adapt} sets, so that
-     * no server is overloaded.
-     */
+    /** Returns a gate that falls to 0 at the server's limit of attempts in flight, set by {@link #adapt}: none is overloaded. */
     private double roomGate(Server s, double cold) {
         return Math.min(1, s.inFlight == 0 ? s.limit * ready.size() / total : s.limit * cold - s.inFlight);
     }
 
     /**
-     * Returns a gate that falls where the last answers took more than half of the usual time, so that requests are not sent
-     * behind a queue. Where each of many gateways meets a server about once a second, shares show a slow server only after many
-     * seconds, and its load is mostly what others sent; but a queue lasts for many requests, so the last answer predicts the
-     * next.
+     * Returns a gate that falls where the last answers took more than half of the usual time, so as not to send behind a queue.
+     * Where each of many gateways meets a server about once a second, shares show a slow server only after many seconds, and its
+     * load is mostly what others sent; but a queue lasts for many requests: the last answer predicts the next.
      */
     private double queueGate(Server s) {
         return Math.pow(Math.max(1, recent(s) + 1 - NO_QUEUE), -STEEP);
     }
 
-    /**
-     * Returns a gate that rises with the capacity of a server that has just started, assuming its slowest warm-up, so that the
-     * server is not overloaded.
-     */
+    /** Returns a gate that rises with the capacity of a just started server, at its slowest warm-up, to avoid overload. */
     private double coldGate(Server s) {
         return rules.warmth(s.info.startedAtNanos(), now);
     }
@@ -671,10 +587,9 @@
     }
 
     /**
-     * Returns 0 for a server that fails this class while it serves others, which hide that in its overall failure rate: a part
-     * of it is broken, its release can't do it, or a store behind it is gone. Only errors count, since they are explicit, while
-     * slowness and overload have other causes. It could do harm where the few servers that still serve a class can't bear all of
-     * it; where none serves it, all are tried.
+     * Returns 0 for a server that fails this class but serves others, which hide that in its overall failure rate: a part is
+     * broken, its release can't do it, or a store behind it is gone. Only errors count: they are explicit; slowness and overload
+     * have other causes. It could do harm where the few that still serve it can't bear all; where none does, all are tried.
      */
     private double classGate(Kind kind, Server s) {
         ClassHealth h = s.classes.get(kind);
@@ -685,10 +600,7 @@
         return h.errors.at(now, FAILURE_MEMORY_NANOS);
     }
 
-    /**
-     * Returns whether a server fails this class but not all of them. A server that fails all classes is covered by
-     * {@link #healthGate}.
-     */
+    /** Returns whether a server fails this class but not all of them; {@link #healthGate} covers one that fails all. */
     private boolean fails(Server s, Kind kind) {
         ClassHealth h = s.classes.get(kind);
         return h != null && errors(h) >= FAILS_CLASS && s.classes.values().stream().anyMatch(o -> errors(o) < FAILING);
@@ -707,10 +619,7 @@
         return s.silent || failures(s) >= FAILING;
     }
 
-    /**
-     * Returns whether a request may be sent to a server now. Every send is checked here: drains, retries, effects and the cold
-     * budget.
-     */
+    /** Returns whether a request may go to a server now. Every send is checked: drains, retries, effects, the cold budget. */
     private boolean maySend(Request r, Server s) {
         if (!s.ready || r.concluded || r.streaming || now >= r.deadline
                 || r.attempts.size() >= r.mostAttempts || r.outstanding > (r.copying ? 1 : 0) || coldBudget(s) < 1) {
@@ -785,10 +694,7 @@
         actions.setTimer(nanos, lastToken);
     }
 
-    /**
-     * Sends a hedge of a request whose attempt is slow, to a warm server that has room and has not had the request. Sends none
-     * if it could not be answered in time or if the first attempt has ended.
-     */
+    /** Sends a slow request's hedge to a warm, untried server with room, unless the first attempt ended or time is too short. */
     private void copy(Request r) {
         if (r.outstanding != 1 || r.streaming || now + r.kind.latency > r.deadline) {
             return;
@@ -849,10 +755,7 @@
         }
     }
 
-    /**
-     * Retries within the limits of the route policy, after a backoff with jitter. If the backoff would outlast the request's
-     * deadline, the request is answered at once.
-     */
+    /** Retries within the route policy's limits after a jittered backoff; if that outlasts the deadline, answers at once. */
     private void tryAgainOnItsCourse(Request r, Outcome outcome, boolean may) {
         long most = r.course.backoffNanos(r.attempts.size());
         long wait = most == 0 ? 0 : (long) (most * (1 + random.nextDouble()) / 2);
@@ -868,8 +771,7 @@
     private void finish(Request r) {
         if (RetryRules.mayRefuse(r)) {
             refusals++;
-            // Without a route policy there is no advice to wait: shedding is decided at random, so an immediate retry may be
-            // admitted.
+            // Without a route policy, no advice to wait: shedding is random, so an immediate retry may be admitted.
             actions.refuse(r.id, r.course == null ? 0 : r.course.adviceNanos());
         } else {
             actions.fail(r.id);
@@ -901,8 +803,7 @@
             if (served) {
                 a.request().course.served(elapsedNanos);
             }
-            // A short attempt timeout, or a hedge that was cancelled early, is neither a fast answer nor a sign of a bad
-            // server: it only shows that the answer takes longer than this.
+            // A short attempt timeout or early cancelled hedge is no fast answer or bad server: it only proves a longer latency.
             boolean givenUp = outcome == Outcome.TIMED_OUT || outcome == Outcome.CANCELLED;
             if (givenUp && elapsedNanos < Math.max(kind.latency, kind.spec.aimNanos() * PATIENCE_OF_AIM)) {
                 if (elapsedNanos > kind.latency) {
@@ -911,8 +812,7 @@
                 return;
             }
         }
-        // Latencies are relative to the class's mean: otherwise a server that got more requests of long or short classes would
-        // pass for slow or fast.
+        // Relative to the class's mean: otherwise a server that got more long or short requests would pass for slow or fast.
         hear(s, kind, outcome, elapsedNanos);
         if (served) {
             kind.took(elapsedNanos);
@@ -941,9 +841,8 @@
     }
 
     /**
-     * Records an attempt's latency relative to the mean of its class. That mean is taken as 1 ns at least, since a division by 0
-     * would leave a value that decaying samples never lose. For the queue gate, an error or a full server does not count as a
-     * fast answer, since the server would pass for one without a queue.
+     * Records an attempt's latency relative to its class's mean, which is 1 ns at least: decaying samples never lose the result
+     * of a division by 0. For the queue gate, an error or a full server is no fast answer: it would pass for one without a queue.
      */
     private void hear(Server s, Kind kind, Outcome outcome, long elapsedNanos) {
         double latency = elapsedNanos / Math.max(1, kind.latency);
@@ -974,9 +873,8 @@
     }
 
     /**
-     * Adjusts a server's in-flight limit by the ratio of latencies to their budget; where its answers are rare, mostly by that
-     * of the fleet. The limit rises only while it is used and the gateway is at its limit: limits that rise unused in calm times
-     * would overload the remaining servers when a zone is lost.
+     * Adjusts a server's in-flight limit by latency / budget; where its answers are rare, mostly by the fleet's. It rises only
+     * while it is used and the gateway is at its limit: risen unused in calm times, it would overload the rest if a zone is lost.
      */
     private void adapt(Server s, double late) {
         s.lateness += HEALTH_RATE * (late - s.lateness);
@@ -1029,10 +927,7 @@
         dispatch();
     }
 
-    /**
-     * Marks a server as silent when attempts are overdue and none was answered since they were sent, before their timeouts
-     * expire.
-     */
+    /** Marks a server as silent when attempts are overdue and none was answered since they were sent, before they time out. */
     private void listen(Server s) {
         int overdue = 0;
         double slowness = Math.max(1, lateness);
@@ -1079,10 +974,7 @@
         return warmRate() * TICK_NANOS < SECOND_NANOS;
     }
 
-    /**
-     * Updates the shares once a tick.
-     * Algorithm 1: D_j *= 1 + eta F_j |l_mean - l_j| / l_mean, where F_j |l_mean - l_j| = l_mean - l_j.
-     */
+    /** Updates shares each tick. Algorithm 1: D_j *= 1 + eta F_j |l_mean - l_j| / l_mean, F_j |l_mean - l_j| = l_mean - l_j. */
     private void step() {
         actions.setTimer(TICK_NANOS, STEP_TOKEN); // Set first, so that a fault below does not end all updates.
         alike.values().forEach(Pool::clear);
@@ -1115,8 +1007,7 @@
             actions.log("refused " + refusals + " requests in this tick, " + arrivals + " arrived");
         }
         warmRate = Math.max(warmRate * 0.95, warmRate());
-        // Divided by the number of warm servers only: where most servers are lost, the load of the others is not what one
-        // server bears, and would overload the cold ones.
+        // Per warm server only: where most are lost, the load of the rest is not what one bears, and would overload cold ones.
         long warm = ready.stream().filter(s -> coldGate(s) >= 1).count();
         borne = Math.max(borne * 0.95, servedWarm / Math.max(1.0, warm));
         arrivals = refusals = servedWarm = 0;
@@ -1150,10 +1041,7 @@
         survey();
     }
 
-    /**
-     * Updates in {@link #shares} whether a server has a reusable connection. Called whenever its attempts in flight or its last
-     * answer change.
-     */
+    /** Updates in {@link #shares} if a server's connection is reusable; called when attempts in flight or last answer change. */
     private void mark(Server s) {
         if (s.slot >= 0) {
             shares.keep(s, thin && isKept(s));
@@ -1205,8 +1093,7 @@
             servers.values().forEach(s -> s.ready = false);
         }
         double mean = ready.stream().mapToDouble(s -> s.share).average().orElse(1);
-        // New servers start with the average limit: with the initial one, replacing all servers one by one would hold back all
-        // traffic.
+        // New servers get the average limit: with the initial one, replacing all servers in turn would hold back all traffic.
         double first = Math.max(FIRST_IN_FLIGHT / sharers,
                 ready.stream().mapToDouble(s -> s.limit).average().orElse(0));
         e.servers().forEach(info -> update(info, mean, first));
