--- a/src/main/java/cinderhollow/core/AcceptErrorHandler.java
+++ b/src/main/java/cinderhollow/core/AcceptErrorHandler.java
@@ -7,29 +7,33 @@
 import java.util.function.Consumer;
 
 /**
- * The handler of a listener whose accepts fail for a moment (ECONNABORTED, ENFILE, EMFILE, ENOBUFS): it goes on after a short
- * pause. Netty's own acceptor would take nobody in for a second, and tell of an exception that nobody handled.
+ * Netty handler of a listening channel for transient accept errors (ECONNABORTED, ENFILE, EMFILE, ENOBUFS): it stops accepting
+ * for a short pause and then resumes. Netty's own acceptor would accept no connection for a second, and log an unhandled
+ * exception.
  */
 @Sharable
 public final class AcceptErrorHandler extends ChannelInboundHandlerAdapter {
-    /** Long enough not to spin while descriptors are out, short against any answer's time. */
+    /** Long enough not to spin while file descriptors are exhausted, short compared with the time of any answer. */
     private static final long PAUSE_MILLIS = 10;
 
     private final Consumer<Boolean> accepting;
     private long errors;
     private boolean paused;
 
-    /** Stops and starts accepting by this, on the listener's event loop. */
+    /**
+     * Creates a handler that calls {@code acceptingSwitch} on the listener's event loop, with false to stop accepting and with
+     * true to resume it.
+     */
     public AcceptErrorHandler(Consumer<Boolean> accepting) {
         this.accepting = accepting;
     }
 
-    /** Turns the listener's reading off and on, for listeners that accept at any time. */
+    /** Creates a handler that switches the channel's auto-read off and on; for listeners that otherwise always accept. */
     public AcceptErrorHandler() {
         this(null);
     }
 
-    /** How many accepts have failed so far. */
+    /** Returns how many accepts have failed so far. */
     public long errors() {
         return errors;
     }
--- a/src/main/java/cinderhollow/core/Dials.java
+++ b/src/main/java/cinderhollow/core/Dials.java
@@ -5,16 +5,16 @@
 import io.netty.channel.EventLoop;
 
 /**
- * What a connection attempt of Netty's leaves to its caller. Where the system gives no socket (ENFILE, ENOBUFS), the future's
- * channel is one that was never registered: its close future is never completed, closing it throws, and the future's listeners
- * are told on another thread.
+ * Helpers for the futures of Netty connects, which handle a connect for which the operating system gave no socket (ENFILE,
+ * ENOBUFS). The future's channel was then never registered with an event loop: its close future is never completed, closing it
+ * throws an exception, and the future's listeners are called on another thread.
  */
 public final class Dials {
     private Dials() { }
 
     /**
-     * Runs the action on the loop once the connection attempt's channel has ended, also where there never was one. The loop's
-     * tasks of the end itself run first. May run it twice.
+     * Runs the action on the event loop once the connecting channel has closed, also if it failed for lack of a socket. Tasks
+     * that the event loop already has for the closing itself run first. The action may be run twice.
      */
     public static void onEnd(ChannelFuture dial, EventLoop loop, Runnable action) {
         dial.channel().closeFuture().addListener(closed -> loop.execute(action));
@@ -25,7 +25,7 @@
         });
     }
 
-    /** Closes a channel, unless it never was one. */
+    /** Closes the channel if it is open. A channel that never had a socket is left alone: closing it would throw an exception. */
     public static void close(Channel channel) {
         if (channel.isOpen()) {
             channel.close();
--- a/src/main/java/cinderhollow/core/EventLoopLag.java
+++ b/src/main/java/cinderhollow/core/EventLoopLag.java
@@ -3,22 +3,24 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * How late an event loop is, from a beat that should come at known times: how old what it knows of its sockets may be, and when
- * what it reads may have come. A process that gets no core for a while, or is stopped, acts on what it knew before, and takes
- * what has lain unread since for new. Without input or output and without a clock: told the time, on the loop's thread. All
- * times are nanoseconds of one clock.
+ * Measures how late an event loop is, by a periodic timer task (the tick) that is due at known times. From it follow how old the
+ * loop's knowledge of its sockets may be, and since when input that is read now may have been waiting. A process that gets no CPU
+ * for a while, or is stopped, otherwise acts on outdated knowledge, and takes input that has been waiting unread for new. Does no
+ * input or output and reads no clock: the time is a parameter. Used on the event loop's thread only. All times are nanoseconds of
+ * one clock.
  *
- * <p>Between two beats the loop looks at all of its sockets at least once, and what stands behind the bytes that one look reads
- * (the end of a connection, mostly) is read by the next look. So whatever reached a socket three beats ago has been read by now.
+ * <p>Between two ticks the event loop polls all of its sockets at least once. Whatever follows the bytes that one poll reads
+ * (mostly the end of a connection) is read by the next poll. So whatever reached a socket before the third last tick has been
+ * read.
  */
 public final class EventLoopLag {
-    /** How far apart the beats are: what was read may have waited for so long unseen. */
+    /** Time between two ticks; input may have been waiting in a socket for as long before it is read. */
     public static final long BEAT_NANOS = TimeUnit.MILLISECONDS.toNanos(20);
-    /** A beat that is no later than this is on time: timers are coarse, and each task ahead takes a moment. */
+    /** A tick that is late by no more than this is on time: timers are coarse, and each task before it takes some time. */
     private static final long ON_TIME_NANOS = TimeUnit.MILLISECONDS.toNanos(10);
-    /** What was seen counts half after so long. */
+    /** Half-life of the decaying peak lag. */
     private static final double HALF_NANOS = TimeUnit.SECONDS.toNanos(3);
-    /** Three beats that are on time lie within this. */
+    /** Three ticks that are on time lie within this time; if the third last tick is older, the known socket state is stale. */
     private static final long FRESH_NANOS = 3 * BEAT_NANOS + 2 * ON_TIME_NANOS;
     private static final long NEVER = Long.MIN_VALUE / 2;
 
@@ -29,12 +31,12 @@
     private double latest;
     private long latestAt;
 
-    /** The next beat is due at this time. */
+    /** Sets when the next tick is due. */
     public void expect(long at) {
         due = at;
     }
 
-    /** The beat that was due has come now; how late it is. */
+    /** Records that the due tick has come now, and returns how late it is. */
     public long beat(long now) {
         thirdBeat = secondBeat;
         secondBeat = newestBeat;
@@ -48,8 +50,8 @@
     }
 
     /**
-     * The longest lateness of the last seconds, which counts half after three: for who has to doubt what it sees while it is late
-     * itself.
+     * Returns the largest lag of the last seconds, which decays with a half-life of 3 s. It is for code that must not trust its
+     * own observations while the event loop itself is late.
      */
     public long recent(long now) {
         return (long) latest(now);
@@ -60,9 +62,9 @@
     }
 
     /**
-     * The earliest time at which what is read now may have come: now itself while the beats are on time. The loop may run the
-     * overdue beat before it looks at its sockets again (a wait that was interrupted ends so), and what it reads behind such a beat
-     * has waited as long as what it reads before it.
+     * Returns the earliest time at which input that is read now may have arrived: {@code now} while the ticks are on time.
+     * The event loop may run an overdue tick before it polls its sockets again (it does so after an interrupted wait). Input that
+     * is read after such a tick may therefore have been waiting as long as input that is read before it.
      */
     public long earliestArrival(long now) {
         boolean newestWasLate = secondBeat != NEVER && newestBeat - secondBeat > BEAT_NANOS + ON_TIME_NANOS;
@@ -74,14 +76,14 @@
     }
 
     /**
-     * The same of what is read on a connection that was accepted now: it may have stood in the backlog, with bytes on it, since
-     * before a time in which the loop was late.
+     * Returns the same for input that is read on a connection that has just been accepted: it may have been waiting in the
+     * listener's backlog, with bytes received, since before a time in which the event loop was late.
      */
     public long earliestArrivalOnNewConnection(long now) {
         return isStale(now) && thirdBeat != NEVER ? thirdBeat : earliestArrival(now);
     }
 
-    /** Whether the sockets were looked at so long ago that a connection's end may lie there unread. */
+    /** Returns whether the sockets were polled so long ago that the end of a connection may be waiting there unread. */
     public boolean isStale(long now) {
         return now - thirdBeat > FRESH_NANOS;
     }
--- a/src/main/java/cinderhollow/core/LagAwareTimers.java
+++ b/src/main/java/cinderhollow/core/LagAwareTimers.java
@@ -5,16 +5,20 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Timers of one event loop for what is given up because something did not come. The loop runs all tasks that are due before it
- * looks at its sockets again, so that after a time without a core the first it does is to give up what lies there and has only
- * not been read. A timer that comes late therefore waits for one more look.
+ * Timeouts of one event loop. The loop runs all tasks that are due before it polls its sockets again; after a time without CPU it
+ * would first time out operations whose input has already arrived and has only not been read. A timer that fires late
+ * therefore runs its task only after the loop has polled its sockets once more.
  */
 public record LagAwareTimers(EventLoop loop, GatewayClock clock) {
-    /** Later than this nothing but a busy loop makes a timer, in nanoseconds. */
+    /** A timer that fires later than this, in nanoseconds, is late because the event loop was busy or the process had no CPU. */
     private static final long LATE_NANOS = TimeUnit.MILLISECONDS.toNanos(10);
+    /** The event loop polls its sockets at least once before a task with this delay runs. */
     private static final long LOOK_MILLIS = 1;
 
-    /** Runs the task on the loop after so many nanoseconds; a task that is past cancelling runs on after a cancel. */
+    /**
+     * Runs the task on the event loop after this many nanoseconds. Cancelling the result has no effect once the timer has fired,
+     * also if the task still waits for the next poll.
+     */
     public ScheduledFuture<?> in(long nanos, Runnable task) {
         long due = clock.nanos() + nanos;
         return loop.schedule(() -> {
@@ -26,7 +30,7 @@
         }, nanos, TimeUnit.NANOSECONDS);
     }
 
-    /** Runs the task once the sockets have been looked at. */
+    /** Runs the task after the event loop has polled its sockets once more. */
     public void afterALook(Runnable task) {
         loop.schedule(task, LOOK_MILLIS, TimeUnit.MILLISECONDS);
     }
--- a/src/main/java/cinderhollow/core/RequestCounters.java
+++ b/src/main/java/cinderhollow/core/RequestCounters.java
@@ -1,6 +1,6 @@
 package cinderhollow.core;
 
-/** What became of the requests of one class, counted where it happens; of one event loop's thread. */
+/** Counts the final answers and the attempts of the requests of one class. Used by the thread of one event loop only. */
 public final class RequestCounters {
     private static final int SERVED = 200, UNAVAILABLE = 503, TOO_MANY = 429;
 
@@ -9,7 +9,7 @@
     private long faulted;
     private long relayed;
 
-    /** A request's one final answer has gone out with this status. */
+    /** Counts the final answer of a request, which was sent with this HTTP status. */
     public void answered(int status) {
         if (status == SERVED) {
             fulfilled++;
@@ -20,24 +20,31 @@
         }
     }
 
-    /** An answer that had begun could not be ended. */
+    /** Counts an answer that had begun and could not be completed as a failed request. */
     public void brokenOff() {
         faulted++;
     }
 
-    /** An attempt's last byte was written to a host. */
+    /** Counts an attempt whose last byte was written to a server. */
     public void relayed() {
         relayed++;
     }
 
-    /** What it has counted by now. */
+    /** Returns the current counts. */
     public Counts counts() {
         return new Counts(fulfilled, throttled, faulted, relayed);
     }
 
-    /** Requests served, refused and failed, and attempts written whole. */
+    /**
+     * A copy of the counts.
+     *
+     * @param fulfilled requests served (status 200)
+     * @param throttled requests refused (status 503 or 429)
+     * @param faulted requests failed: any other status, or an answer that could not be completed
+     * @param relayed attempts written completely
+     */
     public record Counts(long fulfilled, long throttled, long faulted, long relayed) {
-        /** Both together. */
+        /** Returns the sum of both counts. */
         public Counts plus(Counts other) {
             return new Counts(fulfilled + other.fulfilled, throttled + other.throttled, faulted + other.faulted,
                     relayed + other.relayed);
--- a/src/main/java/cinderhollow/core/Transport.java
+++ b/src/main/java/cinderhollow/core/Transport.java
@@ -9,14 +9,19 @@
 import io.netty.channel.socket.nio.NioServerSocketChannel;
 import io.netty.channel.socket.nio.NioSocketChannel;
 
-/** The kind of sockets that a gateway uses on all its sides. */
+/**
+ * The kind of sockets that a gateway uses for all its connections.
+ *
+ * @param server Netty class of listening channels
+ * @param client Netty class of connecting channels
+ */
 public record Transport(Class<? extends ServerChannel> server, Class<? extends Channel> client) {
-    /** Sockets of the network. */
+    /** TCP sockets. */
     public static final Transport TCP = new Transport(NioServerSocketChannel.class, NioSocketChannel.class);
 
-    /** Sockets in the file system, which nothing outside this machine can reach. */
+    /** Unix domain sockets, which can't be reached from outside this machine. */
     public static final Transport FILES = new Transport(NioServerDomainSocketChannel.class, NioDomainSocketChannel.class);
 
-    /** Queues within this process, for which no kernel is asked; on the event loop of such channels alone. */
+    /** Netty's local channels: queues within this process, without system calls. They need an event loop of their own kind. */
     public static final Transport PROCESS = new Transport(LocalServerChannel.class, LocalChannel.class);
 }
--- a/src/main/java/cinderhollow/core/package-info.java
+++ b/src/main/java/cinderhollow/core/package-info.java
@@ -1,2 +1,2 @@
-/** What all socket code shares and no protocol owns: the clock, the kinds of sockets, JSON values. */
+/** Code that all networking packages share and that belongs to no protocol: the clock, kinds of sockets, timers, JSON values. */
 package cinderhollow.core;
--- a/src/main/java/cinderhollow/lifecycle/AttemptLifecycle.java
+++ b/src/main/java/cinderhollow/lifecycle/AttemptLifecycle.java
@@ -1,24 +1,29 @@
 package cinderhollow.lifecycle;
 
-/** The state machine of one attempt. */
+/**
+ * The state machine of one attempt, which is one sending of a request to one server. Not thread-safe.
+ */
 public final class AttemptLifecycle {
     private final String request;
     private final TransitionMonitor monitor;
     private AttemptState state = AttemptState.WAITING;
     private boolean lastByteTaken;
 
-    /** A new attempt of the request with this id. */
+    /** Creates an attempt of the request with this id, in state {@code WAITING}; the monitor records forbidden transitions. */
     public AttemptLifecycle(String request, TransitionMonitor monitor) {
         this.request = request;
         this.monitor = monitor;
     }
 
-    /** Its state now. */
+    /** Returns the current state. */
     public AttemptState state() {
         return state;
     }
 
-    /** Goes over to this state; what the table forbids is reported, and leaves the state as it is. */
+    /**
+     * Changes to the state and returns true. A transition that {@link AttemptState} does not allow is reported to the monitor;
+     * then the state stays as it is, and the result is false.
+     */
     public boolean become(AttemptState next) {
         if (!state.mayBecome(next)) {
             monitor.forbidden("an attempt of request " + request, state, next);
@@ -29,17 +34,17 @@
         return true;
     }
 
-    /** Whether its outcome is known. */
+    /** Returns whether the attempt has ended: its outcome is known, or nobody waits for it any more. */
     public boolean isEnded() {
         return state == AttemptState.ENDED;
     }
 
-    /** Whether bytes of it have been handed to its connection. */
+    /** Returns whether bytes of the attempt have been passed to its connection; false again once the attempt has ended. */
     public boolean hasBegun() {
         return state == AttemptState.WRITING || state == AttemptState.WRITTEN;
     }
 
-    /** Whether the system took its last byte before it ended: then the server may have run it. */
+    /** Returns whether the operating system accepted the last byte before the attempt ended: the server may have run it. */
     public boolean mayHaveRun() {
         return lastByteTaken;
     }
--- a/src/main/java/cinderhollow/lifecycle/AttemptState.java
+++ b/src/main/java/cinderhollow/lifecycle/AttemptState.java
@@ -5,15 +5,15 @@
 import java.util.Map;
 import java.util.Set;
 
-/** The states of one attempt to have a request served by one server. */
+/** The states of one attempt, which is one sending of a request to one server, and the transitions between them. */
 public enum AttemptState {
-    /** It waits for a connection; no byte of it has been written. */
+    /** The attempt waits for a connection; no byte of it has been written. */
     WAITING,
-    /** Its first byte has been handed to the connection, its last byte has not been taken by the system. */
+    /** The first byte has been passed to the connection; the operating system has not yet accepted the last byte. */
     WRITING,
-    /** The system has taken its last byte: the server may run it. */
+    /** The operating system has accepted the last byte: the server may run the request. */
     WRITTEN,
-    /** Its outcome is known, or nobody waits for it any more. */
+    /** The outcome of the attempt is known, or nobody waits for it any more. */
     ENDED;
 
     private static final Map<AttemptState, Set<AttemptState>> NEXT = new EnumMap<>(Map.of(
@@ -22,7 +22,7 @@
             WRITTEN, EnumSet.of(ENDED),
             ENDED, EnumSet.noneOf(AttemptState.class)));
 
-    /** Whether the state may follow this one. */
+    /** Returns whether a transition from this state to {@code next} is allowed. */
     public boolean mayBecome(AttemptState next) {
         return NEXT.get(this).contains(next);
     }
--- a/src/main/java/cinderhollow/lifecycle/RequestLifecycle.java
+++ b/src/main/java/cinderhollow/lifecycle/RequestLifecycle.java
@@ -2,22 +2,25 @@
 
 import java.util.function.BooleanSupplier;
 
-/** The state machine of one request: which state it is in, and whether an attempt of it may be sent. Times are nanoseconds. */
+/**
+ * The state machine of one client request: its state, its deadline, and whether an attempt of it may be sent. Times are
+ * nanoseconds of one clock. Not thread-safe.
+ */
 public final class RequestLifecycle {
     private final String id;
     private final TransitionMonitor monitor;
     private RequestState state;
-    /** When the client stops waiting; not known while its body is on the way. */
+    /** When the client stops waiting; {@link Long#MAX_VALUE} while the body is being received, as it is not known until then. */
     private long deadline = Long.MAX_VALUE;
 
-    /** A request that has come whole, and whose client waits until the deadline. */
+    /** Creates the state machine of a completely received request whose client waits until the deadline. */
     public static RequestLifecycle pending(String id, long deadline, TransitionMonitor monitor) {
         RequestLifecycle lifecycle = new RequestLifecycle(id, RequestState.PENDING, monitor);
         lifecycle.deadline = deadline;
         return lifecycle;
     }
 
-    /** A request whose body is on the way. */
+    /** Creates the state machine of a request whose body is still being received. */
     public static RequestLifecycle receiving(String id, TransitionMonitor monitor) {
         return new RequestLifecycle(id, RequestState.RECEIVING, monitor);
     }
@@ -28,24 +31,27 @@
         this.monitor = monitor;
     }
 
-    /** Its state now. */
+    /** Returns the current state. */
     public RequestState state() {
         return state;
     }
 
-    /** When the client stops waiting, or {@link Long#MAX_VALUE} where that is not known yet. */
+    /** Returns when the client stops waiting, or {@link Long#MAX_VALUE} if that is not known yet. */
     public long deadline() {
         return deadline;
     }
 
-    /** Its body has come whole, and its client waits until the deadline from now on. */
+    /** Records that the whole body has been received, and that the client waits until this deadline. */
     public void received(long newDeadline) {
         if (become(RequestState.PENDING)) {
             deadline = newDeadline;
         }
     }
 
-    /** Goes over to this state; what the table forbids is reported, and leaves the state as it is. */
+    /**
+     * Changes to the state and returns true. A transition that {@link RequestState} does not allow is reported to the monitor;
+     * then the state stays as it is, and the result is false.
+     */
     public boolean become(RequestState next) {
         if (!state.mayBecome(next)) {
             monitor.forbidden("request " + id, state, next);
@@ -56,9 +62,9 @@
     }
 
     /**
-     * Whether an attempt may begin now. {@code clientPresent} looks at the client's connection, {@code serverAvailable} at what
-     * discovery has told of the server; they are asked last, as a look may cost a system call. What is withheld is counted and
-     * logged.
+     * Returns whether the first byte of an attempt may be written now. {@code clientPresent} checks whether the client's
+     * connection is still open, {@code serverAvailable} whether the server takes new requests according to discovery; both are
+     * called last, as a check may cost a system call. An attempt that is not sent is counted and logged by the monitor.
      */
     public SendDecision decideSend(long now, BooleanSupplier clientPresent, BooleanSupplier serverAvailable) {
         SendDecision decision = !state.isUnanswered() ? SendDecision.REQUEST_OVER
--- a/src/main/java/cinderhollow/lifecycle/RequestState.java
+++ b/src/main/java/cinderhollow/lifecycle/RequestState.java
@@ -5,17 +5,17 @@
 import java.util.Map;
 import java.util.Set;
 
-/** The states of one client's request in the gateway. */
+/** The states of one client request in the gateway, and the transitions between them. */
 public enum RequestState {
-    /** Its head has been read, and its body is on the way. */
+    /** The request's head has been read; its body is being received. */
     RECEIVING,
-    /** It has come whole, and is owed its final answer. */
+    /** The request has been received completely; its final answer has not begun. */
     PENDING,
-    /** The final answer has begun and is forwarded as it comes. */
+    /** The final answer has begun and is forwarded as it is received from the server. */
     RESPONDING,
-    /** The final answer has been handed to the client's connection, whole or broken off. */
+    /** The final answer has been passed to the client's connection, completely or cut short. */
     COMPLETED,
-    /** The client left before its answer was whole. */
+    /** The client closed its connection, or the connection broke, before the answer was complete. */
     ABANDONED;
 
     private static final Map<RequestState, Set<RequestState>> NEXT = new EnumMap<>(Map.of(
@@ -25,12 +25,12 @@
             COMPLETED, EnumSet.noneOf(RequestState.class),
             ABANDONED, EnumSet.noneOf(RequestState.class)));
 
-    /** Whether the state may follow this one. */
+    /** Returns whether a transition from this state to {@code next} is allowed. */
     public boolean mayBecome(RequestState next) {
         return NEXT.get(this).contains(next);
     }
 
-    /** Whether the request still lacks its final answer. */
+    /** Returns whether the final answer of the request has not begun yet. */
     public boolean isUnanswered() {
         return this == RECEIVING || this == PENDING;
     }
--- a/src/main/java/cinderhollow/lifecycle/SampledLog.java
+++ b/src/main/java/cinderhollow/lifecycle/SampledLog.java
@@ -4,8 +4,8 @@
 import java.util.function.Supplier;
 
 /**
- * Log lines of one kind: the first ones, and from then on each hundredth, so that the log does not grow with the traffic. Of one
- * event loop.
+ * Logs a sample of the log lines of one kind: the first 20, and from then on every hundredth, so that the log does not grow with
+ * the traffic. Used by the thread of one event loop only.
  */
 public final class SampledLog {
     private static final long LOGGED_EACH = 20;
@@ -14,12 +14,12 @@
     private final Consumer<String> log;
     private long count;
 
-    /** Logs to this. */
+    /** Creates a log that passes its lines to {@code log}. */
     public SampledLog(Consumer<String> log) {
         this.log = log;
     }
 
-    /** Counts one occurrence; its line is made only where it is logged. */
+    /** Counts one occurrence and logs it if it belongs to the sample; only then is the line built. */
     public void add(Supplier<String> line) {
         count++;
         if (count <= LOGGED_EACH || count % LOGGED_SELDOM == 0) {
@@ -27,7 +27,7 @@
         }
     }
 
-    /** Occurrences so far, logged or not. */
+    /** Returns the number of occurrences so far, logged or not. */
     public long count() {
         return count;
     }
--- a/src/main/java/cinderhollow/lifecycle/SendDecision.java
+++ b/src/main/java/cinderhollow/lifecycle/SendDecision.java
@@ -1,15 +1,16 @@
 package cinderhollow.lifecycle;
 
-/** Whether the first byte of an attempt may be written now, or why not. */
+/** Whether the first byte of an attempt may be written now, and if not, why. */
 public enum SendDecision {
+    /** The attempt may be sent. */
     SEND("may be sent"),
-    /** The request has its final answer already. */
+    /** The final answer of the request has begun or is complete, or the request has been abandoned. */
     REQUEST_OVER("the request is over"),
-    /** The client has closed its connection, or its connection broke. */
+    /** The client has closed its connection, or the connection broke. */
     CLIENT_GONE("the client has left"),
-    /** The server drains, is gone, or has started anew since the attempt was started. */
+    /** The server is draining, is gone, or has restarted since the attempt was started. */
     SERVER_UNAVAILABLE("the server takes nothing new"),
-    /** Nothing is left of the time for which the client waits. */
+    /** The client no longer waits: the deadline of the request has passed. */
     DEADLINE_PASSED("the deadline has passed");
 
     private final String reason;
@@ -18,7 +19,7 @@
         this.reason = reason;
     }
 
-    /** The reason in words, for logs. */
+    /** Returns the reason in words, for log lines. */
     public String reason() {
         return reason;
     }
--- a/src/main/java/cinderhollow/lifecycle/TransitionMonitor.java
+++ b/src/main/java/cinderhollow/lifecycle/TransitionMonitor.java
@@ -4,9 +4,12 @@
 import java.util.Map;
 import java.util.function.Consumer;
 
-/** Counts and logs what the state machines forbid, what was withheld, and what could not connect. Of one event loop. */
+/**
+ * Counts and logs forbidden state transitions, attempts that were not sent, and connections that could not be opened. Used by the
+ * thread of one event loop only.
+ */
 public final class TransitionMonitor {
-    /** Set in tests, where a forbidden transition has to fail. */
+    /** System property that makes a forbidden transition throw an exception; set in tests. */
     public static final String STRICT_PROPERTY = "cinderhollow.strict";
     private static final boolean STRICT = Boolean.getBoolean(STRICT_PROPERTY);
 
@@ -14,7 +17,7 @@
     private final SampledLog forbidden;
     private final SampledLog connectFailures;
 
-    /** Logs to this. */
+    /** Creates a monitor that passes its log lines, sampled by {@link SampledLog}, to {@code log}. */
     public TransitionMonitor(Consumer<String> log) {
         forbidden = new SampledLog(log);
         connectFailures = new SampledLog(log);
@@ -23,7 +26,7 @@
         }
     }
 
-    /** A transition that the table does not have; {@code subject} names the request or the attempt. */
+    /** Records a transition that the table of states does not allow; {@code subject} names the request or the attempt. */
     void forbidden(String subject, Enum<?> from, Enum<?> to) {
         String line = "forbidden transition of " + subject + ": " + from + " to " + to;
         forbidden.add(() -> line);
@@ -32,22 +35,22 @@
         }
     }
 
-    /** An attempt that is not sent, and why. */
+    /** Records that an attempt of the request with this id is not sent, and why. */
     void withheld(String request, SendDecision decision) {
-        withheld.get(decision).add(() -> "attempt of request " + request + " is not sent: " + decision.reason());
+        withheld.get(decision).add(() -> "attempt of request " + request + " not sent: " + decision.reason());
     }
 
-    /** No connection to this server came up, for this cause, so that what waited for it was not sent. */
+    /** Records that no connection to this server could be opened, so that the attempts waiting for one were not sent. */
     public void connectFailed(String server, Throwable cause) {
         connectFailures.add(() -> "can't connect to server " + server + ": " + cause);
     }
 
-    /** How many transitions were asked for that the tables forbid. */
+    /** Returns how many forbidden transitions were requested so far. */
     public long forbidden() {
         return forbidden.count();
     }
 
-    /** How many attempts were withheld for this reason. */
+    /** Returns how many attempts were not sent for this reason so far. */
     public long withheld(SendDecision decision) {
         return withheld.get(decision).count();
     }
--- a/src/main/java/cinderhollow/lifecycle/package-info.java
+++ b/src/main/java/cinderhollow/lifecycle/package-info.java
@@ -1,6 +1,7 @@
 /**
- * What may happen to a request and to its attempts now: their states, the transitions between them, and whether an attempt may be
- * sent. Every path that sends, repeats, answers or abandons asks here. No input or output, no clock; a transition that the tables
- * forbid is counted and logged, and is an error where the system property {@code cinderhollow.strict} is set.
+ * State machines of requests and attempts: their states, the allowed transitions, and whether an attempt may be sent now. All
+ * code that sends, retries, answers or abandons a request goes through them. The package does no input or output and reads no
+ * clock. A transition that the tables do not allow is counted and logged; it also throws an exception if the system property
+ * {@code cinderhollow.strict} is set.
  */
 package cinderhollow.lifecycle;
--- a/src/main/java/cinderhollow/membership/Discovery.java
+++ b/src/main/java/cinderhollow/membership/Discovery.java
@@ -38,32 +38,37 @@
 import java.util.function.Consumer;
 
 /**
- * The watch on the list of hosts. Each {@link #watch} ends as one {@link Listener#failed}, sooner or later;
- * when to watch again is the module's decision.
+ * Watches discovery's list of endpoints: an HTTP call whose answer stays open and brings the list and then its changes. Each
+ * watch that {@link #watch} opens ends with one call of {@link Listener#failed}, unless {@link #close} or {@link #moveTo} ends
+ * it; the decision module decides when to watch again. Used on its event loop only.
  */
 public final class Discovery {
-    /** Told on the event loop, never from within {@link #watch}. */
+    /** Receives the lists; called on the event loop, never from within {@link #watch}. */
     public interface Listener {
-        /** The list, or changes to it, has come. */
+        /** Called when the list, or changes to it, have been received. */
         void listed(EndpointList list);
 
-        /** The watch has ended. */
+        /** Called when the watch has ended, or could not be opened. */
         void failed();
     }
 
     /**
-     * An empty line comes every two seconds. Guards against a watch whose far side vanished: nothing ends
-     * such a connection, and what it would have told counts as told after six seconds. By then a second watch has to have
-     * told it, also where a dial hangs first.
+     * Read timeout of a watch. Discovery sends an empty line every 2 s. If the other side vanishes, nothing closes the
+     * connection, so a watch without any data for this long is ended. A change counts as known to the gateway 6 s after it was
+     * made; by then a second watch must have received it, even if its connect hangs first.
      */
     public static final long SILENCE_MILLIS = 3_500;
+    /** The connect timeout, and the number of characters above which a list is parsed off the event loop. */
     private static final int DIAL_MILLIS = 1_500, LONG_LINE = 1 << 16;
     /**
-     * A call waits its turn for two seconds at the most, and is answered by then. Guards against a second silence right behind
-     * the first, which would be noticed too late for what counts as told.
+     * Timeout until the answer begins. Discovery queues a call for at most 2 s and then answers it. A second watch that gets no
+     * answer, right after the first one fell silent, would be noticed too late by {@link #SILENCE_MILLIS} for the limit of 6 s.
      */
     private static final long ANSWER_MILLIS = 2_500;
-    /** The longest list: a longer one, or one without an end, breaks the watch. That of a large fleet has 100,000 hosts. */
+    /**
+     * Size limits of a list in bytes, for usual fleets and for large ones of up to 100,000 servers. A longer list, or one that
+     * never ends, ends the watch.
+     */
     public static final int USUAL_LINE = 1 << 20, LARGE_LINE = 1 << 24;
 
     private final EventLoop loop;
@@ -75,12 +80,17 @@
     private SocketAddress address;
     private long index;
     private Channel watch;
-    /** Why this side ended the watch, or null. */
+    /** Why this side ended the watch; null if it did not. */
     private String endedFor;
-    /** The reason that was logged last, until a list comes: one outage is told once and not with each call. */
+    /** The reason that was logged last, cleared by the next list, so that an outage is logged once and not for each call. */
     private String lastReason;
 
-    /** Follows what changes after the version {@code index}; a watch that is silent for so long is broken. */
+    /**
+     * Creates a watch that is not open yet. It follows the changes after the list version {@code index}.
+     *
+     * @param silenceMillis a watch without any data for this long is ended
+     * @param longestLine size limit of a list in bytes
+     */
     public Discovery(EventLoop loop, Transport transport, SocketAddress address, long index, long silenceMillis,
               int longestLine, Listener listener, Consumer<String> log) {
         this.loop = loop;
@@ -94,21 +104,21 @@
     }
 
     /**
-     * Goes over to another address at once, without a word to the listener: the list that it has still holds,
-     * and what the new address tells comes on top. Its version may be lower, as that of any answer.
-     * A watch that is open at that address already stays: a call costs discovery as much as one gateway more.
+     * Switches to another address of discovery at once. The listener is not called: the list that it has stays valid, and what
+     * the new address sends is applied to it. The version there may be lower, as that of any answer may be. A watch that is
+     * already open at that address stays open, as a call costs discovery as much as one more gateway does.
      */
     public void moveTo(SocketAddress next) {
         if (next.equals(address) && watch != null) {
             return;
         }
-        log.accept("discovery: moves from " + address + " to " + next);
+        log.accept("discovery: switching from " + address + " to " + next);
         address = next;
         close();
         watch();
     }
 
-    /** Opens the watch; one that is open, or on its way, stays the only one. */
+    /** Opens a watch, unless one is open or is being opened. */
     public void watch() {
         if (watch != null) {
             return;
@@ -126,18 +136,18 @@
                 }).connect(address);
         watch = dial.channel();
         endedFor = null;
-        // The close future, unlike the end of a handler, is also told of a dial that failed.
+        // The close future, unlike a handler's channelInactive, also completes if the connect failed.
         Dials.onEnd(dial, loop, () -> ended(dial));
     }
 
-    /** Reads what the watch has told and nobody has read yet. */
+    /** Reads at once what has arrived on the watch's socket, without waiting for the event loop's next poll. */
     public void readNow() {
         if (watch != null) {
             SocketReads.now(watch);
         }
     }
 
-    /** Ends the watch without a word to the listener. */
+    /** Closes the watch without calling the listener. */
     public void close() {
         Channel old = watch;
         watch = null;
@@ -163,11 +173,11 @@
 
     private void logList(EndpointList list) {
         lastReason = null;
-        log.accept("discovery: version " + list.index() + (list.snapshot() ? " whole, " : " changes, ") + list.endpoints().size()
+        log.accept("discovery: version " + list.index() + (list.snapshot() ? " full, " : " changes, ") + list.endpoints().size()
                 + " endpoints");
     }
 
-    /** Ends the watch, for a reason that is logged. */
+    /** Closes the connection; if it is that of the current watch, the reason is logged when the watch has ended. */
     private void endFor(ChannelHandlerContext ctx, String reason) {
         if (ctx.channel() == watch && endedFor == null) {
             endedFor = reason;
@@ -175,9 +185,9 @@
         ctx.close();
     }
 
-    /** Lets through the bytes of a 200 answer, and ends the connection on any other and after the last. */
+    /** Passes on the body of an answer with status 200; closes the connection after its end, and on any other answer. */
     private final class BodyBytes extends SimpleChannelInboundHandler<HttpObject> {
-        /** Until the answer has begun. */
+        /** The timeout until the answer begins; removed from the pipeline when it has begun. */
         private final ReadTimeoutHandler unanswered;
 
         BodyBytes(ReadTimeoutHandler unanswered) {
@@ -187,11 +197,11 @@
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, HttpObject part) {
             if (part.decoderResult().isFailure()) {
-                endFor(ctx, "an answer that can't be read: " + part.decoderResult().cause());
+                endFor(ctx, "malformed HTTP answer: " + part.decoderResult().cause());
                 return;
             }
             if (part instanceof HttpResponse head && !head.status().equals(HttpResponseStatus.OK)) {
-                endFor(ctx, "answered " + head.status().code());
+                endFor(ctx, "unexpected HTTP status " + head.status().code());
                 return;
             }
             if (part instanceof HttpResponse) {
@@ -201,12 +211,12 @@
                 ctx.fireChannelRead(content.content().retain());
             }
             if (part instanceof LastHttpContent) {
-                endFor(ctx, "its answer is over");
+                endFor(ctx, "discovery ended its answer");
             }
         }
     }
 
-    /** Cuts what comes where an object ends: usually one stands on each line, but they may come indented, over many. */
+    /** Splits the body into JSON objects: usually there is one on each line, but an object may be indented over many lines. */
     private static final class Objects extends JsonObjectDecoder {
         Objects(int longest) {
             super(longest);
@@ -217,18 +227,22 @@
         }
     }
 
-    /** Asks, and reads the answer list by list. */
+    /** Sends the call and reads the answer list by list. */
     private final class Lists extends ChannelInboundHandlerAdapter {
         private final Objects objects;
-        /** Lists that have come whole so far. */
+        /** Number of complete lists received so far. */
         private long told;
+        /** Whether a check for a list that stalls is scheduled. */
         private boolean watched;
 
         Lists(Objects objects) {
             this.objects = objects;
         }
 
-        /** Guards against a list that trickles in and never ends: each byte of it would pass for a sign of life. */
+        /**
+         * Schedules a check that ends the watch if a list is not complete within the read timeout. The read timeout alone would
+         * never end a watch whose list arrives byte by byte without an end, as each byte restarts it.
+         */
         @Override
         public void channelReadComplete(ChannelHandlerContext ctx) {
             if (objects.isAmidst() && !watched) {
@@ -237,7 +251,7 @@
                 ctx.executor().schedule(() -> {
                     watched = false;
                     if (told == before && objects.isAmidst()) {
-                        endFor(ctx, "a list that does not come whole");
+                        endFor(ctx, "a list was not complete within the read timeout");
                     }
                 }, silenceMillis, TimeUnit.MILLISECONDS);
             }
@@ -252,7 +266,7 @@
             ctx.writeAndFlush(ask);
         }
 
-        /** Lists that wait for a long one before them to be read. */
+        /** Lists received that wait until a long one before them has been parsed. */
         private final ArrayDeque<String> waiting = new ArrayDeque<>();
         private boolean reading;
 
@@ -275,7 +289,7 @@
             while (!reading && !waiting.isEmpty()) {
                 String line = waiting.poll();
                 if (line.length() > LONG_LINE) {
-                    // Guards against a stall: ten thousand hosts take the parser tens of milliseconds.
+                    // Off the event loop, which would stall: a list of 10,000 servers takes tens of milliseconds to parse.
                     reading = true;
                     GlobalEventExecutor.INSTANCE.execute(() -> {
                         EndpointList list = read(line);
@@ -291,21 +305,21 @@
             }
         }
 
-        /** Null where it can't be read. */
+        /** Parses one list; returns null if it is malformed. */
         private EndpointList read(String line) {
             try {
                 return EndpointList.read(Json.read(line));
             } catch (IOException | RuntimeException e) {
-                // Whatever it is: on the other thread nobody else would notice, and the watch would wait for ever.
+                // Any runtime exception too: on the other thread nothing else would catch it, and the watch would wait for ever.
                 return null;
             }
         }
 
         private void listed(ChannelHandlerContext ctx, EndpointList list) {
             if (list == null) {
-                // A change that can't be read leaves a gap: the next watch brings it again.
+                // A malformed list leaves a gap in the changes; the next watch starts before it and receives them again.
                 waiting.clear();
-                endFor(ctx, "a list that can't be read");
+                endFor(ctx, "malformed list");
             } else if (ctx.channel() == watch) {
                 index = list.index();
                 logList(list);
@@ -315,7 +329,7 @@
 
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            endFor(ctx, cause instanceof ReadTimeoutException ? "silent for too long" : cause.toString());
+            endFor(ctx, cause instanceof ReadTimeoutException ? "no data within the read timeout" : cause.toString());
         }
     }
 }
--- a/src/main/java/cinderhollow/membership/ListChanges.java
+++ b/src/main/java/cinderhollow/membership/ListChanges.java
@@ -14,28 +14,29 @@
 import java.util.Set;
 
 /**
- * What a gateway of a large fleet is told of the list: changes alone, also where discovery tells the list whole; and where
- * there is a subset, only of its nodes. A list is looked at piece by piece and comes out in portions, each asked for by
- * {@link #next}, so that whoever asks can do other work between two. Without input or output.
+ * Turns the lists that discovery sends into the changes since the last one, also if discovery sends a snapshot of all endpoints.
+ * Used by gateways of large fleets; if there is a {@link Subset}, only changes of its servers are returned. Each call of
+ * {@link #next} compares one piece of a list and returns one portion of changes, so that the event loop can do other work between
+ * two calls. Does no input or output.
  */
 public final class ListChanges {
-    /** So many in one portion: a fraction of a millisecond of the loop. */
+    /** Size limit of a piece or portion in endpoints; it takes the event loop a fraction of a millisecond. */
     private static final int PORTION = 256;
 
     private final Map<String, Endpoint> known = new HashMap<>();
     private final Subset subset;
-    /** Those told to drain, whose end is still to be told. */
+    /** Ids of servers that were reported as draining and whose removal is still to be reported. */
     private final Set<String> draining = new HashSet<>();
-    /** What is to be looked at, and what has come of it and is to be told, first things first. */
+    /** The steps of the comparison that are still to be run, and the portions that are ready to be returned, both in order. */
     private final ArrayDeque<Runnable> pieces = new ArrayDeque<>();
     private final ArrayDeque<EndpointList> ready = new ArrayDeque<>();
 
-    /** Of an empty list; {@code subset} may be null. */
+    /** Creates an empty list; {@code subset} is null if the gateway uses all servers. */
     public ListChanges(Subset subset) {
         this.subset = subset;
     }
 
-    /** Takes in a list; {@link #next} looks at it, after those that were told before. */
+    /** Queues a list; {@link #next} compares it after those that were added before. */
     public void tell(EndpointList list) {
         for (int i = 0; i < list.endpoints().size(); i += PORTION) {
             List<Endpoint> piece = list.endpoints().subList(i, Math.min(list.endpoints().size(), i + PORTION));
@@ -46,12 +47,12 @@
         }
     }
 
-    /** Whether {@link #next} has something to look at or to tell. */
+    /** Returns whether {@link #next} has something left to compare or to return. */
     public boolean waits() {
         return !ready.isEmpty() || !pieces.isEmpty();
     }
 
-    /** The next portion, or null where the piece that was looked at tells nothing new. */
+    /** Returns the next portion of changes, after comparing one more piece if none is ready; null if it has no changes. */
     public EndpointList next() {
         if (ready.isEmpty() && !pieces.isEmpty()) {
             pieces.poll().run();
@@ -59,7 +60,7 @@
         return ready.poll();
     }
 
-    /** All that waits at once, for who has no other work yet. */
+    /** Returns all remaining portions at once, for a caller that has no other work yet. */
     public List<EndpointList> rest() {
         List<EndpointList> all = new ArrayList<>();
         while (waits()) {
@@ -82,7 +83,7 @@
         comeTo(index, changed);
     }
 
-    /** What a list told whole no longer names is gone. */
+    /** Removes the endpoints that a snapshot no longer lists. */
     private void toldOnly(EndpointList list) {
         Set<String> named = new HashSet<>(2 * list.endpoints().size());
         list.endpoints().forEach(endpoint -> named.add(endpoint.info().id()));
@@ -101,12 +102,15 @@
         makeReady(index, subset == null ? List.copyOf(changed.values()) : ofSubset(changed));
     }
 
-    /** How an attempt at a member ended, or a request that none could take. */
+    /**
+     * Records how an attempt at a server of the subset ended; a request that no server of the subset could take counts as failed.
+     * Only with a subset.
+     */
     public void ended(boolean well) {
         subset.ended(well);
     }
 
-    /** Widens or narrows the subset where it is time; what this comes to is told in its turn. */
+    /** Widens or narrows the subset if that is due, and queues the resulting changes. Only with a subset. */
     public void tick(long now) {
         List<Endpoint> moved = new ArrayList<>();
         for (Subset.Move move : subset.tick(now)) {
@@ -116,20 +120,20 @@
         makeReady(0, moved);
     }
 
-    /** Whether there is a subset. */
+    /** Returns whether the gateway uses a subset of the servers. */
     public boolean ofSubset() {
         return subset != null;
     }
 
-    /** How many gateways share each node; with a subset alone. */
+    /** Returns how many gateways use each server. Only with a subset. */
     public int sharers() {
         return subset.sharers();
     }
 
-    /** The nodes that are used and those that are known, and how wide the subset is. */
+    /** Returns a log text: how many of the known servers are used, and how much the subset is widened. Only with a subset. */
     public String summary() {
-        return subset.size() + " of " + known.size() + " nodes" + (subset.width() > 1
-                ? ", " + subset.width() + " times as wide as usual" : "");
+        return subset.size() + " of " + known.size() + " servers" + (subset.width() > 1
+                ? ", " + subset.width() + " times the usual width" : "");
     }
 
     private List<Endpoint> ofSubset(Map<String, Endpoint> changed) {
@@ -148,7 +152,7 @@
             String id = move.node();
             Endpoint endpoint = changed.containsKey(id) ? changed.get(id) : known.get(id);
             moved.add(id);
-            // One that drains is told as it is: it keeps what it has in work.
+            // A draining server is reported as draining, not as gone: it completes the requests that it has.
             out.add(move.enters() || others.contains(id) ? endpoint : gone(endpoint));
             keep(draining, id, !move.enters() && others.contains(id) && !endpoint.gone());
         }
@@ -176,7 +180,10 @@
                 i.startedAtNanos()), null);
     }
 
-    /** A piece's portions come before all that the next pieces come to: a later word must not be overtaken. */
+    /**
+     * Splits changes into portions and queues them. Those of one piece precede those of all later pieces, so that an older state
+     * of a server never follows a newer one.
+     */
     private void makeReady(long index, List<Endpoint> endpoints) {
         for (int i = 0; i < endpoints.size(); i += PORTION) {
             ready.add(new EndpointList(index, false, endpoints.subList(i, Math.min(endpoints.size(), i + PORTION))));
--- a/src/main/java/cinderhollow/membership/StartTimes.java
+++ b/src/main/java/cinderhollow/membership/StartTimes.java
@@ -9,29 +9,32 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Converts the times at which servers started from discovery's clock to the gateway's, whose wall clock may have been stepped
- * before this process set its own by it. A server can't have started in the future, nor long before the last list, which did not
- * name that start: either tells how far the clocks are apart, and the server counts as started just now. Without this a clock that
- * runs ahead takes each cold server for a warm one, and one that is behind takes it for cold until its clock has caught up. No
- * input or output; all times are nanoseconds of the gateway's clock.
+ * Converts the start times of servers from discovery's clock to the gateway's. The two differ if the machine's wall clock was
+ * stepped before this process set its own clock by it. A server can't have started in the future, nor long before the last list
+ * if that did not contain this start. In both cases the difference of the clocks follows from the start time, and the server
+ * counts as started just now. Without this a gateway whose clock is ahead takes every cold server for a warm one, and a gateway
+ * whose clock is behind takes a server for cold until its own clock has caught up. Does no input or output; all times are
+ * nanoseconds of the gateway's clock unless stated otherwise.
  */
 public final class StartTimes {
-    /** Clocks of one site agree to this without being stepped. */
+    /** Clocks of one site differ by no more than this unless one has been stepped. */
     private static final long AGREED_NANOS = TimeUnit.SECONDS.toNanos(1);
-    /** Lists come late by seconds; a start that is unheard of for longer was told by another clock. */
+    /** Lists are delayed by seconds at most; a start that was not listed for longer than this comes from a clock that differs. */
     private static final long LATEST_LIST_NANOS = TimeUnit.SECONDS.toNanos(60);
+    /** Limits the memory; a full map is cleared, and fills again with the next starts. */
     private static final int MOST_KNOWN = 100_000;
 
-    /** A start as discovery told it, and when it was by the gateway's clock. */
+    /** The start of a server by discovery's clock and by the gateway's clock. */
     private record Start(long told, long at) { }
 
     private final Map<String, Start> known = new HashMap<>();
-    /** How far discovery's clock is ahead. */
+    /** How far discovery's clock is ahead of the gateway's; negative if it is behind. */
     private long offset;
+    /** Whether a list that is not a cached one has been converted. */
     private boolean listed;
     private long listedAt;
 
-    /** The same list with starts by the gateway's clock; it was received at this time. */
+    /** Returns the list with start times by the gateway's clock; {@code now} is when the list was received. */
     public EndpointList convert(EndpointList list, long now) {
         boolean changed = false;
         List<Endpoint> endpoints = new ArrayList<>(list.endpoints().size());
@@ -47,14 +50,17 @@
         return changed ? new EndpointList(list.index(), list.snapshot(), endpoints) : list;
     }
 
-    /** Takes in a list that was told at some earlier time: it tells of starts, and not that others are new. */
+    /**
+     * Converts a list that was received at some earlier time, such as by the process before. Its starts become known, but a start
+     * that it does not contain is not taken for a new one.
+     */
     public EndpointList convertCached(EndpointList list, long now) {
         EndpointList converted = convert(list, now);
         listed = false;
         return converted;
     }
 
-    /** How far discovery's clock seems to be ahead of the gateway's. */
+    /** Returns by how many nanoseconds discovery's clock seems to be ahead of the gateway's. */
     public long offset() {
         return offset;
     }
--- a/src/main/java/cinderhollow/membership/Subset.java
+++ b/src/main/java/cinderhollow/membership/Subset.java
@@ -8,38 +8,39 @@
 import java.util.TreeMap;
 
 /**
- * Which nodes of a large fleet one of many gateways keeps to. Each node picks its gateways, by rendezvous (Thaler and
- * Ravishankar, "Using name-based mappings to increase hit rates", 1998) over the gateways of each zone; so every node
- * has the same number of gateways but for one, and a node or gateway that comes or goes moves no more than its own
- * picks. Equal in all gateways without a word between them: it needs the list, the counts of gateways and nothing else.
- * Without input or output, on one thread, with the time told.
+ * Selects the servers of a large fleet that one of many gateways uses. Each server picks its gateways by rendezvous hashing
+ * (Thaler and Ravishankar, "Using name-based mappings to increase hit rates", 1998) over the gateways of each zone. So the
+ * numbers of gateways of any two servers differ by one at most, and a server or gateway that is added or removed changes no more
+ * than its own picks. All gateways compute the same picks without communication: they need only the list of servers and the
+ * numbers of gateways. Does no input or output and reads no clock: the time is a parameter. Not thread-safe.
  */
 public final class Subset {
-    /** So many gateways a node at the least: then one more than the mean's whole part is at most 1.25 times the mean. */
+    /** Minimum number of gateways per server: from 4 on, one more than the mean's whole part is at most 1.25 times the mean. */
     private static final double LEAST_PICKS = 4;
-    /** The part of a subset in the gateway's own zone, where there are others: the rest bears the zone's loss. */
+    /** Fraction of a server's picks in its own zone, if there are other zones; the rest remains when a zone is lost. */
     private static final double OWN_PART = 0.5;
-    /** How many picks there are moves in such steps: guards against all nodes picking anew with each that comes. */
+    /** The picks per server are rounded to powers of this, so that not all servers pick anew whenever a server is added. */
     private static final double STEP = 1.05;
-    /** Neighbours that are so many more or fewer for their nodes than elsewhere count as equally many. */
+    /** A zone has enough gateways for its servers if its gateways per server are at least those of the fleet divided by this. */
     private static final double EQUALLY_CROWDED = 1.25;
-    /** A window of one second is bad with so many failed attempts, and more of these than of the others. */
+    /** A window of 1 s is bad if it has at least {@code MIN_FAILED_ATTEMPTS}, and more failed than successful attempts. */
     private static final long WINDOW_NANOS = 1_000_000_000L;
     private static final int LEAST_FAILED = 10;
+    /** Up to this fraction of failed attempts a window is healthy; a subset widens or narrows by this factor. */
     private static final double CALM_PART = 0.1, WIDER = 2;
-    /** So long without trouble until a widened subset narrows by a step, doubled each time that this was too soon. */
+    /** A widened subset narrows by a step after this healthy time, which doubles, up to the maximum, if that was too early. */
     private static final long CALM_NANOS = 30 * WINDOW_NANOS, LONGEST_CALM_NANOS = 20 * CALM_NANOS;
 
     /**
-     * A gateway's place in the fleet.
+     * A gateway's position in the fleet.
      *
-     * @param size how many nodes a gateway keeps to, about
-     * @param gateways how many there are, by zone; one entry of any name where zones are not told
-     * @param zone the gateway's own
-     * @param number its number within its zone, from 0
+     * @param size approximate number of servers that a gateway uses
+     * @param gateways number of gateways by zone; a single entry of any name if there are no zones
+     * @param zone the gateway's own zone
+     * @param number the gateway's number within its zone, from 0
      */
     public record Place(int size, Map<String, Integer> gateways, String zone, int number) {
-        /** Checks that the place is one. */
+        /** Checks the position; throws an {@link IllegalArgumentException} if there is no such gateway or the size is below 1. */
         public Place {
             gateways = Map.copyOf(gateways);
             Integer here = gateways.get(zone);
@@ -50,15 +51,22 @@
         }
     }
 
-    /** A node that enters the subset or leaves it. */
+    /**
+     * A server that enters or leaves the subset.
+     *
+     * @param node id of the server
+     * @param enters whether it enters; otherwise it leaves
+     */
     public record Move(String node, boolean enters) { }
 
+    /** A usable server of the fleet. */
     private static final class Node {
         private final String zone;
-        /** How many gateways of the own zone the node would rather have. */
+        /** Number of gateways of this gateway's zone that the server prefers to this gateway. */
         private final int rank;
-        /** Where the node's picks are rounded up. */
+        /** Offset in [0, 1) by which the server's picks are rounded to whole numbers. */
         private final double rounding;
+        /** Whether the server is in the subset. */
         private boolean in;
 
         Node(String zone, int rank, double rounding) {
@@ -68,8 +76,14 @@
         }
     }
 
-    /** Of a zone's nodes: how many gateways of the zones before the own one pick each, and with the own one. */
+    /**
+     * The picks of each server of one zone, not rounded, added up over the gateways' zones in their order.
+     *
+     * @param before the sum before this gateway's zone
+     * @param with the sum including this gateway's zone
+     */
     private record Picks(double before, double with) {
+        /** Returns how many gateways of this gateway's zone a server with this rounding offset picks. */
         int of(double rounding) {
             return (int) (Math.floor(with + rounding) - Math.floor(before + rounding));
         }
@@ -89,14 +103,19 @@
     private long calmSince;
     private long calmNanos = CALM_NANOS;
 
-    /** The subset of the gateway in this place, without nodes yet. */
+    /** Creates the empty subset of the gateway in this position. */
     public Subset(Place place) {
         this.place = place;
         gateways = new TreeMap<>(place.gateways);
         allGateways = gateways.values().stream().mapToInt(Integer::intValue).sum();
     }
 
-    /** Nodes that may be used, by zone, and others that may not be any more; what enters and leaves through it. */
+    /**
+     * Updates the servers of the fleet and returns which ones enter and leave the subset.
+     *
+     * @param usable zones by server id of servers that may be used; those known before and not named stay
+     * @param gone ids of servers that may not be used any more
+     */
     public List<Move> update(Map<String, String> usable, Collection<String> gone) {
         List<Move> moves = new ArrayList<>();
         gone.forEach(id -> remove(id, moves));
@@ -118,7 +137,7 @@
         return moves;
     }
 
-    /** How an attempt at a member ended, or a request that none could take. */
+    /** Records how an attempt at a server of the subset ended; a request that no server of it could take counts as failed. */
     public void ended(boolean well) {
         if (well) {
             others++;
@@ -128,9 +147,10 @@
     }
 
     /**
-     * Judges the last second; what enters or leaves through it. Guards against a subset whose nodes fail while the rest
-     * of the fleet is sound. It could do harm where the whole fleet fails, by connections to all of it; these come one
-     * by one, as requests do, and go when idle.
+     * Evaluates the window of 1 s if it is over, and returns which servers enter and leave the subset. A subset whose servers
+     * fail is widened, as the rest of the fleet may be healthy; a widened one is narrowed again after a healthy time. If the
+     * whole fleet fails, widening leads to connections to all servers; the harm is limited, as these are opened one by one,
+     * when requests need them, and closed when idle.
      */
     public List<Move> tick(long now) {
         if (now < windowEnds) {
@@ -139,7 +159,7 @@
         List<Move> moves = new ArrayList<>();
         boolean bad = failed >= LEAST_FAILED && failed > others;
         if (bad && members < nodes.size()) {
-            // Narrowed too soon, if it had been: more patience the next time.
+            // If the subset had been narrowed, that was too early: waits longer the next time.
             calmNanos = width == 1 && calmSince > 0 ? Math.min(LONGEST_CALM_NANOS, 2 * calmNanos) : calmNanos;
             width *= WIDER;
             fill(moves);
@@ -155,18 +175,18 @@
         return moves;
     }
 
-    /** Whether the node is in it. */
+    /** Returns whether the server is in the subset. */
     public boolean has(String id) {
         Node node = nodes.get(id);
         return node != null && node.in;
     }
 
-    /** How many nodes it has now. */
+    /** Returns the number of servers in the subset. */
     public int size() {
         return members;
     }
 
-    /** How much wider it is than in calm times; 1 in these. */
+    /** Returns the factor by which the subset is widened; 1 if it is not. */
     public double width() {
         return width;
     }
@@ -198,7 +218,7 @@
         return mix(seed ^ mix(hash(zone) + number));
     }
 
-    /** 64 bits of FNV-1a (Fowler, Noll, Vo) over the characters. */
+    /** Returns the 64-bit FNV-1a hash (Fowler, Noll, Vo) of the characters. */
     private static long hash(String text) {
         long hash = 0xcbf29ce484222325L;
         for (int i = 0; i < text.length(); i++) {
@@ -207,7 +227,7 @@
         return hash;
     }
 
-    /** The finisher of SplitMix64 (Steele, Lea, Flood, 2014). */
+    /** Mixes the bits by the finalizer of SplitMix64 (Steele, Lea, Flood, 2014). */
     private static long mix(long bits) {
         long z = bits + 0x9e3779b97f4a7c15L;
         z = (z ^ z >>> 30) * 0xbf58476d1ce4e5b9L;
@@ -226,7 +246,7 @@
         return Math.min(allGateways, Math.max(LEAST_PICKS, each));
     }
 
-    /** How many gateways each node picks, which its in-flight limits go by. */
+    /** Returns how many gateways each server picks, rounded to a whole number; its in-flight limits are derived from this. */
     public int sharers() {
         return (int) Math.round(each());
     }
@@ -235,14 +255,14 @@
         return Math.pow(STEP, Math.rint(Math.log(value) / Math.log(STEP)));
     }
 
-    /** Each node of the zone picks {@code each} gateways: about half of them its neighbours, the rest from elsewhere. */
+    /** Returns the pick range of a zone's servers, which pick about half of their gateways in that zone, the rest elsewhere. */
     private Picks picks(String zone, int n, int all, double each) {
         double near = 0;
         int neighbours = gateways.getOrDefault(zone, 0);
         if (neighbours == allGateways) {
             near = each;
         } else if (neighbours > 0) {
-            // Neighbours that are few for so many nodes would have too many each.
+            // If the zone has few gateways for its servers, each of them would otherwise get too many servers.
             double crowd = (double) neighbours / n * all / allGateways;
             double part = crowd * EQUALLY_CROWDED >= 1 ? OWN_PART : OWN_PART * stepped(crowd);
             near = Math.min(neighbours, each * part);
@@ -259,7 +279,7 @@
         throw new IllegalStateException("no gateways in zone " + place.zone);
     }
 
-    /** Settles all nodes; wider where the subset would be much too small. */
+    /** Decides for every server whether it is selected; widens the subset while it is smaller than half of its intended size. */
     private void fill(List<Move> moves) {
         nodes.forEach((id, node) -> settle(id, node, moves));
         while (2 * members < Math.min(place.size, nodes.size())) {
--- a/src/main/java/cinderhollow/membership/package-info.java
+++ b/src/main/java/cinderhollow/membership/package-info.java
@@ -1,2 +1,4 @@
-/** Where the list of hosts comes from: discovery's watch, and the form of its lists. */
+/**
+ * The list of servers: the watch that receives it from discovery, its format, its changes, and the subset that this gateway uses.
+ */
 package cinderhollow.membership;
--- a/src/test/java/cinderhollow/daemon/DiscoveryTest.java
+++ b/src/test/java/cinderhollow/daemon/DiscoveryTest.java
@@ -70,7 +70,7 @@
             assertEquals("failed", next());
             assertTrue(told.isEmpty());
             assertEquals(List.of("discovery: version 8 changes, 0 endpoints", "discovery: the watch at "
-                    + server.address() + " has ended: silent for too long"), log);
+                    + server.address() + " has ended: no data within the read timeout"), log);
         }
     }
 
