--- a/src/test/java/cinderhollow/core/EventLoopLagTest.java
+++ b/src/test/java/cinderhollow/core/EventLoopLagTest.java
@@ -26,10 +26,10 @@
             assertTrue(lag.recent(now) <= 2 * MS);
         }
         now += EventLoopLag.BEAT_NANOS / 2;
-        assertEquals(now, lag.earliestArrival(now), "the next beat is not due yet");
+        assertEquals(now, lag.earliestArrival(now), "the next tick is not due yet");
     }
 
-    /** While the loop was busy what it reads now may have come at any time since. */
+    /** Input read by a loop that was busy may have arrived at any time since the last tick. */
     @Test
     void aBeatThatIsOverdueTellsHowLongItMayHaveWaitedUnread() {
         beat(0);
@@ -38,7 +38,7 @@
         assertEquals(last, lag.earliestArrival(now));
     }
 
-    /** The loop runs its due tasks first, and the late beat among them, when a wait is interrupted by the end of a stop. */
+    /** When a stopped process continues, the loop's wait is interrupted, and the late tick runs before the sockets are polled. */
     @Test
     void whatIsReadBehindALateBeatMayHaveComeSinceTheOneBefore() {
         beat(0);
@@ -55,7 +55,7 @@
         beat(300 * MS);
         assertEquals(300 * MS, lag.recent(now));
         beat(100 * MS);
-        assertTrue(lag.recent(now) > 280 * MS, "the longest counts, not the last");
+        assertTrue(lag.recent(now) > 280 * MS, "the largest lag counts, not the last");
         long before = lag.recent(now);
         now += 3_000 * MS;
         assertEquals(before / 2, lag.recent(now), MS);
@@ -69,7 +69,7 @@
         assertEquals(now, lag.earliestArrival(now));
     }
 
-    /** Only what came three beats ago has been read for certain, with what stood behind it. */
+    /** Only input that arrived three ticks ago has certainly been read, together with what followed it. */
     @Test
     void whatItKnowsIsFreshWhileBeatsComeOnTimeAndStaleUntilThreeHaveComeAgain() {
         for (int i = 0; i < 3; i++) {
--- a/src/test/java/cinderhollow/lifecycle/RequestLifecycleTest.java
+++ b/src/test/java/cinderhollow/lifecycle/RequestLifecycleTest.java
@@ -54,7 +54,7 @@
         assertEquals(SendDecision.DEADLINE_PASSED, lifecycle.decideSend(DEADLINE, PRESENT, AVAILABLE));
     }
 
-    /** Tests run with {@link TransitionMonitor#STRICT_PROPERTY}, so that each is an error as well. */
+    /** Tests run with {@link TransitionMonitor#STRICT_PROPERTY}, so that a forbidden transition also throws an exception. */
     @ParameterizedTest
     @EnumSource(RequestState.class)
     void aCompletedRequestGoesOverToNothingElse(RequestState next) {
--- a/src/test/java/cinderhollow/membership/ListChangesTest.java
+++ b/src/test/java/cinderhollow/membership/ListChangesTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What a gateway of a large fleet is told: what changed, in portions, and of its subset alone. */
+/** Tests that lists are turned into portions of changes, limited to the gateway's subset if there is one. */
 class ListChangesTest {
     private static Endpoint endpoint(int number, Readiness readiness, long startedAt) {
         return new Endpoint(new ServerInfo("n" + number, number % 2 == 0 ? "a" : "b", "std", 0, readiness, 1, startedAt),
@@ -46,7 +46,7 @@
         List<Endpoint> all = new ArrayList<>();
         changes.tell(list);
         for (EndpointList portion : changes.rest()) {
-            assertTrue(!portion.snapshot() && portion.endpoints().size() <= 256, "a portion is small and no whole list");
+            assertTrue(!portion.snapshot() && portion.endpoints().size() <= 256, "a portion is small and no snapshot");
             all.addAll(portion.endpoints());
         }
         return all;
@@ -73,7 +73,7 @@
         assertEquals(List.of(endpoint(1, Readiness.GONE, 0)), told(changes, list(false, List.of(endpoint(1, Readiness.GONE, 0)))));
     }
 
-    /** However the list moves, who adds up what was told has the subset's part of the list, with its drains. */
+    /** After any changes of the list, the reported changes add up to the subset's part of it, plus draining servers. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5})
     void whatIsToldAddsUpToTheSubsetsPartOfTheList(long seed) {
@@ -107,12 +107,12 @@
                 if (subset.has(id)) {
                     assertEquals(endpoint, held.get(id), id);
                 } else if (held.containsKey(id)) {
-                    assertEquals(Readiness.DRAINING, held.get(id).info().readiness(), id + " is no member");
+                    assertEquals(Readiness.DRAINING, held.get(id).info().readiness(), id + " is not in the subset");
                 }
             });
             held.keySet().forEach(id -> assertTrue(list.containsKey(id), id + " is gone"));
         }
-        assertTrue(held.size() > 10, "held " + held.size());
+        assertTrue(held.size() > 10, "servers in the view: " + held.size());
     }
 
     private static void hear(Map<String, Endpoint> held, List<Endpoint> told) {
--- a/src/test/java/cinderhollow/membership/StartTimesTest.java
+++ b/src/test/java/cinderhollow/membership/StartTimesTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Made-up time: a gateway whose wall clock was stepped before its start. */
+/** Tests with simulated time a gateway whose wall clock was stepped before it started. */
 class StartTimesTest {
     private static final long SECOND = TimeUnit.SECONDS.toNanos(1), NOW = 1_000_000 * SECOND;
 
@@ -37,7 +37,7 @@
         assertEquals(0, times.offset());
     }
 
-    /** The gateway's clock is behind: the server would stay cold until it has caught up. */
+    /** If the gateway's clock is behind, a server would count as cold until that clock has caught up. */
     @ParameterizedTest
     @ValueSource(longs = {5, 3_600})
     void aStartInTheFutureWasNow(long seconds) {
@@ -46,7 +46,7 @@
         assertEquals(NOW + 10 * SECOND, start(times.convert(next, NOW + 12 * SECOND)));
     }
 
-    /** The gateway's clock is ahead: a server that starts now would pass for warm. */
+    /** If the gateway's clock is ahead, a server that starts now would count as warm. */
     @Test
     void aStartThatIsNewAndLongAgoWasNow() {
         times.convert(list(true, "a", NOW - 7_000 * SECOND), NOW);
@@ -63,7 +63,7 @@
         assertEquals(NOW, start(times.convert(list(false, "a", told), NOW + 50 * SECOND)));
     }
 
-    /** What a gateway had of the list before its start says nothing of when the others came into it. */
+    /** A list cached before the gateway started does not tell when servers that it lacks were started. */
     @Test
     void behindACachedListAServerMayHaveStartedLongAgo() {
         times.convertCached(list(true, "a", NOW - 7_000 * SECOND), NOW);
--- a/src/test/java/cinderhollow/membership/SubsetTest.java
+++ b/src/test/java/cinderhollow/membership/SubsetTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Subsets of many gateways over one list: even, stable, spread over zones, and wider in trouble. */
+/** Tests that the subsets of many gateways are even, stable, spread over zones, and wider while their servers fail. */
 class SubsetTest {
     private static final long SECOND = 1_000_000_000L;
     private static final List<String> ZONES = List.of("a", "b", "c");
@@ -29,7 +29,7 @@
         return nodes;
     }
 
-    /** All gateways of a fleet that goes round the zones, with their subsets of these nodes. */
+    /** Returns the subsets of all gateways of a fleet whose gateways are assigned to the zones in turn. */
     private static List<Subset> fleet(int gateways, int size, Map<String, String> nodes) {
         Map<String, Integer> byZone = new HashMap<>();
         for (int g = 0; g < gateways; g++) {
@@ -75,10 +75,10 @@
         double mean = of.values().stream().mapToInt(Integer::intValue).average().orElseThrow();
         int most = of.values().stream().mapToInt(Integer::intValue).max().orElseThrow();
         int least = of.values().stream().mapToInt(Integer::intValue).min().orElseThrow();
-        assertTrue(most <= 1.25 * mean, most + " against a mean of " + mean);
+        assertTrue(most <= 1.25 * mean, most + " exceeds 1.25 times the mean of " + mean);
         assertTrue(least >= 1 && most - least <= 2, least + " to " + most);
         double sizes = fleet.stream().mapToInt(Subset::size).average().orElseThrow();
-        assertTrue(sizes >= size * 0.95, "sizes " + sizes);
+        assertTrue(sizes >= size * 0.95, "mean size " + sizes);
     }
 
     @Test
@@ -88,13 +88,13 @@
             assertTrue(subset.size() > 230 && subset.size() < 370, "size " + subset.size());
             for (String zone : ZONES) {
                 long here = nodes.entrySet().stream().filter(e -> e.getValue().equals(zone) && subset.has(e.getKey())).count();
-                // 150 of its own zone and 75 of each other, give or take.
+                // About 150 of its own zone and 75 of each other zone.
                 assertTrue(here >= 40 && here <= 200, zone + " has " + here);
             }
         }
     }
 
-    /** The least that one more node can move is its own gateways; nothing else moves. */
+    /** An added or removed server must change no pairs of a gateway and a server but its own. */
     @Test
     void aNodeThatComesOrGoesMovesItsOwnPicksAlone() {
         Map<String, String> nodes = nodes(0, 3_000);
@@ -104,7 +104,7 @@
         fleet.forEach(s -> s.update(Map.of("node-3000", "a"), List.of()));
         Set<String> with = pairs(fleet, more);
         assertTrue(with.containsAll(before));
-        assertTrue(with.size() - before.size() <= 11, "moved " + (with.size() - before.size()));
+        assertTrue(with.size() - before.size() <= 11, "pairs added: " + (with.size() - before.size()));
         fleet.forEach(s -> s.update(Map.of(), List.of("node-17")));
         Set<String> without = pairs(fleet, more);
         assertTrue(without.stream().noneMatch(p -> p.endsWith(" node-17")));
@@ -112,7 +112,7 @@
         assertTrue(with.containsAll(without));
     }
 
-    /** One gateway more of 100 can't take over less than its own subset, and the others give what it takes. */
+    /** A gateway added to 100 must take over at least its own subset, which the others give up; not much more may change. */
     @Test
     void aGatewayThatComesMovesAboutItsOwnSubset() {
         Map<String, String> nodes = nodes(0, 3_000);
@@ -120,7 +120,7 @@
         List<Subset> after = fleet(101, 300, nodes);
         long own = after.get(100).size();
         long moved = moved(pairs(before, nodes), pairs(after, nodes));
-        assertTrue(moved <= 4 * own, moved + " pairs moved, and the new one has " + own);
+        assertTrue(moved <= 4 * own, moved + " pairs changed; size of the new subset: " + own);
     }
 
     @Test
@@ -131,12 +131,12 @@
         Set<String> before = pairs(fleet, more);
         fleet.forEach(s -> s.update(nodes(3_000, 3_300), List.of()));
         Set<String> after = pairs(fleet, more);
-        // The least possible: the new ones' share of all pairs leaves the others and comes to them.
+        // The minimum: the new servers' share of all pairs is removed from the other servers and added to the new ones.
         double least = 2.0 * after.size() * 300 / 3_300;
-        assertTrue(moved(before, after) <= 1.3 * least, moved(before, after) + " against " + least);
+        assertTrue(moved(before, after) <= 1.3 * least, moved(before, after) + " pairs changed; minimum: " + least);
     }
 
-    /** Told whole or one by one, in any order and after others that came and went, the same list gives the same subset. */
+    /** The subset depends on the current list only, not on the order or number of its updates or on servers removed before. */
     @Test
     void equalListsGiveEqualSubsets() {
         Map<String, String> nodes = nodes(0, 1_000);
@@ -160,7 +160,7 @@
         }
     }
 
-    /** All of a subset's nodes fail while the others are sound: it doubles until most attempts go well. */
+    /** If all servers of a subset fail while the others are healthy, it doubles until most attempts succeed. */
     @Test
     void aFailingSubsetWidensAndNarrowsAgain() {
         Map<String, String> nodes = nodes(0, 2_000);
@@ -179,9 +179,9 @@
             subset.tick(now);
             assertTrue(second > 0 || subset.size() > 1.5 * before, before + " to " + subset.size());
         }
-        assertTrue(subset.size() >= 2 * usual - 10, subset.size() + " after " + usual);
+        assertTrue(subset.size() >= 2 * usual - 10, subset.size() + " servers; initially " + usual);
         assertTrue(2 * sick.size() <= subset.size() + 10, sick.size() + " of " + subset.size());
-        assertTrue(nodes.keySet().stream().filter(sick::contains).allMatch(subset::has), "it only grows");
+        assertTrue(nodes.keySet().stream().filter(sick::contains).allMatch(subset::has), "servers leave a subset that widens");
         for (int second = 0; second < 120; second++) {
             for (int i = 0; i < 100; i++) {
                 subset.ended(true);
