--- a/src/main/java/cinderhollow/http1/Acceptor.java
+++ b/src/main/java/cinderhollow/http1/Acceptor.java
@@ -16,30 +16,36 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * One listener for several event loops, on a loop of its own: each connection is handed to the loop that holds the
- * fewest and answers, as long as it has room. Guards against the uneven spread of a share of the listener for each loop
- * (the kernel deals connections by a hash), and against new clients waiting on a loop that stands still.
+ * Accepts connections on one listening socket for several event loops, on an event loop of its own. Each connection is dispatched
+ * to the loop that has room and holds the fewest; a loop that does not respond, and so has not registered what it was dispatched,
+ * comes last. With a listening socket for each loop the kernel would distribute connections by a hash, and so unevenly, and new
+ * clients would wait on a loop that is stalled.
  */
 public final class Acceptor {
+    /** Interval in milliseconds at which the loops are checked for room while accepting is paused. */
     private static final long RECHECK_MILLIS = 20;
 
     private final EventLoop loop;
     private final List<ClientServer> servers;
     private NioServerSocketChannel listener = new NioServerSocketChannel();
-    /** Others hold the listener too, and it stays open. */
+    /** Whether another process holds the listening socket too; this process then never closes it. */
     private boolean shared;
     private volatile boolean stopped;
-    /** From now on nobody is given to any loop. */
+    /** Whether no connection is dispatched to any loop any more. */
     private volatile boolean done;
+    /** Number of connections accepted so far. */
     private long accepted;
 
-    /** Accepts on this loop for these, whose own loops are others. */
+    /**
+     * Creates an acceptor that runs on the given event loop and dispatches connections to {@code connectionManagers}, each of
+     * which runs on an event loop of its own.
+     */
     public Acceptor(EventLoop loop, List<ClientServer> servers) {
         this.loop = loop;
         this.servers = List.copyOf(servers);
     }
 
-    /** Starts to listen on the network; the future fails where the address can't be had. From any thread. */
+    /** Starts to listen on an address. The future fails if the address cannot be bound. May be called from any thread. */
     public ChannelFuture listen(SocketAddress address) {
         listener.config().setOption(ChannelOption.SO_BACKLOG, ClientServer.BACKLOG);
         listener.pipeline().addLast(new HandsOver());
@@ -54,7 +60,10 @@
         return bound;
     }
 
-    /** Accepts from a listener that is bound and that others hold too; {@code first} has been accepted, or is null. */
+    /**
+     * Accepts from a bound listening socket that another process holds too. {@code firstConnection} has already been accepted
+     * from it, or is null.
+     */
     public ChannelFuture listen(ServerSocketChannel held, SocketChannel first) {
         shared = true;
         listener = new NioServerSocketChannel(held);
@@ -65,12 +74,15 @@
         return loop.register(listener);
     }
 
-    /** Where it listens. */
+    /** Returns the address it listens on. */
     public SocketAddress address() {
         return listener.localAddress();
     }
 
-    /** Takes in no more. From any thread, and for each loop that ends. */
+    /**
+     * Stops accepting, and closes the listener once its backlog is empty unless another process holds it too. May be called from
+     * any thread, and more than once: each event loop that shuts down calls it.
+     */
     public void stop() {
         loop.execute(() -> {
             if (!stopped) {
@@ -85,12 +97,18 @@
         });
     }
 
-    /** Whether a loop may still be given a client, which it then holds at once. From any thread. */
+    /**
+     * Returns whether a loop may still be dispatched a connection, which then counts as held by that loop at once. May be called
+     * from any thread.
+     */
     public boolean mayHandOver() {
         return !done;
     }
 
-    /** Guards against resetting those that stand in the backlog: their requests have been taken, by the platform's words. */
+    /**
+     * Closes the listener once no further connection comes from the backlog, or no polls are left. Closing it earlier would reset
+     * connections in the backlog, whose requests count as accepted by the rules of the platform.
+     */
     private void closeOnceEmpty(int looks) {
         long before = accepted;
         loop.schedule(() -> {
@@ -103,7 +121,10 @@
         }, ClientServer.LOOK_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    /** Fewest connections first; one that has not taken over what it was given last comes after all others. */
+    /**
+     * Returns the loop with the fewest connections that has room, or null. Loops with dispatched connections that they have not
+     * registered yet come after all others.
+     */
     private ClientServer choose() {
         ClientServer chosen = null;
         for (ClientServer server : servers) {
@@ -114,6 +135,7 @@
         return chosen;
     }
 
+    /** Handler of the listening socket that dispatches accepted connections to the loops. */
     private final class HandsOver extends ChannelInboundHandlerAdapter {
         @Override
         public void channelRead(ChannelHandlerContext ctx, Object connection) {
@@ -121,7 +143,7 @@
             accepted++;
             ClientServer chosen = choose();
             if (chosen == null) {
-                // Accepted in the same batch as the last that found room; the next ones wait in the backlog.
+                // Accepted in the same batch as the last connection that found room; further ones wait in the backlog.
                 chosen = servers.get(0);
             }
             chosen.adopt(channel);
@@ -130,7 +152,7 @@
             }
         }
 
-        /** Once for all that are accepted in one batch. */
+        /** Pauses accepting until a loop has room again; does so once for all connections that are accepted in one batch. */
         private void pause(ChannelHandlerContext ctx) {
             if (ctx.channel().config().isAutoRead()) {
                 ctx.channel().config().setAutoRead(false);
@@ -151,7 +173,10 @@
             }, RECHECK_MILLIS, TimeUnit.MILLISECONDS);
         }
 
-        /** Guards against a listener that ends, or spins, for want of descriptors: it waits for some to come free. */
+        /**
+         * Pauses accepting after a failure, such as when file descriptors run out: the listener must neither close nor retry in a
+         * tight loop, but wait until some are free.
+         */
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
             pause(ctx);
--- a/src/main/java/cinderhollow/http1/AnswerReader.java
+++ b/src/main/java/cinderhollow/http1/AnswerReader.java
@@ -22,41 +22,49 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Collects a host's answer whole and within bounds, and tells of it once all that came with it has been looked
- * at: only then is it known whether the connection can carry another request. A 200 that is larger than the bound, or that
- * comes slowly and without its length, is passed on as it comes.
+ * Collects a server's response into a bounded buffer, and reports it once everything read together with it has been examined:
+ * only then is it known whether the connection can carry another request. A 200 response that is larger than the bound, or that
+ * comes slowly and without a length, is streamed instead.
  */
 final class AnswerReader extends ChannelDuplexHandler {
-    /** What waits for the answer. */
+    /** Receives the response. */
     interface Listener {
-        /** Whether a request is out on the connection. */
+        /** Returns whether a request is in flight on the connection. */
         boolean waits();
 
         /**
-         * The answer has come whole; {@code framed} says that its head told where it ends, {@code clean} that
-         * nothing came behind it. The body is the listener's for the call's length.
+         * Called when the whole response has been received. {@code framed}: its head said where it ends; {@code noExtraData}:
+         * nothing followed it. The body is valid only during the call.
          */
         void answered(HttpResponse head, ByteBuf body, boolean framed, boolean clean);
 
-        /** What came is no answer, or none that this gateway takes. The connection is of no further use. */
+        /**
+         * Called when the input is no valid response, or none that this gateway accepts. The connection cannot be used any more.
+         */
         void spoilt();
 
-        /** A 200 has begun that is passed on as it comes; its length is -1 where only its end tells. False: nobody wants it. */
+        /**
+         * Called when a 200 response begins that is streamed. {@code length} is the length of the body in bytes, or -1 if it is
+         * known only once the body ends. Returns false if the response is not wanted any more.
+         */
         boolean begun(HttpResponse head, long length);
 
-        /** More of it, which is the listener's to release. */
+        /** Called with body bytes of a streamed response; the listener releases them. */
         void part(ByteBuf bytes);
 
-        /** That was the whole of it; {@code reusable} says that nothing came behind it and its head told where it ends. */
+        /**
+         * Called when a streamed response is complete. {@code reusable} tells that nothing followed it and that its head said
+         * where it ends.
+         */
         void ended(HttpResponse head, boolean reusable);
 
-        /** The connection takes more again. */
+        /** Called when the connection accepts outbound data again. */
         void writable();
     }
 
-    /** The longest body that is held whole. */
+    /** Length in bytes of the longest body that is buffered whole. */
     static final int LARGEST_BODY = 64 * 1024;
-    /** So long after its head an answer of unknown length is passed on: it may be a large one that comes slowly. */
+    /** Time after the head at which a response of unknown length is streamed: it may be a large one that comes slowly. */
     private static final long GATHER_NANOS = TimeUnit.MILLISECONDS.toNanos(50);
 
     private final Decoder decoder = new Decoder();
@@ -64,14 +72,21 @@
     private final GatewayClock clock;
     private HttpResponse head;
     private CompositeByteBuf body;
+    /** When the head was received. */
     private long headAt;
+    /** Content-Length in bytes, or -1 if unknown. */
     private long length;
+    /** Whether the head says where the body ends, by a length or by chunks. */
     private boolean framed;
+    /** Whether the last content has been received. */
     private boolean whole;
+    /** Whether something was received behind the response. */
     private boolean surplus;
+    /** Whether the response cannot be accepted. */
     private boolean spoilt;
+    /** Whether the body is forwarded as it arrives. */
     private boolean passing;
-    /** The connection broke, or is closed from here: what comes now is no end that the host meant. */
+    /** Whether the connection failed or is being closed from this side: what comes now is no end that the server intended. */
     private boolean broken;
 
     AnswerReader(Listener listener, GatewayClock clock) {
@@ -79,7 +94,7 @@
         this.clock = clock;
     }
 
-    /** What stands before this reader on the connection. */
+    /** Returns the decoder that precedes this handler in the pipeline. */
     HttpResponseDecoder decoder() {
         return decoder;
     }
@@ -107,12 +122,12 @@
             add(content.content());
         }
         if (part instanceof LastHttpContent && !spoilt) {
-            // Guards against taking what a host says ahead of its answer for the answer itself.
+            // An informational (1xx) response precedes the actual response and must not be taken for it.
             whole = !informational();
             if (!whole) {
                 forget();
             } else if (!framed && broken) {
-                // Guards against a break that passes for the end of a body that only its connection's end would tell.
+                // A body that is delimited by the end of the connection is not complete if the connection broke.
                 spoilt = true;
             }
         }
@@ -123,7 +138,8 @@
         headAt = clock.nanos();
         length = HttpUtil.getContentLength(response, -1L);
         boolean ok = response.status().equals(HttpResponseStatus.OK);
-        // Guards against gathering what is said to have gigabytes, and against a switch that nobody asked for.
+        // Rejects unknown versions, a switch of protocols that nobody requested, and responses other than 200 that announce a
+        // body over the bound, which may have gigabytes.
         spoilt = !response.protocolVersion().equals(HttpVersion.HTTP_1_1)
                 && !response.protocolVersion().equals(HttpVersion.HTTP_1_0)
                 || length > LARGEST_BODY && !ok
@@ -131,7 +147,7 @@
         boolean chunked = HttpUtil.isTransferEncodingChunked(response);
         framed = length >= 0 || chunked;
         length = chunked ? -1 : length;
-        // Guards against waiting for the end of an error that only the end of its connection would tell.
+        // The body of an error response that is delimited by the end of the connection is not waited for.
         whole = !framed && !ok && !informational();
         body = ctx.alloc().compositeBuffer();
     }
@@ -142,8 +158,8 @@
             return;
         }
         body.addComponent(true, bytes.retain());
-        // Not before there is something to pass on: a connection that breaks behind the head leaves an attempt that can be
-        // made good, and no client with a connection that ended without a word.
+        // Streaming does not start before there is body data: if the connection breaks right behind the head, the attempt can
+        // still be retried, and the client does not get a response that ends without any data.
         if (body.readableBytes() > LARGEST_BODY || length > LARGEST_BODY && body.isReadable()) {
             if (head.status().equals(HttpResponseStatus.OK)) {
                 pass();
@@ -153,6 +169,7 @@
         }
     }
 
+    /** Changes over from buffering the response to streaming it. */
     private void pass() {
         passing = true;
         CompositeByteBuf begun = body;
@@ -170,8 +187,8 @@
     }
 
     /**
-     * Guards against using the connection again while more of the same read is to come: a second copy, or
-     * noise, would pass for the answer to the next request.
+     * Reports the response once everything of the same read has been examined. If the connection were used again before, the rest
+     * of that read, such as a second copy or garbage, would be taken for the response to the next request.
      */
     @Override
     public void channelReadComplete(ChannelHandlerContext ctx) {
@@ -205,7 +222,7 @@
         }
     }
 
-    /** An answer that its connection's end ends comes out of the decoder only now. */
+    /** Reports a response that is delimited by the end of the connection, which the decoder completes only now. */
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
         if (whole || spoilt) {
@@ -227,7 +244,10 @@
         ctx.close();
     }
 
-    /** Guards against an end of this side's own making, as of a host that fell silent, which would pass for the body's. */
+    /**
+     * Notes that this side closes the connection, for instance because the server stalled; the end that follows must not be taken
+     * for the end of the body.
+     */
     @Override
     public void close(ChannelHandlerContext ctx, ChannelPromise promise) {
         broken = true;
@@ -250,13 +270,13 @@
         passing = false;
     }
 
-    /** Netty's decoder, made strict where it is lenient with hosts. */
+    /** Netty's response decoder, made strict where it is lenient with servers. */
     private final class Decoder extends HttpResponseDecoder {
         Decoder() {
             super(new HttpDecoderConfig().setAllowDuplicateContentLengths(true));
         }
 
-        /** Guards against bytes that nobody asked for: they would be taken for the start of the next answer. */
+        /** Rejects input while no request is in flight: it would be taken for the start of the next response. */
         @Override
         public void channelRead(ChannelHandlerContext ctx, Object message) throws Exception {
             if (listener.waits()) {
@@ -267,11 +287,11 @@
             }
         }
 
-        /** Guards against a line without a colon in a head, which would pass for a header of no value. */
+        /** Rejects a line without a colon in a head, which Netty would accept as a header without a value. */
         @Override
         protected AsciiString splitHeaderName(byte[] line, int start, int length) {
             if (line[start + length] != ':') {
-                throw new IllegalArgumentException("no colon behind the name of a header");
+                throw new IllegalArgumentException("response header line has no colon after the header name");
             }
             return super.splitHeaderName(line, start, length);
         }
--- a/src/main/java/cinderhollow/http1/ArrivalTimer.java
+++ b/src/main/java/cinderhollow/http1/ArrivalTimer.java
@@ -3,25 +3,28 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Decides whether the request that arrives on one connection takes too long: a client may need 2 s for a head and send a body at
- * 64 kB a second, and one that stops half way is owed an error or a close within 3 s. No input or output and no clock; all times
- * are nanoseconds of one clock. What has arrived is observed at intervals of {@link #SWEEP_MILLIS}.
+ * Decides whether receiving a request on one connection takes too long. Clients may take 2 s for a head and may send a body at a
+ * rate as low as 64 kB/s; a client that stops half-way must get an error or a close within 3 s. Performs no input or output and
+ * reads no clock; all times are nanoseconds of one clock. Progress is observed at intervals of {@link #SWEEP_MILLIS}.
  */
 final class ArrivalTimer {
-    /** How far apart the observations are. */
+    /** Interval between observations, in milliseconds. */
     static final long SWEEP_MILLIS = 100;
-    /** For a head, from its first byte; with somewhat more than clients may take, for the way. */
+    /**
+     * Time limit of a head from its first byte: somewhat more than the 2 s that clients may take, to allow for network delay.
+     */
     private static final long HEAD_NANOS = TimeUnit.MILLISECONDS.toNanos(2_300);
-    /** Without a further byte of the body. */
+    /** Time limit without a further byte of the body. */
     private static final long SILENCE_NANOS = TimeUnit.MILLISECONDS.toNanos(2_300);
-    /** No clock is exact, so a body may come somewhat slower than clients may send it. */
+    /** Slowest accepted rate of a body: somewhat below the rate that clients may send at, since no clock is exact. */
     private static final double LEAST_BYTES_PER_SECOND = 40_000;
 
     private long startedAt;
+    /** When a body byte was last received. */
     private long progressAt;
     private long bodyBytes;
 
-    /** The first byte of a request, or its head, came at this time. */
+    /** Starts the timeout at the time when the first byte of a request, or its head, was received. */
     void start(long now) {
         startedAt = now;
         progressAt = now;
@@ -29,8 +32,8 @@
     }
 
     /**
-     * So much of the body has come by now. While this side does not read, {@code reading} is false, and the time counts neither
-     * as the request's nor as silence.
+     * Records the number of body bytes received by now. While this side does not read from the client, {@code reading} is false,
+     * and the time counts neither as time of the request nor as silence.
      */
     void observe(long now, long receivedBytes, boolean reading) {
         if (!reading) {
@@ -42,7 +45,7 @@
         }
     }
 
-    /** Whether it takes too long, by what was observed. */
+    /** Returns whether receiving the request takes too long, by what was observed. */
     boolean isOverdue(long now) {
         long allowed = HEAD_NANOS + (long) (bodyBytes / LEAST_BYTES_PER_SECOND * TimeUnit.SECONDS.toNanos(1));
         return now - startedAt > allowed || now - progressAt > SILENCE_NANOS;
--- a/src/main/java/cinderhollow/http1/ClientServer.java
+++ b/src/main/java/cinderhollow/http1/ClientServer.java
@@ -60,61 +60,90 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** The side that clients see: takes in requests, and writes one answer to each. */
+/**
+ * Manages the connections of clients: accepts them, hands their requests to a listener, and writes one response to each request.
+ * Enforces the limits on connections, pipelining and time. Belongs to one event loop; methods that other threads may call say so.
+ */
 public final class ClientServer {
-    /** What the gateway makes of requests. Each is told on the event loop. */
+    /** Handles the requests that have been received. All methods are called on the event loop. */
     public interface Listener {
-        /** Whether new clients are welcome. */
+        /** Returns whether the gateway is ready for new clients, which is the answer to {@code /ready}. */
         boolean ready();
 
         /**
-         * A request whose last byte came at the given time, or, with an upload, whose body is on its way; a plain line tells
-         * the client what is wrong with a bad one.
+         * Handles a request. {@code arrivedAt} is the time at which its last byte was received, or, with an upload, at which the
+         * upload began, while the rest of the body is still to come. {@code upload} is null if the request is whole.
+         *
+         * @throws BadRequest if the request is invalid; its message is sent to the client as the response's body
          */
         void requested(FullHttpRequest request, Upload upload, long arrivedAt, Reply reply) throws BadRequest;
 
-        /** Something failed that nothing was thought to let fail; the request in hand has its answer. */
+        /** Reports an unexpected exception; the request that was being handled is answered by the caller. */
         void failed(Throwable fault);
     }
 
-    /** A request that can't be taken in. */
+    /** Thrown for a request that is rejected, with the status and the text of the response. */
     public static final class BadRequest extends Exception {
         private static final long serialVersionUID = 1L;
 
         private final transient HttpResponseStatus status;
 
-        /** Tells the client this status and this plain line. */
+        /** Creates an exception that answers the client with this status and this line of plain text. */
         public BadRequest(HttpResponseStatus status, String line) {
             super(line);
             this.status = status;
         }
     }
 
+    /** Maximum length of the listening socket's queue of connections that are not accepted yet. */
     static final int BACKLOG = 512;
     private static final int NO_ACCOUNT = -1;
-    /** Of what one client, and all together, have sent ahead so much is read, with a figure for what each request takes beside its body. */
+    /**
+     * Bounds, in bytes, of pipelined requests: of one connection, and of all connections together. Each request counts with a
+     * fixed overhead beside its body. A connection over its bound is not read.
+     */
     private static final int MOST_AHEAD = 128 * 1024, MOST_AHEAD_IN_ALL = 4 * 1024 * 1024, AHEAD_EACH = 1024;
-    /** Of what can't be read so much is looked through for the client's leaving. */
+    /**
+     * Number of bytes that are still read and discarded from a connection whose input is invalid, in order to notice when the
+     * client closes it.
+     */
     private static final long MOST_DISCARDED = 256 * 1024;
-    /** Who has said nothing for so long from the connect on is closed. */
+    /** A connection that brings no byte for this long after the connect is closed. */
     private static final long SAYS_NOTHING_NANOS = TimeUnit.SECONDS.toNanos(2);
-    /** A client that reads nothing of a large answer for so long has gone. */
+    /** A client that reads nothing of a large response for this long is presumed gone, and its connection is closed. */
     private static final long UNREAD_NANOS = TimeUnit.SECONDS.toNanos(20);
-    /** Guards against memory that grows with the number of large answers: what waits for one client. */
+    /** Bounds of the outbound buffer of one connection, so that memory does not grow with the number of large responses. */
     private static final WriteBufferWaterMark WATER_MARK = new WriteBufferWaterMark(32 * 1024, 64 * 1024);
-    /** Once clients are accepted again, the backlog is empty after this time, or acceptance has been held back anew. */
+    /** Time after which the backlog is empty once accepting has resumed, unless accepting has been paused again by then. */
     private static final long BACKLOG_NANOS = TimeUnit.SECONDS.toNanos(1);
-    /** Who connects to ask does so within this time. */
+    /**
+     * A client that connects in order to send a request does so within this time; until then its new connection is not closed to
+     * make room.
+     */
     private static final long YOUNG_NANOS = TimeUnit.MILLISECONDS.toNanos(50);
+    /**
+     * In milliseconds: the interval of the check for room while the connection limit is exceeded; the delay of the close after a
+     * response to unreadable input; the time for which the rest of an upload is discarded before the close; the minimum delay of
+     * any other close after a response.
+     */
     private static final long RECHECK_MILLIS = 20, LINGER_MILLIS = 200, DISCARD_MILLIS = 1_000, CLOSE_MILLIS = 50;
-    /** A client may read an answer at 64 kB a second; of one that was passed on so much may still be with the system. */
+    /**
+     * Clients may read a response at a rate as low as 64 kB/s; the delay of the close behind a response allows for it. Of a
+     * streamed response, up to {@code MAX_UNSENT_STREAMED_BYTES} may still be in the socket's send buffer.
+     */
     private static final int SLOWEST_BYTES_PER_MILLI = 64, LARGE_ANSWER = 128 * 1024;
-    /** How far apart looks at the backlog are at the end, and how many there are at the most. */
+    /** Interval of the polls of the backlog during shutdown, in milliseconds, and their maximum number. */
     static final long LOOK_MILLIS = 5;
     static final int MOST_LOOKS = 100;
-    /** Where places are scarce, who has asked nothing for so long is thought to have no more to ask. */
+    /**
+     * Idle timeout of connections while more than half of the connection limit is in use: a client that has sent no request for
+     * this long is presumed to have no more to send.
+     */
     private static final long LONG_IDLE_NANOS = TimeUnit.SECONDS.toNanos(2);
-    /** A front stops sending so long after the first no at the latest, and looks for it now and then. */
+    /**
+     * Time in standby before unused connections are closed. A load balancer in front of the gateway polls {@code /ready}
+     * periodically, and stops sending this long after the first negative answer at the latest.
+     */
     private static final long FRONT_NANOS = TimeUnit.MILLISECONDS.toNanos(400);
 
     private final EventLoop loop;
@@ -122,44 +151,63 @@
     private final GatewayClock clock;
     private final EventLoopLag lag;
     private final Listener listener;
-    /** What this side counts of requests; null where nobody keeps account. */
+    /** Ledger counters for requests; null if no ledger is kept. */
     private final Sheet sheet;
     private final int mostConnections;
     private final Set<Connection> connections = new LinkedHashSet<>();
-    /** Those that have asked and have no request open, the longest idle first. */
+    /** Connections that have had a request and have none open, the longest idle first. */
     private final Set<Connection> idle = new LinkedHashSet<>();
-    /** Those that have never asked, or sent a part of a request, with none open, the longest due first. */
+    /**
+     * Connections with no request open that have never sent one, or have sent a part of the next one; the longest waiting first.
+     */
     private final Set<Connection> due = new LinkedHashSet<>();
-    /** Those that have been told what is wrong and are about to be closed. */
+    /** Connections whose last response has been sent and that are about to be closed. */
     private final Set<Connection> lingering = new LinkedHashSet<>();
-    /** Those with a large body on its way, in or out. */
+    /** Connections with a large body under way, in either direction, or with a response that is not flushed yet. */
     private final Set<Connection> moving = new LinkedHashSet<>();
     private final AcceptErrorHandler acceptErrors = new AcceptErrorHandler(this::acceptAgain);
-    /** An accept has failed a moment ago. */
+    /** Whether accepting is paused because an accept has failed a moment ago. */
     private boolean acceptPaused;
-    /** Until when the connections that are accepted may have waited in the backlog, since nobody was accepted for a time. */
+    /** Connections accepted before this time may have waited in the backlog, because accepting was paused for a time. */
     private long heldBackUntil = Long.MIN_VALUE;
-    /** Null where another hands over what it accepts. */
+    /** Channel of the listening socket; null if an {@link Acceptor} accepts the connections. */
     private Channel acceptor;
-    /** Others hold the listener too, and it stays open. */
+    /** Whether another process holds the listening socket too; this process then never closes it. */
     private boolean shared;
-    /** What an {@link Acceptor} goes by, on its own thread. */
+    /**
+     * Connections dispatched by an {@link Acceptor} that are not registered yet. This and the next two fields are read by the
+     * acceptor's thread.
+     */
     private final AtomicInteger handedOver = new AtomicInteger();
+    /** Number of connections. */
     private volatile int held;
     private volatile boolean room = true;
+    /** Whether each response ends its connection from now on. */
     private boolean ending;
-    /** What stands idle is closed from now on; and until the listener is. */
+    /** Whether idle connections are closed from now on. */
     private boolean emptying;
+    /** True from the start of the shutdown until the listener is closed. */
     private boolean stopping;
     private boolean standby;
     private boolean sharesPlaces;
-    /** Connections taken in so far, and the bytes that all clients have sent ahead and nobody has taken up yet. */
+    /** Number of connections taken in so far. */
     private long takenIn;
+    /** Size of the pipelined requests of all connections, in bytes. */
     private long ahead;
     private long standbySince;
     private boolean rechecking;
 
-    /** Holds so many connections at the most; answers come from the listener, and what is taken is counted in the sheet. */
+    /**
+     * Creates the manager, which accepts no connections yet.
+     *
+     * @param loop event loop of all connections
+     * @param transport kind of sockets to listen with
+     * @param clock clock of all times
+     * @param lag lag of the event loop, by which the arrival of input is dated
+     * @param mostConnections maximum number of connections
+     * @param listener handles the requests
+     * @param sheet ledger counters for requests, or null
+     */
     public ClientServer(EventLoop loop, Transport transport, GatewayClock clock, EventLoopLag lag, int mostConnections,
                         Listener listener, Sheet sheet) {
         this.lag = lag;
@@ -169,22 +217,29 @@
         this.clock = clock;
         this.mostConnections = mostConnections;
         this.listener = listener;
-        // Guards against ending, after a time in which the loop was busy, those whose request has lain unread since.
+        // The check runs after the next poll of the sockets: after a time in which the loop was busy, it must not close
+        // connections whose request has been waiting unread.
         loop.scheduleWithFixedDelay(() -> afterALook(this::endOverdue), ArrivalTimer.SWEEP_MILLIS, ArrivalTimer.SWEEP_MILLIS,
                 TimeUnit.MILLISECONDS);
     }
 
-    /** Starts to listen; the future fails where the address can't be had. */
+    /** Starts to listen on an address. The future fails if the address cannot be bound. */
     public ChannelFuture listen(SocketAddress address) {
         return listen(new ServerBootstrap(), address);
     }
 
-    /** The same as one of several that share the address, among which the system deals out who connects. */
+    /**
+     * Starts to listen with {@code SO_REUSEPORT}, as one of several listeners on the same address among which the kernel
+     * distributes connections.
+     */
     public ChannelFuture listenBesideOthers(SocketAddress address) {
         return listen(new ServerBootstrap().option(NioChannelOption.of(StandardSocketOptions.SO_REUSEPORT), true), address);
     }
 
-    /** Accepts from a listener that is bound and that others hold too; {@code first} has been accepted, or is null. */
+    /**
+     * Accepts from a bound listening socket that another process holds too. {@code first} is a connection that has already been
+     * accepted from it, or null.
+     */
     public ChannelFuture listen(ServerSocketChannel held, SocketChannel first) {
         ChannelFuture registered = new ServerBootstrap().group(loop).channelFactory(() -> new NioServerSocketChannel(held))
                 .handler(acceptErrors).childHandler(new Begins()).register();
@@ -196,7 +251,7 @@
         return registered;
     }
 
-    /** Takes in no more from a listener that others hold too; each answer ends its connection from now on. */
+    /** Stops accepting from a listening socket that another process holds too. From now on each response ends its connection. */
     public void leaveListener() {
         ending = true;
         if (acceptor != null) {
@@ -214,7 +269,7 @@
         return bound;
     }
 
-    /** The first handler of a client's connection. */
+    /** Sets up the pipeline of a client's connection. */
     private final class Begins extends ChannelInitializer<Channel> {
         @Override
         protected void initChannel(Channel channel) {
@@ -225,7 +280,7 @@
         }
     }
 
-    /** Takes over a connection that an {@link Acceptor} has accepted. From its thread. */
+    /** Takes over a connection that an {@link Acceptor} has accepted. Called on the acceptor's thread. */
     void adopt(Channel channel) {
         handedOver.incrementAndGet();
         channel.pipeline().addLast(new Begins());
@@ -237,25 +292,31 @@
         });
     }
 
-    /** Whether it can take one more, for which a useless one may make room. From any thread. */
+    /**
+     * Returns whether one more connection can be taken; a connection that is of little use may be closed to make room for it. May
+     * be called from any thread.
+     */
     boolean hasRoom() {
         return room && held + handedOver.get() <= mostConnections;
     }
 
-    /** The more, the less it should be given: what it holds, and first of all what it has not taken over yet. */
+    /**
+     * Returns the load by which an {@link Acceptor} orders event loops; the lowest is given the next connection. Connections that
+     * were dispatched and are not registered yet outweigh all connections that are held. May be called from any thread.
+     */
     long strain() {
         return held + ((long) handedOver.get() << Integer.SIZE);
     }
 
-    /** Where it listens; of use where the port was left to the system. */
+    /** Returns the address it listens on, with the actual port if an ephemeral one was requested. */
     public InetSocketAddress address() {
         return (InetSocketAddress) acceptor.localAddress();
     }
 
     /**
-     * Takes in no more, closes what stands idle, and from now on each answer ends its connection. Not at once: this may be the
-     * work of a loop that was busy until now and has not looked at its sockets since, and what stands in the backlog or unread
-     * on a connection by then has been taken, by the platform's words, though nobody here has seen it.
+     * Stops accepting, closes idle connections, and ends the connection of each response from now on. The listener is closed only
+     * after further polls of the sockets: the event loop may have been busy until now, and connections in the backlog and
+     * requests that were not read yet count as accepted by the rules of the platform, though this process has not seen them.
      */
     public void stopAccepting() {
         ending = true;
@@ -265,12 +326,19 @@
         lookAgain(MOST_LOOKS);
     }
 
-    /** Ends what has no request open: who has sent a part of one is told that the rest would come too late. */
+    /**
+     * Closes all connections that have no request open. Clients that have sent a part of a request are answered with a 408, since
+     * the rest would come too late.
+     */
     public void endAll() {
         List.copyOf(due).forEach(Connection::overdue);
         List.copyOf(idle).forEach(Connection::drop);
     }
 
+    /**
+     * Closes unused connections after each poll of the sockets, and closes the listener once no further connection can be in the
+     * backlog, or no polls are left.
+     */
     private void lookAgain(int left) {
         long before = takenIn;
         afterALook(() -> {
@@ -290,13 +358,16 @@
         });
     }
 
-    /** Sends clients away from now on, and in time closes what stands idle; or welcomes them again. */
+    /** Turns standby on or off. In standby each response ends its connection, and after a time unused connections are closed. */
     public void standby(boolean empty) {
         standbySince = standby ? standbySince : clock.nanos();
         standby = empty;
     }
 
-    /** Guards against a drained gateway that clients stay with, also those that came late and never asked. */
+    /**
+     * Closes unused connections in standby, also those that were opened late and never sent a request; otherwise clients would
+     * stay with a gateway that has been drained.
+     */
     private void empty() {
         long now = clock.nanos();
         if (standby && now - standbySince >= FRONT_NANOS) {
@@ -305,12 +376,12 @@
         }
     }
 
-    /** Requests that have come whole and wait for an earlier one on their connection. */
+    /** Returns the number of requests that have been received and wait for an earlier one on their connection. */
     public int sentAhead() {
         return connections.stream().mapToInt(connection -> connection.pipelined.size()).sum();
     }
 
-    /** Another process has a part of the places while this holds. */
+    /** Sets whether another process uses a part of the connection limit; if so, this side uses at most half of it. */
     public void overlap(boolean shares) {
         sharesPlaces = shares;
         bound();
@@ -320,7 +391,10 @@
         return sharesPlaces ? Math.max(1, mostConnections / 2) : mostConnections;
     }
 
-    /** How many clients wait for the answer to a request of each account, found by looking at each connection. */
+    /**
+     * Returns the number of open requests of each account. Counts them on the connections themselves, independently of the
+     * ledger's counters.
+     */
     public long[] waiting(int accounts) {
         long[] waiting = new long[accounts];
         for (Connection connection : connections) {
@@ -331,21 +405,22 @@
         return waiting;
     }
 
-    /** Whether a client still waits for an answer, or for the rest of one, or may yet be taken in. */
+    /** Returns whether any connection is open, or may yet be taken in. */
     public boolean holdsAny() {
         return stopping || handedOver.get() > 0 || !connections.isEmpty();
     }
 
     /**
-     * Guards against running out of descriptors, and against silent clients who take the places of those who
-     * ask: with too many connections, one of the least use makes room, and while none can be spared, new ones
-     * wait in the backlog.
+     * Enforces the connection limit, so that file descriptors do not run out, and silent clients do not displace those that send
+     * requests. With too many connections, the one of least use is closed; while none can be spared, new connections wait in the
+     * backlog.
      */
     private void bound() {
         countRoom();
         if (!room && !rechecking) {
             rechecking = true;
-            // Guards against sparing one whose request has come and is only not read yet.
+            // After the next poll of the sockets: a connection must not be closed whose request has arrived and is only not read
+            // yet.
             afterALook(this::makeRoom);
         }
     }
@@ -387,12 +462,19 @@
         }
     }
 
-    /** Not before the sockets have been looked at once more: all tasks that are due come before that. */
+    /**
+     * Runs a task once the sockets have been polled again. The task is delayed because all tasks that are due run before the next
+     * poll.
+     */
     private void afterALook(Runnable task) {
         loop.schedule(task, LOOK_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    /** One that is to be closed anyway, or has long been due; the longest idle only where no other is. */
+    /**
+     * Returns the connection to close for room, or null. The order is: a connection that is about to be closed anyway, then the
+     * one that has waited longest for a request, if its grace period is over; the longest idle one only if there is no such
+     * connection at all.
+     */
     private Connection leastUseful() {
         if (!lingering.isEmpty()) {
             return lingering.iterator().next();
@@ -405,17 +487,20 @@
     }
 
     /**
-     * Guards against clients who keep a connection for good and don't ask on it again: each would cost a
-     * place, until those who ask find none. With half of the places taken an answer ends its connection, and
-     * who is still to ask connects anew; equally against crowds that say nothing and take what is left.
-     * It could do harm where connecting is slow or dear and more clients than half the places come back often.
+     * Returns whether more than half of the connection limit is in use; then each response ends its connection, and a client with
+     * more requests connects anew. Otherwise clients that keep a connection open for good without using it would take one place
+     * after the other, until those with requests find none; the same goes for crowds of silent clients that take what is left.
+     * This could do harm where connecting is slow or expensive and more clients than half the limit come back often.
      */
     private boolean crowded() {
-        // Those that have their last answer make room first, and take no place from anybody.
+        // Connections that have had their last response are closed first for room, so they take no place from anybody.
         return connections.size() - lingering.size() > mostConnections / 2;
     }
 
-    /** Guards against clients that say nothing, or send so slowly that their request never comes whole. */
+    /**
+     * Closes connections that exceed a time limit, such as those of clients that send nothing, or send so slowly that their
+     * request never completes.
+     */
     private void endOverdue() {
         empty();
         long unused = clock.nanos() - LONG_IDLE_NANOS;
@@ -431,27 +516,32 @@
         List.copyOf(moving).forEach(connection -> connection.checkMoving(now));
     }
 
-    /** The way back to the client of one request. Only the first answer goes out. */
+    /** Sends the response to one request. Only the first response is written; later ones are ignored. */
     public final class Reply {
         private final Connection connection;
         private final boolean keepAlive;
         private Runnable left = () -> { };
-        /** Of a request that was taken, where account is kept. */
+        /** Number of the ledger account, if the request was accepted and a ledger is kept. */
         private int account = NO_ACCOUNT;
         private String id;
-        /** Null where nobody counts. */
+        /** Counters of requests; may be null. */
         private RequestCounters tally;
-        /** The answer's head has gone out, or none is wanted any more. */
+        /** Whether the response's head has been sent, or the client has gone. */
         private boolean done;
-        /** The host's side of an answer that is passed on as it comes, until its end. */
+        /** Upstream side of a streamed response until its end; otherwise null. */
         private Passage.Source source;
-        /** Of such an answer: its end can be told from a break by its connection's end alone. */
+        /**
+         * Whether the body of the streamed response is delimited by the end of the connection, so that only the way the
+         * connection ends tells a complete response from an aborted one.
+         */
         private boolean unframed;
+        /** Whether the connection is kept after this response. */
         private boolean keepsAlive;
-        /** Of a request whose body is passed on as it comes. */
+        /** Upload that carries the request's body; null if the request was received whole. */
         private final Upload upload;
-        /** The request may have no body in its answer, or comes from a client that knows no chunks. */
+        /** Whether the response must have no body, because the request is a HEAD. */
         private final boolean bodyless;
+        /** Whether the request came in HTTP/1.0, whose clients do not know the chunked coding. */
         private final boolean old;
 
         private Reply(Connection connection, FullHttpRequest request, Upload upload, boolean keepAlive) {
@@ -462,13 +552,13 @@
             old = request != null && request.protocolVersion().equals(HttpVersion.HTTP_1_0);
         }
 
-        /** Which account the request belongs to, and its id; before it has its answer. */
+        /** Sets the ledger account of the request, and its id. Must be called before the request is answered. */
         public void accountedAs(int number, String name) {
             account = number;
             id = name;
         }
 
-        /** Counts its end there; before it has its answer. */
+        /** Sets the counters that count the request's end. Must be called before the request is answered. */
         public void countIn(RequestCounters counts) {
             tally = counts;
         }
@@ -477,27 +567,35 @@
             sheet.end(account, end, id);
         }
 
-        /** What to do when the client leaves before its answer. */
+        /**
+         * Sets the action to run when the client leaves before its response is complete, or when the gateway itself has answered
+         * after a failure.
+         */
         public void onLeft(Runnable action) {
             left = action;
         }
 
-        /** Whether the client's connection is open, by a look at its socket where the last one was long ago. */
+        /**
+         * Returns whether the client's connection is open. Reads its socket first if input may have been waiting there for long.
+         */
         public boolean isClientPresent() {
             return connection.isPresent();
         }
 
-        /** Whether the client has its answer, or has gone. */
+        /** Returns whether the response's head has been sent, or the client has gone. */
         public boolean isDone() {
             return done;
         }
 
-        /** Whether nothing more is to come of it. */
+        /** Returns whether nothing more of the response is to come. */
         public boolean isOver() {
             return done && source == null;
         }
 
-        /** A host's answer begins, and goes out as it comes: of so many bytes, or -1 where only its end will tell. */
+        /**
+         * Sends the head of a server's response that is streamed. {@code contentLength} is the length of the body in bytes, or -1
+         * if it is known only once the body ends.
+         */
         public void begin(long length, Passage.Source from) {
             done = true;
             source = from;
@@ -514,7 +612,8 @@
             keepsAlive = staysOpen() && !unframed;
             tellConnection(head);
             if (unframed) {
-                // Its end is the connection's, and a reset is none: whatever ends it before, a kill too, must be a reset.
+                // The body ends with the connection, and a reset marks it as incomplete: whatever ends the connection before,
+                // also a kill of this process, must be a reset.
                 connection.lingerOnClose(0);
             }
             connection.movedAt = clock.nanos();
@@ -522,14 +621,14 @@
             connection.channel.write(head);
         }
 
-        /** More of it, which is this one's to release. */
+        /** Writes body bytes of a streamed response, and releases them. */
         public void part(ByteBuf bytes) {
             connection.movedAt = clock.nanos();
             connection.channel.writeAndFlush(new DefaultHttpContent(bytes));
             connection.pace();
         }
 
-        /** That was the whole of it. */
+        /** Completes a streamed response. */
         public void end() {
             if (source == null) {
                 return;
@@ -544,7 +643,10 @@
             connection.answer(LastHttpContent.EMPTY_LAST_CONTENT, keepsAlive && connection.channel.isActive());
         }
 
-        /** It will never be whole, which the client must be able to tell. */
+        /**
+         * Aborts a streamed response that cannot be completed, by closing the connection, so that the client can tell that it is
+         * incomplete.
+         */
         public void breakOff() {
             if (source == null) {
                 return;
@@ -558,7 +660,8 @@
         }
 
         private boolean staysOpen() {
-            // What was sent ahead is still owed its answer; of a body that is still on its way no end is known.
+            // Pipelined requests must still be answered. While a body is still being received, it is unknown where the next
+            // request begins.
             boolean spared = (crowded() || ending || standby) && connection.pipelined.isEmpty();
             return keepAlive && !spared && (upload == null || upload.isWhole());
         }
@@ -571,12 +674,15 @@
             }
         }
 
-        /** A host's answer, unchanged. */
+        /** Sends a server's 200 response with its body unchanged. */
         public void served(ByteBuf body) {
             write(HttpResponseStatus.OK, body.retain(), 0);
         }
 
-        /** A plain line; {@code pauseNanos} tells when to come back, 0 for no advice. */
+        /**
+         * Sends a status and a line of plain text. {@code retryAfterNanos} is sent as {@code Retry-After}, in seconds; 0 sends
+         * none.
+         */
         public void plain(HttpResponseStatus status, String line, long pauseNanos) {
             write(status, Unpooled.copiedBuffer(line + "\n", StandardCharsets.UTF_8), pauseNanos);
         }
@@ -588,7 +694,7 @@
             }
             done = true;
             if (account != NO_ACCOUNT) {
-                // By what goes out and not by what it was meant to be.
+                // Recorded by the status that is sent, not by the intended one.
                 count(status.equals(HttpResponseStatus.OK) ? End.SERVED
                         : status.equals(HttpResponseStatus.SERVICE_UNAVAILABLE) ? End.REFUSED : End.FAILED);
             }
@@ -611,33 +717,42 @@
         }
     }
 
-    /** A request, or what came in place of one, and when its last byte came. */
+    /** A request, or what stands for one that was unreadable, and when its last byte was received. */
     private record Arrived(FullHttpRequest request, Upload upload, long at) {
-        /** What it takes while it waits, about. */
+        /** Returns roughly how many bytes of memory it takes while it waits. */
         long size() {
             return AHEAD_EACH + request.content().capacity();
         }
     }
 
+    /** Netty's request decoder, made stricter, which can change over to discarding its input. */
     private static final class Decoder extends HttpRequestDecoder {
+        /** Value of the budget while input is decoded and not discarded. */
         private static final long READS = -1;
+        /** Number of input bytes that may still be discarded. */
         private long mayDiscard = READS;
 
         Decoder() {
             super(new HttpDecoderConfig().setAllowDuplicateContentLengths(true));
         }
 
-        /** Guards against smuggling: two readers would find two ends of such a request (RFC 9112, section 6.3). */
+        /**
+         * Rejects a request with both a length and chunks, against request smuggling: two readers would find two different ends
+         * of it (RFC 9112, section 6.3).
+         */
         @Override
         protected void handleTransferEncodingChunkedWithContentLength(HttpMessage message) {
-            throw new IllegalArgumentException("both a length and chunks");
+            throw new IllegalArgumentException("request has both Content-Length and chunked Transfer-Encoding");
         }
 
         boolean holdsBytes() {
             return actualReadableBytes() > 0;
         }
 
-        /** From now on what comes is looked at no more, but for its end; no more of it than so many bytes. */
+        /**
+         * Discards all input from now on, up to the given number of bytes; then stops reading. Reading on makes the end of the
+         * connection visible.
+         */
         void discard(long most) {
             mayDiscard = most;
         }
@@ -656,34 +771,40 @@
         }
     }
 
+    /** One connection of a client, and the requests on it. */
     private final class Connection extends SimpleChannelInboundHandler<RequestAssembler.Incoming> {
         private final Channel channel;
         private final Decoder decoder = new Decoder();
         private final RequestAssembler assembler = new RequestAssembler(this::isFree, this::read, this::uploadBroke);
-        /** Requests that came before the one ahead had its answer. */
+        /** Pipelined requests: received before the response to an earlier one was complete. */
         private final ArrayDeque<Arrived> pipelined = new ArrayDeque<>();
+        /** Reply of the request that is open, or null. */
         private Reply open;
-        /** Answers, or last parts of them, that wait for the client to read. */
+        /** Number of responses, or last parts of them, that are not flushed because the client has not read them yet. */
         private int unflushed;
-        /** Bytes of what is pipelined. */
+        /** Size of the pipelined requests in bytes. */
         private long ahead;
-        /** Whether the upload under way wants more. */
+        /** Whether the upload under way wants more data. */
         private boolean uploadReads = true;
-        /** Since when the next request is due: the connect, or its first byte. */
+        /** Since when the next request is awaited: the time of the connect, or of the request's first byte. */
         private long dueSince;
-        /** Since when bytes may have stood on it at its accept. */
+        /** Earliest time since when bytes may have been waiting on the connection when it was accepted. */
         private long openSince;
         private long idleSince;
-        /** Of the request that is arriving. */
+        /** Time limits of the request that is being received. */
         private final ArrivalTimer arrival = new ArrivalTimer();
-        /** Of a large answer: when a part of it last went out. */
+        /** When a part of a large response last went out. */
         private long movedAt;
+        /** Whether a request has been received on this connection. */
         private boolean asked;
-        /** It may have waited to be accepted, so that what lies on it is old: its client's leaving may lie behind its request. */
+        /**
+         * Whether the connection may have waited in the backlog, so that its input is old: the client's close may already follow
+         * its request.
+         */
         private boolean waitedInBacklog;
-        /** A part of the next request has come. */
+        /** Whether a part of the next request has been received. */
         private boolean begun;
-        /** Nothing more is read: what came can't be, or the answer on its way says that the connection ends. */
+        /** Whether input is ignored: it is unreadable, or the response under way announces the end of the connection. */
         private boolean deaf;
         private boolean closing;
 
@@ -719,7 +840,7 @@
             }
             begun = false;
             if (!request.decoderResult().isSuccess()) {
-                // Guards against spending time on the rest of what can't be read.
+                // Spends no time on parsing the rest of unreadable input.
                 deaf = true;
                 decoder.discard(MOST_DISCARDED);
             }
@@ -733,12 +854,15 @@
             pipelined.add(arrived);
             count(arrived.size());
             if (free) {
-                // Its client's leaving may lie right behind it: that is read first.
+                // The client's close may already follow the request; that is read first.
                 loop.execute(this::takeNext);
             }
         }
 
-        /** Whether what is read now may have lain there for long: behind a late loop, or since before the accept. */
+        /**
+         * Returns whether what is read now may have waited for long, because the event loop was late or since before the
+         * connection was accepted.
+         */
         private boolean mayBeOld(long now) {
             return lag.isStale(now) || waitedInBacklog;
         }
@@ -747,7 +871,10 @@
             return openSince < dueSince && now - dueSince <= EventLoopLag.BEAT_NANOS ? openSince : lag.earliestArrival(now);
         }
 
-        /** Whether its client is there, as far as the system can tell. Never from within a reading of this connection. */
+        /**
+         * Returns whether the client is present, as far as the operating system can tell. Must not be called from within a read
+         * of this connection.
+         */
         private boolean isPresent() {
             if (channel.isActive() && mayBeOld(clock.nanos())) {
                 SocketReads.now(channel);
@@ -756,9 +883,9 @@
         }
 
         /**
-         * Guards against piling up what one client sends ahead, without breaking off what is open. As long as something is owed
-         * the connection is read where it can be: that its client has left shows in no other way, and what waits here would go
-         * to a host all the same.
+         * Adjusts the size of the pipelined requests, and pauses reading over the bound, so that one client's requests do not
+         * pile up and the open request is not aborted. While a response is pending, the connection is read where possible: only a
+         * read shows that the client has left, and pipelined requests would otherwise still be sent to a server.
          */
         private void count(long more) {
             ahead += more;
@@ -771,13 +898,15 @@
             channel.config().setAutoRead(uploadReads && !full && decoder.mayDiscard != 0);
         }
 
-        /** Of an upload; what is to be read of later requests is not its matter. */
+        /**
+         * Sets whether the upload under way wants more data. The reading of later requests is decided by the pipelining bounds.
+         */
         private void read(boolean on) {
             uploadReads = on;
             readOn();
         }
 
-        /** The rest of a body can't be read: the request is as good as gone, and the client is told why. */
+        /** Answers or closes a request whose body cannot be read any further. */
         private void uploadBroke() {
             endUpload(HttpResponseStatus.BAD_REQUEST, "the body can't be read");
         }
@@ -792,7 +921,7 @@
             }
         }
 
-        /** Holds the host back while this client's side is full. */
+        /** Stops reading the streamed response from the server while the client's outbound buffer is full. */
         private void pace() {
             if (open != null && open.source != null) {
                 open.source.reading(channel.isWritable());
@@ -808,7 +937,10 @@
             ctx.fireChannelWritabilityChanged();
         }
 
-        /** Guards against clients that trickle a body in, or read nothing of an answer, to hold a place for good. */
+        /**
+         * Enforces the time limits of large bodies: clients must not occupy a place for good by sending a body too slowly, or by
+         * reading nothing of a response.
+         */
         private void checkMoving(long now) {
             Upload upload = open == null ? null : open.upload;
             boolean comes = upload != null && !upload.isWhole();
@@ -825,7 +957,7 @@
             }
         }
 
-        /** Of one that has no request open. */
+        /** Returns whether the connection, which has no request open, has waited too long for its next request. */
         private boolean isOverdue(long now) {
             if (!begun) {
                 return now - dueSince >= SAYS_NOTHING_NANOS;
@@ -834,7 +966,7 @@
             return arrival.isOverdue(now);
         }
 
-        /** The limit counts from a request's first byte, and no later byte renews it. */
+        /** Starts the time limit of a request at its first byte; no later byte renews it. */
         @Override
         public void channelReadComplete(ChannelHandlerContext ctx) {
             boolean amidst = decoder.holdsBytes() || assembler.amidst();
@@ -847,9 +979,9 @@
             ctx.fireChannelReadComplete();
         }
 
-        /** Puts the connection into the set where it belongs. */
+        /** Puts the connection into the sets that its state belongs to. */
         private void place() {
-            // One that still has an answer to read is owed the rest of it.
+            // A connection with a response that the client has not read yet is kept until the rest is read.
             boolean rests = connections.contains(this) && isFree() && !deaf && unflushed == 0;
             boolean isDue = rests && (begun || !asked);
             keep(due, isDue);
@@ -871,7 +1003,8 @@
             asked = true;
             boolean readable = request.decoderResult().isSuccess();
             boolean probes = request.uri().equals("/ready");
-            // Guards against probes that take clients' places: each comes on a connection of its own.
+            // Readiness probes come on a connection of their own each; closing it after the response keeps them from taking
+            // clients' places.
             Reply reply = new Reply(this, request, arrived.upload, readable && !probes && HttpUtil.isKeepAlive(request));
             open = reply;
             place();
@@ -898,7 +1031,7 @@
             } catch (BadRequest e) {
                 reply.plain(e.status, e.getMessage(), 0);
             } catch (RuntimeException e) {
-                // A request that was read is owed an answer, whatever fails here.
+                // A request that was read is always answered, whatever fails here.
                 answerFault(reply, e);
             } finally {
                 request.release();
@@ -911,7 +1044,7 @@
             reply.left.run();
         }
 
-        /** The answer to the open request, or the last of it. */
+        /** Writes the response to the open request, or its last part, and takes up the next request or ends the connection. */
         private void answer(HttpObject answer, boolean keepAlive) {
             Upload left = open == null ? null : open.upload;
             boolean partial = left != null && !left.isWhole();
@@ -924,7 +1057,7 @@
             if (keepAlive) {
                 flushed(channel.writeAndFlush(answer).addListener(ChannelFutureListener.CLOSE_ON_FAILURE));
                 if (!pipelined.isEmpty()) {
-                    // Guards against recursion through a run of requests that are answered at once.
+                    // Scheduled, to avoid recursion through a series of requests that are answered at once.
                     loop.execute(this::takeNext);
                 } else {
                     assembler.goOn();
@@ -948,7 +1081,10 @@
             place();
         }
 
-        /** Guards against taking a connection for idle, and closing it, while its client still reads an answer. */
+        /**
+         * Counts a write until it is flushed. A connection must not be taken for idle, and closed, while its client still reads a
+         * response.
+         */
         private void flushed(ChannelFuture written) {
             if (!written.isDone()) {
                 unflushed++;
@@ -970,8 +1106,9 @@
         }
 
         /**
-         * Guards against the reset that closing with bytes unread would be: it would take the answer away from
-         * a client that is still sending. Its time begins when the answer is on its way.
+         * Half-closes the connection after the response is written, and closes it after the given time. Closing with unread input
+         * causes a reset, which would discard the response of a client that is still sending. The time starts when the response
+         * has been written.
          */
         private void endLater(ChannelFuture written, long millis) {
             written.addListener(done -> {
@@ -985,8 +1122,9 @@
         }
 
         /**
-         * The client reads the answer's end, and closes. What it has sent meanwhile stays unread, so that it can tell that nobody
-         * took it; a close at once over such bytes would be a reset, which takes the answer away.
+         * Half-closes the connection after the response is written, and closes it once the client has had the time to read the
+         * response and close its own side. Input received meanwhile stays unread, so that the client can tell that nobody
+         * processed it; an immediate close with such input pending would cause a reset, which discards the response.
          */
         private void closeBehind(ChannelFuture written, int length) {
             written.addListener(done -> {
@@ -1009,7 +1147,10 @@
             }
         }
 
-        /** Ends a connection whose next request has not come in time, with a word where it has begun. */
+        /**
+         * Ends a connection whose next request has not been received in time: with a 408 if a part of it has been received,
+         * otherwise without a response.
+         */
         private void overdue() {
             if (begun) {
                 deaf = true;
@@ -1022,7 +1163,10 @@
             }
         }
 
-        /** How the system ends it: 0 is a reset, -1 the usual. A connection that has broken by now takes no option. */
+        /**
+         * Sets {@code SO_LINGER}: with 0 the close is a reset, with -1 it is a normal one. Setting it fails on a connection that
+         * is broken by now, which is then closed.
+         */
         private void lingerOnClose(int seconds) {
             try {
                 channel.config().setOption(ChannelOption.SO_LINGER, seconds);
@@ -1031,7 +1175,7 @@
             }
         }
 
-        /** Closes it, and forgets it at once so that its place is free. */
+        /** Closes the connection and removes it from all sets, so that its place is free at once. */
         private void drop() {
             forget();
             channel.close();
@@ -1060,7 +1204,7 @@
             Reply unanswered = open;
             open = null;
             if (unanswered != null && unanswered.upload != null) {
-                // Also of one that has come whole and still waits for its host.
+                // Applies also to an upload that was received whole and still waits for a server.
                 unanswered.upload.drop();
             }
             if (unanswered != null && !unanswered.done) {
@@ -1083,7 +1227,7 @@
             if (cause instanceof IOException || open == null || open.done) {
                 ctx.close();
             } else {
-                // Not its connection, but something here has failed.
+                // The failure is not of this connection but of the handling here.
                 answerFault(open, cause);
             }
         }
--- a/src/main/java/cinderhollow/http1/HostPool.java
+++ b/src/main/java/cinderhollow/http1/HostPool.java
@@ -45,76 +45,102 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * Kept-alive connections to the hosts, and the attempts on them. A connection carries one request at a time.
- * Nothing is ever sent a second time here: an attempt whose connection breaks has ended.
+ * Pool of persistent HTTP/1.1 connections to the servers, and the attempts sent on them. A connection carries one request at a
+ * time. The pool never sends a request a second time: an attempt whose connection breaks has ended. Belongs to one event loop.
  */
 public final class HostPool {
-    /** Told once for each attempt, on the event loop, never from within {@link #send} or a cancel. */
+    /**
+     * Receives the events of one attempt, on the event loop. The end of the attempt is never reported from within {@link #send}
+     * or a cancel.
+     */
     public interface Listener {
-        /** {@code body} is there for a served attempt alone, and is the listener's for the call's length. */
+        /**
+         * Called once when the attempt has ended. {@code body} is non-null only for a served attempt; it is valid only during the
+         * call.
+         */
         void ended(Attempt attempt, Outcome outcome, long atNanos, LoadReport load, ByteBuf body);
 
-        /** The attempt's last byte has been written. */
+        /** Called when the attempt's last byte has been written. */
         void written();
 
         /**
-         * Asked right before the attempt's first byte would be written, however long ago it was started. {@code serverAvailable}
-         * goes by the list as the pool has it.
+         * Decides whether the attempt is sent; called right before its first byte is written, however long ago the attempt was
+         * started. {@code serverAvailable} tells whether the server takes new requests according to the pool's current endpoint
+         * list.
          */
         SendDecision decideSend(BooleanSupplier serverAvailable);
 
-        /** Where transitions that are forbidden are counted. */
+        /** Returns the monitor that counts forbidden state transitions of attempts. */
         TransitionMonitor monitor();
 
         /**
-         * A served attempt's answer is passed on as it comes, {@code length} being -1 where only its end tells; the attempt has
-         * ended with this, and {@link #ended} is not told. Null where nobody wants the answer any more.
+         * Called when a served attempt's response is streamed. The attempt has ended with this call, and {@link #ended} is not
+         * called for it. {@code length} is the length of the body in bytes, or -1 if it is known only once the body ends. Returns
+         * the receiver of the body, or null if the response is not wanted any more.
          */
         Passage begun(Attempt attempt, long atNanos, LoadReport load, long length, Passage.Source source);
 
-        /** The account that the request belongs to, where account is kept. */
+        /** Returns the number of the ledger account that the request belongs to; used only if a ledger is kept. */
         int account();
 
-        /** The request's id. */
+        /** Returns the request's id. */
         String id();
     }
 
-    /** Guards against a request that crosses the host's own closing of an idle connection. */
+    /**
+     * Part of the servers' idle timeout for which an idle connection is kept. Below 1, so that a request is not sent just as the
+     * server closes its idle connection.
+     */
     private static final double IDLE_PART = 2.0 / 3;
     /**
-     * Guards against hosts that answer a second time some milliseconds later: with another request out by then, what no host
-     * made for it would pass for its answer. Once one has brought more than its answer, nothing else goes out on any connection
-     * for so long after an answer, until no more such has come for a time. What is to go out waits, since a new connection takes
-     * as long and costs the host work: under load each would be given up for the next request.
+     * Reuse delay, and for how long it applies. Some servers send a second response a few milliseconds after the first; if
+     * another request were in flight on the connection by then, those bytes would be taken for its response. Once a server has
+     * sent more than its response, no connection is reused until 8 ms after its last response, until no such excess data has been
+     * seen for 60 s. The request waits for the delay rather than for a new connection: dialling takes as long and costs the
+     * server work, and under load each connection would be discarded for the next request.
      */
     private static final long SETTLED_NANOS = TimeUnit.MILLISECONDS.toNanos(8), UNTIDY_NANOS = TimeUnit.SECONDS.toNanos(60);
     private static final long SWEEP_MILLIS = 500;
-    /** A host that gives, or takes, nothing of a large body for so long is thought to be gone. */
+    /**
+     * A connection with a large body on which the server neither sends nor accepts data for this long is closed; the server is
+     * presumed gone.
+     */
     private static final long SILENT_NANOS = TimeUnit.SECONDS.toNanos(10);
-    /** Of what is on its way to one host: guards against memory that grows with the number of large bodies. */
+    /**
+     * Bounds of the outbound buffer of one connection, so that memory does not grow with the number of large bodies in flight.
+     */
     private static final WriteBufferWaterMark WATER_MARK = new WriteBufferWaterMark(32 * 1024, 64 * 1024);
-    /** What is read at once. */
+    /** Maximum number of bytes of one socket read. */
     static final int LARGEST_READ = 64 * 1024;
 
     private final EventLoop loop;
     private final GatewayClock clock;
     private final LagAwareTimers timers;
     private final int mostConnections;
-    /** What this side counts of attempts, and how many are out by account; null where nobody keeps account. */
+    /** Ledger counters for attempts; null if no ledger is kept. */
     private final Sheet sheet;
+    /** Number of attempts in flight, by account. */
     private final long[] out;
     private long idleNanos;
     private final Bootstrap bootstrap;
     private final Map<String, Host> hosts = new HashMap<>();
-    /** Those that carry a large body now. */
+    /** Connections with a large body under way. */
     private final Set<Connection> moving = new HashSet<>();
     private int connections;
     private long untidyUntil = Long.MIN_VALUE;
     private boolean sharesPlaces;
 
     /**
-     * Dials for so long, keeps idle connections for a part of so long, and holds so many at the most; attempts are counted in
-     * the sheet, which may be null, for so many accounts.
+     * Creates a pool without servers.
+     *
+     * @param loop event loop of all connections
+     * @param transport kind of sockets to connect with
+     * @param clock clock of all times
+     * @param dialTimeoutNanos how long a connect may take
+     * @param idleNanos idle timeout of the servers; idle connections are kept for a part of it
+     * @param mostConnections maximum number of connections, open or being dialled
+     * @param sheet ledger counters for attempts, or null
+     * @param accounts number of ledger accounts
      */
     public HostPool(EventLoop loop, Transport transport, GatewayClock clock, long dialTimeoutNanos, long idleNanos,
              int mostConnections, Sheet sheet, int accounts) {
@@ -131,14 +157,19 @@
         loop.scheduleWithFixedDelay(this::retireIdle, SWEEP_MILLIS, SWEEP_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    /** Other times than those it was made with, from the next connection on. */
+    /**
+     * Sets the connect timeout and the servers' idle timeout. The connect timeout applies to connections dialled from now on.
+     */
     public void retune(long dialTimeoutNanos, long hostsIdleNanos) {
         idleNanos = (long) (hostsIdleNanos * IDLE_PART);
         bootstrap.option(ChannelOption.CONNECT_TIMEOUT_MILLIS,
                 (int) Math.max(1, TimeUnit.NANOSECONDS.toMillis(dialTimeoutNanos)));
     }
 
-    /** Takes in a list before the module is told of it, so that each host it names has an address. */
+    /**
+     * Updates the servers from an endpoint list. Must be called before the decision module receives the list, so that each server
+     * it may choose has an address here.
+     */
     public void update(EndpointList list) {
         Set<String> named = new HashSet<>();
         for (Endpoint endpoint : list.endpoints()) {
@@ -174,14 +205,16 @@
         }
     }
 
-    /** Starts an attempt. The request is this method's to release. */
+    /** Starts an attempt. This method takes ownership of the request and releases it. */
     public Attempt send(String host, FullHttpRequest request, long timeoutNanos, Listener listener) {
         Attempt attempt = new Attempt(request, null, clock.nanos(), listener);
         attempt.timeOutIn(timeoutNanos);
         return start(host, attempt);
     }
 
-    /** The same of a request whose body comes behind it; its time-out starts with {@link Attempt#timeOutIn}. */
+    /**
+     * Starts an attempt of a request whose body is forwarded as it arrives. Its timeout starts with {@link Attempt#timeOutIn}.
+     */
     public Attempt send(String host, HttpRequest head, Upload upload, Listener listener) {
         return start(host, new Attempt(head, upload, clock.nanos(), listener));
     }
@@ -199,27 +232,27 @@
         return attempt;
     }
 
-    /** How many attempts of an account have not ended. */
+    /** Returns the number of attempts of an account that are in flight. */
     public long out(int account) {
         return out[account];
     }
 
-    /** Another process has a part of the places while this holds. */
+    /** Sets whether another process uses a part of the connection limit; if so, this pool uses at most half of it. */
     public void overlap(boolean shares) {
         sharesPlaces = shares;
     }
 
-    /** The list as it stands. */
+    /** Returns the endpoints of the current list. */
     public List<Endpoint> list() {
         return hosts.values().stream().map(host -> host.endpoint).toList();
     }
 
-    /** How many hosts the list names. */
+    /** Returns the number of servers in the current list. */
     public int listed() {
         return hosts.size();
     }
 
-    /** Connections that are open or on their way. */
+    /** Returns the number of connections that are open or being dialled. */
     public int connections() {
         return connections;
     }
@@ -242,10 +275,10 @@
         return false;
     }
 
-    /** One host since its last start, at one address. */
+    /** One server since its last start, at one address. A restart or a change of address makes a new instance. */
     private final class Host {
         private Endpoint endpoint;
-        /** The latest used last. */
+        /** Idle connections, the most recently used last. */
         private final ArrayDeque<Connection> idle = new ArrayDeque<>();
         private final Set<Connection> all = new HashSet<>();
         private boolean keeps;
@@ -261,8 +294,9 @@
         }
 
         /**
-         * The latest used of those that have settled, so that the others come of age, or else the one that will first; one that
-         * the host has closed is passed over.
+         * Returns an idle connection, or null. Prefers the most recently used one that can be reused at once, so that the others
+         * reach their idle timeout; if all are within the reuse delay, returns the one whose delay ends first. Connections that
+         * the server has closed, or that have been idle for too long, are closed and skipped.
          */
         Connection takeIdle() {
             long now = clock.nanos();
@@ -299,11 +333,12 @@
                 }
             }).connect(endpoint.address());
             connection.channel = dial.channel();
-            // After the channel's last reading, which a task of its own makes of an answer that the connection's end ends.
+            // Runs after the channel's last read: a response that is delimited by the end of the connection is completed in a
+            // task of its own.
             Dials.onEnd(dial, loop, () -> loop.execute(connection::closed));
             dial.addListener(done -> {
                 if (!done.isSuccess()) {
-                    // Without a socket the future is told on another thread.
+                    // If no socket could be created, the future is completed on another thread.
                     loop.execute(() -> attempt.listener.monitor().connectFailed(endpoint.info().id(), done.cause()));
                 }
             });
@@ -321,8 +356,9 @@
         }
 
         /**
-         * Guards against holding connections, of which a host has few, to one that drains or is gone; and against a request
-         * that still goes there since its connection came up late. What is in work there may still be answered.
+         * Sets whether the server takes new requests. If not (draining or gone), closes its idle connections, of which a server
+         * may allow only a few, and fails the attempts that wait for a connection, since the connection may come up late and the
+         * request would still be sent to this server. Requests that have been sent may still be answered.
          */
         void keepConnections(boolean keep) {
             keeps = keep;
@@ -332,7 +368,10 @@
             }
         }
 
-        /** Guards against waiting on a process that is no more: its machine may never say so. */
+        /**
+         * Closes the connections opened before the server restarted: the process at their other end no longer exists, and its
+         * machine may never report that.
+         */
         void breakBefore(long startOfNext) {
             for (Connection connection : List.copyOf(all)) {
                 if (connection.openedAt < startOfNext) {
@@ -342,19 +381,21 @@
         }
     }
 
+    /** One connection to a server, open or being dialled. */
     private final class Connection implements AnswerReader.Listener, Upload.Sink, Passage.Source {
         private final Host host;
         private final long openedAt = clock.nanos();
         private Channel channel;
         private Attempt attempt;
         private long idleSince;
-        /** Whether there has been a request on it. */
+        /** Whether a request has been sent on this connection. */
         private boolean carried;
         private boolean closed;
-        /** Where the answer on it goes, if that is passed on as it comes. */
+        /** Receiver of the response, if the response is being streamed; otherwise null. */
         private Passage passage;
-        /** When a part of a large body last moved, and whether this side holds the answer back. */
+        /** When a part of a large body was last sent or received. */
         private long movedAt;
+        /** Whether this side has paused reading the response from the server. */
         private boolean heldBack;
 
         Connection(Host host, Attempt first) {
@@ -362,7 +403,10 @@
             attempt = first;
         }
 
-        /** What waits for it to come up has to go elsewhere: nothing of it was ever written. */
+        /**
+         * Ends an attempt that waits for this connection, as failed to connect: none of it has been written, so it can be sent to
+         * another server.
+         */
         void turnBack() {
             Attempt waits = attempt;
             if (waits != null && !waits.lifecycle.hasBegun()) {
@@ -384,12 +428,15 @@
             }
         }
 
-        /** How much longer nothing goes out on it, in nanoseconds. */
+        /** Returns how much longer the reuse delay lasts, in nanoseconds; zero or negative if the connection can be used now. */
         long rest(long now) {
             return carried && now < untidyUntil ? idleSince + SETTLED_NANOS - now : 0;
         }
 
-        /** At once, or when it has rested; what waits for that is as unsent as what waits for a connection to come up. */
+        /**
+         * Sends the attempt now, or once the reuse delay is over. An attempt that waits for this is as unsent as one that waits
+         * for a connect.
+         */
         void carryOnceSettled(Attempt next) {
             long rest = rest(clock.nanos());
             if (rest <= 0) {
@@ -407,9 +454,10 @@
             }, rest, TimeUnit.NANOSECONDS);
         }
 
+        /** Sends the attempt on this connection, unless its send deadline has passed or the listener decides against it. */
         void carry(Attempt next) {
             if (clock.nanos() > next.outBy) {
-                // Its timer is due too, and the loop was late.
+                // The timer of the send deadline is due as well, but the event loop was late.
                 giveBack(next);
                 loop.execute(next::notOut);
                 return;
@@ -435,7 +483,7 @@
             next.upload.to(this);
         }
 
-        /** The attempt is not sent, and the connection is free for others. */
+        /** Releases the connection, for use by others, from an attempt that is not sent. */
         private void giveBack(Attempt unsent) {
             attempt = null;
             unsent.connection = null;
@@ -465,7 +513,8 @@
             Attempt last = attempt;
             moving.remove(this);
             if (last != null) {
-                // Not the way of the body here, which was the client's: a host begins with the last byte.
+                // The elapsed time counts from here. It excludes the upload's time, which depends on the client: a server starts
+                // processing with the last byte.
                 last.sentAt = clock.nanos();
                 channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT)
                         .addListener(write -> last.written(write.isSuccess(), channel));
@@ -485,7 +534,10 @@
             moving.add(this);
         }
 
-        /** Guards against a host that takes or gives nothing more, while nobody else is waited for. */
+        /**
+         * Closes the connection if the server has sent or accepted nothing of a large body since the given time. Time in which
+         * the client, and not the server, has to make progress does not count.
+         */
         void closeIfStill(long since) {
             boolean hostsTurn = passage != null ? !heldBack : attempt != null && attempt.upload != null && !attempt.upload.isRead();
             if (!hostsTurn) {
@@ -541,13 +593,13 @@
         public void answered(HttpResponse head, ByteBuf body, boolean framed, boolean clean) {
             Attempt answered = attempt;
             if (answered == null) {
-                return; // called off within this very read, and closed
+                return; // cancelled during this same read, and the connection closed
             }
             attempt = null;
             if (!clean) {
                 untidyUntil = clock.nanos() + UNTIDY_NANOS;
             }
-            // A free connection first: the module may send again at once.
+            // Releases the connection first: the decision module may send the next attempt at once.
             release(clean && framed && HttpUtil.isKeepAlive(head) && !answered.isUnsent());
             Outcome outcome = outcome(head, !answered.isUnsent());
             answered.end(outcome, LoadReports.read(head.headers().getAll("X-Server-Load")),
@@ -577,7 +629,10 @@
             }
         }
 
-        /** Guards against an answer to a part of a request: no host can have served what it doesn't have whole. */
+        /**
+         * Returns the outcome of an attempt by its response. A 200 that comes before the whole request has been sent is an error:
+         * no server can have processed a request that it does not have whole.
+         */
         private Outcome outcome(HttpResponse head, boolean asked) {
             HttpResponseStatus status = head.status();
             if (status.equals(HttpResponseStatus.OK)) {
@@ -597,7 +652,7 @@
             }
         }
 
-        /** After the write's own end, so that it is known by now whether the last byte went out. */
+        /** Called after the last write has completed or failed, so that it is known by now whether the last byte was sent. */
         private void closed() {
             if (closed) {
                 return;
@@ -616,18 +671,18 @@
         }
     }
 
-    /** One send of a request to a host. */
+    /** One sending of a request to a server. */
     public final class Attempt {
         private final Listener listener;
-        /** Null where the request has its whole body. */
+        /** Upload that carries the body; null if the request already holds its whole body. */
         private final Upload upload;
         private long sentAt;
         private HttpRequest request;
         private Connection connection;
         private Future<?> timer;
-        /** From then on no byte of it goes out. */
+        /** Send deadline: from this time on no byte of the attempt is sent. */
         private long outBy = Long.MAX_VALUE;
-        /** When its time is over, where that is known. */
+        /** When the attempt times out; {@code Long.MAX_VALUE} as long as that is unknown. */
         private long deadline = Long.MAX_VALUE;
         private final AttemptLifecycle lifecycle;
         /** Null until it has ended. */
@@ -645,17 +700,17 @@
             }
         }
 
-        /** How long it has been out at that time, in nanoseconds. */
+        /** Returns how long the attempt has been in flight at the given time, in nanoseconds. */
         public long elapsed(long at) {
             return Math.max(0, at - sentAt);
         }
 
-        /** How it ended, or null. */
+        /** Returns how the attempt ended, or null if it is in flight. */
         public Outcome outcome() {
             return outcome;
         }
 
-        /** Gives up after so long from now. */
+        /** Sets the attempt's timeout, in nanoseconds from now. */
         public void timeOutIn(long nanos) {
             if (!lifecycle.isEnded()) {
                 deadline = clock.nanos() + nanos;
@@ -663,7 +718,7 @@
             }
         }
 
-        /** The server is told what is left now: the request may have waited here for its connection. */
+        /** Sets {@code X-Timeout} to the time left now: the request may have waited for its connection. */
         private void tellDeadline(HttpRequest unsent) {
             if (deadline != Long.MAX_VALUE) {
                 RequestReader.setTimeout(unsent, deadline - clock.nanos());
@@ -674,7 +729,7 @@
             end(Outcome.NOT_SENT, null, null);
         }
 
-        /** Goes out whole within so long from now, or ends as never sent. */
+        /** Requires the attempt to be sent whole within the given time from now; otherwise it ends as failed to connect. */
         public void outWithin(long nanos) {
             if (!lifecycle.isEnded() && isUnsent()) {
                 outBy = clock.nanos() + nanos;
@@ -708,15 +763,16 @@
             return listener.begun(this, clock.nanos(), load, length, source);
         }
 
-        /** Stops waiting; from now on no byte of it goes out. */
+        /** Cancels the attempt; no further byte of it is sent. */
         public void cancel() {
             abandon();
             loop.execute(() -> end(Outcome.CANCELLED, null, null));
         }
 
         /**
-         * Stops waiting if no host can have it whole, which calls off no work: the same where hosts may not be asked to cancel.
-         * Guards against a request that goes out when a connection comes up long after its client has left.
+         * Cancels the attempt if no server can have received it whole. This cancels no work on a server, so it also applies where
+         * servers may not be asked to cancel. Without it, a request could be sent on a connection that comes up long after the
+         * client has left.
          */
         public void callOff() {
             if (!lifecycle.isEnded() && isUnsent()) {
@@ -724,18 +780,24 @@
             }
         }
 
-        /** Whether the system was never given its last byte: what this process still holds of it goes with its connection. */
+        /**
+         * Returns whether the last byte of the request was never handed to the operating system. In that case no server has it
+         * whole: what this process still holds of it is discarded with its connection.
+         */
         public boolean isUnsent() {
             return !lifecycle.mayHaveRun();
         }
 
         private void timedOut() {
             abandon();
-            // What a host can't have whole is proved not to have run.
+            // A request that no server can have received whole has provably not run.
             end(isUnsent() ? Outcome.CONNECT_FAILED : Outcome.TIMED_OUT, null, null);
         }
 
-        /** A connection with a request on it is closed; one that is still coming up is kept for others. */
+        /**
+         * Detaches the attempt from its connection. A connection on which the request was begun is closed; one that is still
+         * being dialled is kept for other attempts.
+         */
         private void abandon() {
             if (!lifecycle.isEnded() && connection != null) {
                 connection.attempt = null;
--- a/src/main/java/cinderhollow/http1/LoadReports.java
+++ b/src/main/java/cinderhollow/http1/LoadReports.java
@@ -3,17 +3,19 @@
 import cinderhollow.policy.Protocol.LoadReport;
 import java.util.List;
 
-/** Reads a host's account of its load, as {@code tps=140,load_share=0.62,err_ps=0.5}. */
+/**
+ * Parses the {@code X-Server-Load} header, a server's report of its load, such as {@code tps=140,load_share=0.62,err_ps=0.5}.
+ */
 final class LoadReports {
-    /** No host does more of anything in a second, nor holds more. */
+    /** Largest credible figure: no server does more of anything in a second, nor holds more. */
     private static final double MOST = 1e9;
 
     private LoadReports() { }
 
     /**
-     * The report, or null where there is none that can be read; it is advice, so nothing else depends on it.
-     * Guards against believing figures that can't be: one that is no number, infinite, negative or absurd, and
-     * two reports in one answer, leave none.
+     * Returns the report, or null if there is none that can be parsed. The report is advisory, so nothing else depends on it. A
+     * figure that is no number, infinite, negative or absurdly large rejects the whole report, and so do two reports in one
+     * response.
      */
     static LoadReport read(List<String> headers) {
         if (headers.size() != 1) {
@@ -37,6 +39,7 @@
         return new LoadReport(values[0], values[1], values[2], values[3], values[4], values[5]);
     }
 
+    /** Returns the number, or NaN if the text is none. */
     private static double number(String text) {
         try {
             return Double.parseDouble(text);
@@ -45,7 +48,10 @@
         }
     }
 
-    /** By the names on the sockets and by those that settings may use. */
+    /**
+     * Returns the index of a field, or -1 if the name is unknown. Each field has two names: the one used on the network, and the
+     * one that the configuration may use.
+     */
     private static int position(String name) {
         return switch (name) {
             case "qps", "tps" -> 0;
--- a/src/main/java/cinderhollow/http1/Passage.java
+++ b/src/main/java/cinderhollow/http1/Passage.java
@@ -2,23 +2,26 @@
 
 import io.netty.buffer.ByteBuf;
 
-/** Where a large answer goes as it comes: the client's side, told by the host's. Of one event loop. */
+/** Receives a streamed response on the side of the client; called by the upstream side. Belongs to one event loop. */
 public interface Passage {
-    /** The host's side of it. */
+    /** Upstream side of the streamed response. */
     interface Source {
-        /** Whether to read on from the host: not while the client's side is full. */
+        /** Sets whether to read on from the server; reading stops while the client's side is full. */
         void reading(boolean on);
 
-        /** The client has gone: nothing more is wanted. */
+        /** Cancels the response because the client has gone. */
         void cancel();
     }
 
-    /** A part, which is the callee's to release. */
+    /** Receives body bytes, and releases them. */
     void part(ByteBuf bytes);
 
-    /** That was the whole answer. */
+    /** Called when the response is complete. */
     void end();
 
-    /** The host broke off, or fell silent: the answer will never be whole, and the client must see that. */
+    /**
+     * Called when the response can never be completed because the connection to the server broke or stalled. The client must be
+     * able to tell.
+     */
     void broken();
 }
--- a/src/main/java/cinderhollow/http1/RequestAssembler.java
+++ b/src/main/java/cinderhollow/http1/RequestAssembler.java
@@ -26,13 +26,13 @@
 import java.util.function.Consumer;
 
 /**
- * Makes a client's requests of what its connection brings: up to 64 KiB of body whole, a larger one as its head and an
- * {@link Upload}. Netty's own collector would write answers past the connection (413, 417 and 100), which would overtake
- * the answer that an earlier request is still owed, and pass for it. What can't be read comes out as one request that says
- * so, in its turn.
+ * Assembles the requests of one client connection: a body of up to 64 KiB is buffered whole, a larger one becomes a head and an
+ * {@link Upload}. Netty's own aggregator would write responses of its own (413, 417 and 100), which would overtake the pending
+ * response to an earlier request and be taken for it. Unreadable input is passed on as one request with a decoder failure, in its
+ * order among the requests.
  */
 final class RequestAssembler extends ChannelInboundHandlerAdapter {
-    /** A request: whole, or with the rest of its body on the way. */
+    /** A request: whole, or with the rest of its body still to come, in which case {@code upload} is not null. */
     record Incoming(FullHttpRequest request, Upload upload) { }
 
     private final BooleanSupplier free;
@@ -40,16 +40,19 @@
     private final Runnable brokenUpload;
     private ChannelHandlerContext context;
     private HttpRequest head;
-    /** Null once the body is an upload. */
+    /** Body buffered so far; null once the body has become an upload. */
     private CompositeByteBuf body;
     private Upload upload;
+    /** Number of body bytes received of the current request. */
     private long received;
+    /** Whether the client waits for {@code 100 Continue}. */
     private boolean owesContinue;
     private boolean failed;
 
     /**
-     * Tells clients to go on with a body only while {@code free}: while no earlier request waits. {@code reading} stops and
-     * starts what comes from the client; an upload that can't be read any more is told by {@code brokenUpload}.
+     * Creates an assembler. It sends {@code 100 Continue} only while {@code noPendingRequest} is true, that is, while no earlier
+     * request is pending. {@code readControl} pauses and resumes reading from the client; {@code uploadBrokenHandler} runs when
+     * the rest of an upload cannot be read.
      */
     RequestAssembler(BooleanSupplier free, Consumer<Boolean> reading, Runnable brokenUpload) {
         this.free = free;
@@ -57,17 +60,17 @@
         this.brokenUpload = brokenUpload;
     }
 
-    /** Whether the head of a request has come and the end of its body has not. */
+    /** Returns whether the head of a request has been received and the end of its body has not. */
     boolean amidst() {
         return head != null;
     }
 
-    /** The bytes of body that the request under way has brought. */
+    /** Returns the number of body bytes received of the current request. */
     long received() {
         return received;
     }
 
-    /** Tells the client to send the body, if it waits to be told. */
+    /** Sends {@code 100 Continue} if the client waits for it. */
     void goOn() {
         if (owesContinue && received == 0) {
             context.writeAndFlush(new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.CONTINUE));
@@ -98,7 +101,7 @@
             body = context.alloc().compositeBuffer();
             request.setUri(origin(request.uri()));
         }
-        String fault = part.decoderResult().isFailure() ? "unreadable" : part instanceof HttpRequest ? fault(head) : null;
+        String fault = part.decoderResult().isFailure() ? "malformed request" : part instanceof HttpRequest ? fault(head) : null;
         if (fault != null) {
             fail(fault);
             return;
@@ -131,7 +134,7 @@
         }
     }
 
-    /** From here on the body is passed on as it comes. */
+    /** Changes over from buffering the body to an upload, which is forwarded as it arrives. */
     private void pass(long length) {
         Upload begins = new Upload(length, reading);
         CompositeByteBuf begun = body;
@@ -146,8 +149,8 @@
             Upload done = upload;
             forget();
             if (done.wasHeld()) {
-                // Guards against passing on the end of a body whose client left while it was not read from: that shows right
-                // behind the last byte, at the next look.
+                // The client may have left while reading was paused. That shows only right behind the last byte, at the next poll
+                // of the socket; until then the end of the body is not forwarded.
                 context.executor().schedule(done::end, ClientServer.LOOK_MILLIS, TimeUnit.MILLISECONDS);
             } else {
                 done.end();
@@ -180,17 +183,23 @@
         }
     }
 
-    /** Guards against a body that two readers would end at two places (RFC 9112, section 6.3). */
+    /**
+     * Returns what is wrong with the request's transfer coding, or null. A body that two readers would end at two different
+     * places is rejected (RFC 9112, section 6.3).
+     */
     private static String fault(HttpRequest request) {
         List<String> codings = request.headers().getAll(HttpHeaderNames.TRANSFER_ENCODING);
         boolean coded = !codings.isEmpty();
         if (coded && (codings.size() > 1 || !HttpHeaderValues.CHUNKED.contentEqualsIgnoreCase(codings.get(0).strip()))) {
-            return "a transfer coding other than chunked";
+            return "unsupported transfer coding: only chunked is accepted";
         }
-        return coded && !request.protocolVersion().equals(HttpVersion.HTTP_1_1) ? "chunked before HTTP/1.1" : null;
+        return coded && !request.protocolVersion().equals(HttpVersion.HTTP_1_1) ? "chunked coding requires HTTP/1.1" : null;
     }
 
-    /** The origin form of a target: clients that take the gateway for a proxy name it in full (RFC 9112, section 3.2.2). */
+    /**
+     * Returns the origin form of a request target: clients that take the gateway for a proxy send the absolute form (RFC 9112,
+     * section 3.2.2).
+     */
     private static String origin(String target) {
         int scheme = target.regionMatches(true, 0, "http://", 0, "http://".length()) ? "http://".length()
                 : target.regionMatches(true, 0, "https://", 0, "https://".length()) ? "https://".length() : 0;
--- a/src/main/java/cinderhollow/http1/RequestReader.java
+++ b/src/main/java/cinderhollow/http1/RequestReader.java
@@ -24,31 +24,42 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 
-/** Reads a client's request as the module's event, and makes the request that goes on to a host. */
+/**
+ * Converts a client's request to the event that the decision module handles, and creates the request that is sent to a server.
+ */
 public final class RequestReader {
     private static final String ID = "X-Request-ID", TIMEOUT = "X-Timeout", KEY = "Idempotency-Key";
-    /** Longer figures of a time-out are no time-out that anyone waits for. */
+    /** Maximum number of digits of a number; longer timeouts are longer than any client waits. */
     private static final int MOST_DIGITS = 12;
-    /** Headers that are between two neighbours only, or are made anew for the host. */
+    /** Headers that are not forwarded because they concern a single connection (hop-by-hop), or are set anew for the server. */
     private static final List<AsciiString> NOT_PASSED_ON = List.of(HttpHeaderNames.CONNECTION,
             AsciiString.cached("keep-alive"), AsciiString.cached("proxy-connection"), HttpHeaderNames.TE,
             HttpHeaderNames.TRAILER, HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderNames.UPGRADE, HttpHeaderNames.EXPECT,
             HttpHeaderNames.CONTENT_LENGTH, AsciiString.cached("x-timeout"));
-    /** The kind that the decoder makes: headers of one kind are copied without being hashed or checked again. */
+    /**
+     * Factory of the same kind of headers that the decoder creates: headers of one kind are copied without being hashed or
+     * validated again.
+     */
     private static final HttpHeadersFactory AS_READ = DefaultHttpHeadersFactory.headersFactory();
+    /** Maximum length of a header value or a path that is checked here, in characters. */
     private static final int LONGEST_VALUE = 4_000;
 
     private RequestReader() { }
 
     /**
-     * Reads a request as one of the classes; {@code routing} is null where no operator has set routes, and then the
-     * path's first part names the class. {@code body} says that it has one. {@code waitedNanos} is how long ago the request's last byte came: that much of its
-     * time has passed.
+     * Converts a request to an event.
+     *
+     * @param request the request, with its whole body or without one
+     * @param classes classes of requests by name
+     * @param routing the operator's routes, or null if there are none; then the first segment of the path names the class
+     * @param body whether the request has a body
+     * @param waitedNanos how long ago the request's last byte was received; that much of its time has passed
+     * @throws BadRequest if the request is invalid, or its time has run out
      */
     public static RequestArrived read(FullHttpRequest request, Map<String, RequestClass> classes, Routing routing,
                                       boolean body, long waitedNanos) throws BadRequest {
         HttpHeaders headers = request.headers();
-        // Before anything is read from the path: guards against a path that means one class here and another at a node.
+        // Checked before the path is used: a path must not mean one class here and another at a server.
         String fault = Paths.fault(request.uri());
         if (fault != null) {
             throw new BadRequest(HttpResponseStatus.BAD_REQUEST, fault);
@@ -74,7 +85,10 @@
                 match == null ? null : match.course());
     }
 
-    /** Guards against asking a host for what it turns away, and against passing an unsafe request for a safe one. */
+    /**
+     * Checks that the method, the idempotency key and the body fit the effect of the class: a server must not be sent what it
+     * rejects, and an unsafe request must not be treated as a safe one.
+     */
     private static void checkMethod(FullHttpRequest request, Effect effect, boolean body) throws BadRequest {
         boolean keyed = request.headers().contains(KEY);
         if (!request.method().equals(effect == Effect.SAFE ? HttpMethod.GET : HttpMethod.POST)) {
@@ -89,8 +103,8 @@
     }
 
     /**
-     * The only value of the header. Guards against two readings of a request, and against values that would not
-     * reach a host as they came.
+     * Returns the only value of a header. Rejects several values, which two readers could interpret differently, and values that
+     * would not reach a server unchanged.
      */
     private static String only(HttpHeaders headers, String name) throws BadRequest {
         Iterator<String> values = headers.valueStringIterator(name);
@@ -101,7 +115,7 @@
         return value;
     }
 
-    /** Visible ASCII of a usual length, which passes through every reader as it is. */
+    /** Returns whether the text is visible ASCII of a usual length, which every parser passes on unchanged. */
     private static boolean isUnchanged(String text) {
         for (int i = 0; i < text.length(); i++) {
             if (text.charAt(i) <= ' ' || text.charAt(i) > '~') {
@@ -111,7 +125,7 @@
         return !text.isEmpty() && text.length() <= LONGEST_VALUE;
     }
 
-    /** A number and a unit: {@code 480m} milliseconds or {@code 480000u} microseconds. */
+    /** Parses {@code X-Timeout}, a number and a unit: {@code 480m} milliseconds or {@code 480000u} microseconds. */
     private static long timeoutNanos(String text) throws BadRequest {
         int digits = text.length() - 1;
         TimeUnit unit = text.endsWith("m") ? TimeUnit.MILLISECONDS : text.endsWith("u") ? TimeUnit.MICROSECONDS : null;
@@ -122,19 +136,21 @@
         return unit.toNanos(figure);
     }
 
-    /** A guess at the work, so one that can't be read is as good as none. */
+    /**
+     * Parses {@code X-Cost}, in microseconds. It is an estimate of the work, so one that cannot be parsed is treated as absent.
+     */
     private static long workNanos(String micros) {
         return micros == null ? 0 : TimeUnit.MICROSECONDS.toNanos(positive(micros));
     }
 
-    /** The number, or 0 where the text is not one of a usual size. */
+    /** Returns the number, or 0 if the text is not a number of a usual size. */
     private static long positive(String text) {
         boolean plain = !text.isEmpty() && text.length() <= MOST_DIGITS
                 && text.chars().allMatch(c -> c >= '0' && c <= '9');
         return plain ? Long.parseLong(text) : 0;
     }
 
-    /** The same request with what is left of its time. */
+    /** Returns the request as it is sent to a server, with the time that is left of it, in nanoseconds. */
     public static FullHttpRequest forHost(FullHttpRequest request, long timeoutNanos) {
         FullHttpRequest copy = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, request.method(), request.uri(),
                 request.content().retainedDuplicate(), AS_READ, AS_READ);
@@ -143,7 +159,7 @@
         return copy;
     }
 
-    /** The head of the same request, whose body comes behind it. */
+    /** Returns the head of the request as it is sent to a server; the body follows from the upload. */
     public static HttpRequest forHost(FullHttpRequest request, Upload upload, long timeoutNanos) {
         HttpRequest copy = new DefaultHttpRequest(HttpVersion.HTTP_1_1, request.method(), request.uri(), AS_READ);
         passOn(request, copy, timeoutNanos);
@@ -155,13 +171,14 @@
         return copy;
     }
 
+    /** Copies the headers that are forwarded, and sets {@code X-Timeout}. */
     private static void passOn(HttpRequest request, HttpRequest copy, long timeoutNanos) {
         copy.headers().add(request.headers());
         NOT_PASSED_ON.forEach(copy.headers()::remove);
         setTimeout(copy, timeoutNanos);
     }
 
-    /** Tells a server how long its answer is waited for, in nanoseconds from now. */
+    /** Sets {@code X-Timeout}, which tells a server how long its response is waited for, in nanoseconds from now. */
     static void setTimeout(HttpRequest request, long timeoutNanos) {
         request.headers().set(TIMEOUT, Math.max(1, TimeUnit.NANOSECONDS.toMicros(timeoutNanos)) + "u");
     }
--- a/src/main/java/cinderhollow/http1/Upload.java
+++ b/src/main/java/cinderhollow/http1/Upload.java
@@ -5,33 +5,33 @@
 import java.util.function.Consumer;
 
 /**
- * The body of a request that is too large to be held, on its way from a client to a host. What waits here is bounded: over
- * the bound the client is not read from. Of one event loop.
+ * Body of a request that is too large to be buffered, forwarded from a client to a server as it arrives. What is buffered here is
+ * bounded: over the bound, reading from the client is paused. Belongs to one event loop.
  *
- * <p>Until its first byte has gone to a host the whole of it can still go to another one.
+ * <p>Until its first byte has been sent to a server, the whole body can still be sent to another one.
  */
 public final class Upload {
-    /** What of a body waits at the most, but for the read that went over it. */
+    /** Bound of the bytes of one body that are buffered; only the read that crosses it may exceed it. */
     private static final int MOST_WAITING = 32 * 1024;
 
-    /** The host's side. */
+    /** Upstream side: the connection to a server that the body is forwarded to. */
     interface Sink {
-        /** Whether it takes more now; {@link Upload#flow} is due when it does again. */
+        /** Returns whether the sink accepts more now. When it does again, it calls {@link Upload#flow}. */
         boolean roomy();
 
-        /** A part, which is the sink's to release. */
+        /** Forwards body bytes, and releases them. */
         void part(ByteBuf bytes);
 
-        /** That was all. */
+        /** Called when the body is complete. */
         void last();
     }
 
-    /** What the gateway makes of its course. */
+    /** Receives the progress of the upload. */
     public interface Listener {
-        /** The first byte has gone to a host: no other host can have the whole any more. */
+        /** Called when the first byte is sent to a server: no other server can receive the whole body any more. */
         void spent();
 
-        /** The client's last byte has come. */
+        /** Called when the last byte has been received from the client. */
         void whole();
     }
 
@@ -46,28 +46,31 @@
     private boolean dropped;
     private boolean held;
 
-    /** Of so many bytes, or -1 where only its end will tell; {@code reading} stops and starts what comes from the client. */
+    /**
+     * Creates an upload. {@code length} is its length in bytes, or -1 if it is known only once the body ends; {@code readControl}
+     * pauses and resumes reading from the client.
+     */
     Upload(long length, Consumer<Boolean> reading) {
         this.length = length;
         this.reading = reading;
     }
 
-    /** So many bytes, or -1 where only its end will tell. */
+    /** Returns the length in bytes, or -1 if it is known only once the body ends. */
     long length() {
         return length;
     }
 
-    /** Whether the client's last byte has come. */
+    /** Returns whether the last byte has been received from the client. */
     public boolean isWhole() {
         return whole;
     }
 
-    /** Whether more is read of it now: if not, it is the host that is waited for. */
+    /** Returns whether more is being read from the client now; if not, the upload waits for the server. */
     boolean isRead() {
         return !whole && bytes - keptBack() < MOST_WAITING;
     }
 
-    /** Tells of its course from now on, and at once of what has been. */
+    /** Sets the listener. If the body has been fully received, notifies the listener at once. */
     public void tell(Listener told) {
         listener = told;
         if (whole) {
@@ -75,7 +78,7 @@
         }
     }
 
-    /** A part, which is this one's to release. */
+    /** Adds body bytes, and takes ownership of them. */
     void add(ByteBuf part) {
         if (dropped || !part.isReadable()) {
             part.release();
@@ -86,7 +89,7 @@
         flow();
     }
 
-    /** The client's last byte has come. */
+    /** Marks the body as fully received from the client. */
     void end() {
         whole = true;
         if (listener != null && !dropped) {
@@ -95,13 +98,13 @@
         flow();
     }
 
-    /** Goes to this host from now on, or, with null, to none. */
+    /** Sets the connection that the body is forwarded to from now on; null for none. */
     void to(Sink next) {
         sink = next;
         flow();
     }
 
-    /** Passes on what can be. */
+    /** Forwards what the sink accepts, and pauses or resumes reading from the client. */
     void flow() {
         while (sink != null && bytes > keptBack() && sink.roomy()) {
             if (!spent) {
@@ -123,19 +126,21 @@
     }
 
     /**
-     * Guards against completing at a host what its client has left behind while it was not read from: that shows right behind the
-     * last part, which therefore waits for the word that it is whole.
+     * Returns the number of bytes of the last buffered part that must wait for the end of the body. If reading from the client
+     * was paused at some time, the client may have left meanwhile, which shows only right behind the last part; that part
+     * therefore waits until the body is known to be complete, so that a server does not receive a whole request that its client
+     * has abandoned.
      */
     private int keptBack() {
         return held && !whole && !waiting.isEmpty() ? waiting.peekLast().readableBytes() : 0;
     }
 
-    /** Whether its client was not read from at some time. */
+    /** Returns whether reading from the client was paused at some time. */
     boolean wasHeld() {
         return held;
     }
 
-    /** Nobody wants it any more: the rest is read and forgotten. */
+    /** Discards what is buffered and all that is still to come, which is still read from the client. */
     void drop() {
         dropped = true;
         sink = null;
