--- a/src/test/java/cinderhollow/http1/ClientServerFaultTest.java
+++ b/src/test/java/cinderhollow/http1/ClientServerFaultTest.java
@@ -23,7 +23,10 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** What was read is answered, and an answer that ends its connection arrives, whatever else goes wrong. */
+/**
+ * Tests that a request that was read is answered although its handling fails, and that a response that ends its connection
+ * arrives although the client sends more.
+ */
 class ClientServerFaultTest {
     private static final int PATIENCE_MILLIS = 10_000, SMALL_WINDOW = 4_096;
     private static final String REQUEST = "GET /x HTTP/1.1\r\nHost: x\r\n\r\n";
@@ -56,7 +59,7 @@
                 }, null)).get();
         server.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0)).sync();
         Socket socket = new Socket();
-        // Before the connect: the window is small from the first byte on.
+        // Set before the connect, so that the receive window is small from the first byte on.
         socket.setReceiveBufferSize(SMALL_WINDOW);
         socket.connect(server.address());
         socket.setSoTimeout(PATIENCE_MILLIS);
@@ -83,7 +86,10 @@
         }
     }
 
-    /** Bytes that nobody has read at a close reset the connection, and what the system still holds of the answer goes with it. */
+    /**
+     * Guards against a response that is cut off: closing with unread input resets the connection, and the kernel discards what it
+     * still holds of the response.
+     */
     @Test
     void anAnswerThatEndsItsConnectionArrivesThoughMoreLiesUnread() throws Exception {
         int length = 120_000;
@@ -102,7 +108,7 @@
             assertTrue(asked.await(PATIENCE_MILLIS, TimeUnit.MILLISECONDS));
             send(client, REQUEST);
             moreSent.countDown();
-            // It reads when the gateway has long written all of it.
+            // The client reads only after the gateway has written the whole response.
             TimeUnit.MILLISECONDS.sleep(300);
             ByteArrayOutputStream answer = new ByteArrayOutputStream();
             client.getInputStream().transferTo(answer);
--- a/src/test/java/cinderhollow/http1/LoadReportsTest.java
+++ b/src/test/java/cinderhollow/http1/LoadReportsTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Which accounts of a host's load are believed. */
+/** Tests which load reports of a server are accepted. */
 class LoadReportsTest {
     @ParameterizedTest
     @ValueSource(strings = {"", "=,=", "TEXT ?", "tps=NaN", "tps=Infinity", "load_share=-1", "err_ps=1e300",
