--- a/src/main/java/cinderhollow/daemon/Admin.java
+++ b/src/main/java/cinderhollow/daemon/Admin.java
@@ -40,14 +40,16 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Tells figures on a listener of its own, on a thread of its own: {@code GET /metrics}, and {@code POST
- * /ledger/acknowledge}. Each connection carries one request, and few are held at once.
+ * The admin listener: HTTP on an address and a thread of its own, with {@code GET /metrics}, {@code POST
+ * /ledger/acknowledge}, {@code GET /zones} and {@code POST /zones/...}. Each connection carries one request, and at most
+ * {@link #MOST_CONNECTIONS} are held at once.
  */
 final class Admin implements AutoCloseable {
+    /** Connections held at once, and the longest request body in bytes. */
     private static final int MOST_CONNECTIONS = 16, LARGEST_REQUEST = 1024;
-    /** From connect to the last byte read by whoever asked: a slower reader is cut off. */
+    /** Time, in milliseconds from accepting to the last byte read by the client, after which a connection is closed. */
     private static final long LONGEST_MILLIS = 10_000;
-    /** An event loop that stands still longer has no figures to tell. */
+    /** Longest wait, in milliseconds, for the event loops to provide what was asked. */
     private static final long PATIENCE_MILLIS = 2_000;
 
     private static final String NO_PEERS = "this gateway talks with no other\n", LAST_LINE = "# EOF\n";
@@ -55,7 +57,7 @@
     private static final long LONGEST_ORDER_MILLIS = TimeUnit.DAYS.toMillis(30);
 
     private final Serving gateway;
-    /** This life of the process: when it began, and a number that no other life has. */
+    /** Epoch of this run of the process: its start time, and a random number that no other run has. */
     private final String epoch = System.currentTimeMillis() + "-" + Long.toHexString(new Random().nextLong());
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1,
             new DefaultThreadFactory("admin", true), NioIoHandler.newFactory());
@@ -80,22 +82,25 @@
         }
     }
 
-    /** Starts to tell; what comes back ends it. A plain type, so that a process without one loads nothing of this. */
+    /**
+     * Starts an admin listener and returns a task that closes it. The return type is a plain one, so that a process without
+     * an admin listener loads none of these classes.
+     */
     static Runnable start(SocketAddress address, Serving gateway) {
         return listen(address, gateway)::close;
     }
 
-    /** Starts to tell; an address that can't be had is an {@link IllegalArgumentException}. */
+    /** Starts an admin listener. An address that cannot be bound causes an {@link IllegalArgumentException}. */
     static Admin listen(SocketAddress address, Serving gateway) {
         try {
             return new Admin(address, gateway);
         } catch (Exception e) {
-            // Netty throws what a bind throws, whatever it is, and declares none of it.
-            throw new IllegalArgumentException("can't tell figures at " + address + ": " + e.getMessage(), e);
+            // Netty rethrows whatever exception the bind failed with, undeclared.
+            throw new IllegalArgumentException("can't open the admin listener on " + address + ": " + e.getMessage(), e);
         }
     }
 
-    /** Guards against a socket file that a killed process left behind, but takes none from a process that lives. */
+    /** Deletes a socket file that a killed process left behind; if a process still listens on it, fails instead. */
     private static void removeStale(Path file) throws IOException {
         if (Files.exists(file)) {
             try {
@@ -122,12 +127,13 @@
         channel.pipeline().addLast(new HttpServerCodec(), new HttpObjectAggregator(LARGEST_REQUEST), new Asked());
     }
 
-    /** Before the last line, which ends OpenMetrics text. */
+    /** Inserts the zones' metrics before the last line, which marks the end of OpenMetrics text. */
     private static String withZones(String metrics, ZoneStanding zones) {
         return zones == null || !metrics.endsWith(LAST_LINE) ? metrics
                 : metrics.substring(0, metrics.length() - LAST_LINE.length()) + zones.metrics() + LAST_LINE;
     }
 
+    /** Handles the requests of one connection. */
     private final class Asked extends SimpleChannelInboundHandler<FullHttpRequest> {
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
@@ -150,7 +156,7 @@
             }
         }
 
-        /** As {@code leave/ostim/600000}, the last being for how many milliseconds. */
+        /** Gives an order from a path such as {@code leave/ostim/600000}; the last part is its duration in milliseconds. */
         private void order(ChannelHandlerContext ctx, String call) {
             String[] parts = call.split("/");
             try {
@@ -167,6 +173,7 @@
             }
         }
 
+        /** Answers with the text once its future completes, or with status 503 if it fails or takes too long. */
         private void tell(ChannelHandlerContext ctx, CompletableFuture<String> text) {
             text.orTimeout(PATIENCE_MILLIS, TimeUnit.MILLISECONDS).whenComplete((told, fault) -> {
                 if (fault == null) {
--- a/src/main/java/cinderhollow/daemon/AdminClient.java
+++ b/src/main/java/cinderhollow/daemon/AdminClient.java
@@ -16,22 +16,22 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.TimeoutException;
 
-/** Asks the admin listeners of running gateways. */
+/** Client of the admin listeners of running gateways. */
 public final class AdminClient {
     private static final String UNIX = "unix:";
     private static final long PATIENCE_MILLIS = 10_000;
-    /** Figures of 10,000 accounts take some tens of MB; nothing else is this long. */
+    /** Longest answer, in bytes: the metrics of 10,000 accounts take some tens of MB, and nothing else is as long. */
     private static final int LARGEST_ANSWER = 1 << 27;
 
     private AdminClient() { }
 
-    /** An address as the operator's file has it. */
+    /** Parses an address in the form of the operator's file: {@code unix:PATH} or host and port. */
     static SocketAddress address(String text) {
         return text.startsWith(UNIX) ? UnixDomainSocketAddress.of(text.substring(UNIX.length()))
                 : EndpointList.address(text);
     }
 
-    /** What the ledgers of these have together. */
+    /** Returns the sums of the ledgers of the gateways at these addresses. */
     public static Totals totals(List<String> addresses) throws IOException {
         Totals totals = new Totals();
         for (String address : addresses) {
@@ -40,35 +40,35 @@
         return totals;
     }
 
-    /** Tells these that their breaches have been seen. */
+    /** Marks the ledger breaches of the gateways at these addresses as seen. */
     public static void acknowledge(List<String> addresses) throws IOException {
         for (String address : addresses) {
             ask(address, "POST", "/ledger/acknowledge");
         }
     }
 
-    /** A gateway's figures as OpenMetrics text. */
+    /** Returns a gateway's metrics as OpenMetrics text. */
     public static String metrics(String address) throws IOException {
         return ask(address, "GET", "/metrics");
     }
 
-    /** How a gateway's fleet stands to its zones. */
+    /** Returns the state of the zones of a gateway's fleet, as text. */
     public static String zones(String address) throws IOException {
         return ask(address, "GET", "/zones");
     }
 
-    /** An order to the whole fleet, by way of this gateway. */
+    /** Gives the whole fleet an order about a zone, by way of this gateway, valid for {@code forMillis} milliseconds. */
     public static void order(String address, String what, String zone, long forMillis) throws IOException {
         ask(address, "POST", "/zones/" + what + "/" + zone + "/" + forMillis);
     }
 
-    /** The body of a 200 answer. */
+    /** Sends a request and returns the body of the answer; any status but 200 is an {@link IOException}. */
     static String ask(String address, String method, String path) throws IOException {
         SocketAddress to = address(address);
         String answer;
         try (SocketChannel channel = to instanceof UnixDomainSocketAddress ? SocketChannel.open(StandardProtocolFamily.UNIX)
                 : SocketChannel.open()) {
-            // Closing the channel ends the wait of the thread that reads.
+            // Closing the channel unblocks the thread that reads from it.
             answer = CompletableFuture.supplyAsync(() -> exchange(channel, to, method, path))
                     .get(PATIENCE_MILLIS, TimeUnit.MILLISECONDS);
         } catch (ExecutionException | TimeoutException e) {
--- a/src/main/java/cinderhollow/daemon/Bookkeeping.java
+++ b/src/main/java/cinderhollow/daemon/Bookkeeping.java
@@ -3,19 +3,19 @@
 import java.nio.file.Path;
 
 /**
- * How account is kept of requests and attempts.
+ * Ledger configuration of one event loop: how requests and attempts are accounted for.
  *
- * @param everyNanos how often the sums go to the log, 0 for never
- * @param directory where the journal is kept over restarts, or null
- * @param syncNanos how long what is written may wait for the disk itself
- * @param mostBytes a file of the journal that is longer is followed by a new one
- * @param loop which of the process's event loops this is
- * @param loops of how many
+ * @param everyNanos interval, in nanoseconds, at which the sums are logged; 0 for never
+ * @param directory directory in which the journal is kept across restarts, or null
+ * @param syncNanos longest time, in nanoseconds, for which written entries wait for a sync to disk
+ * @param mostBytes size, in bytes, after which a journal segment is followed by a new one
+ * @param loop number of this event loop in the process
+ * @param loops number of event loops of the process
  */
 record Bookkeeping(long everyNanos, Path directory, long syncNanos, long mostBytes, int loop, int loops) {
     static final long USUAL_BYTES = 64L << 20;
 
-    /** The same for one of several loops. */
+    /** Returns the configuration for one of several event loops. */
     Bookkeeping of(int number, int count) {
         return new Bookkeeping(everyNanos, directory, syncNanos, mostBytes, number, count);
     }
--- a/src/main/java/cinderhollow/daemon/Gateway.java
+++ b/src/main/java/cinderhollow/daemon/Gateway.java
@@ -82,65 +82,74 @@
 import java.util.function.ToLongFunction;
 
 /**
- * One real gateway: owns the decision module, its clock and timers, and the open requests, and carries out
- * what the module decides. Everything runs on one event loop thread.
+ * One gateway: owns the decision module (policy), its clock and timers, and the open requests, and carries out the module's
+ * actions. Everything runs on one event loop thread.
  *
- * <p>Events wait in a queue while the module is at work, so that nothing an action causes re-enters it.
+ * <p>Events that occur while the module is handling one are queued, so that an action never re-enters the module.
  */
 final class Gateway implements Actions, Serving {
-    /** The platform kills no sooner than the longest deadline and so much more after it asked for an end. */
+    /** The platform kills the process no sooner than the longest request deadline plus this time after SIGTERM. */
     private static final long KILLED_AFTER_NANOS = TimeUnit.MILLISECONDS.toNanos(700);
-    /** A longer deadline counts as this one there. */
+    /** Cap on the deadline that counts for the shutdown time: a longer one counts as this. */
     private static final long LONGEST_COUNTED_NANOS = TimeUnit.SECONDS.toNanos(3);
-    /** Of that time, what is left for a signal that comes late, for 0.15 s in which the process gets no core, and for its last steps. */
+    /**
+     * Reserve of the shutdown time, for a signal that is handled late, for 0.15 s in which the process gets no core, and for
+     * its last steps.
+     */
     private static final long END_MARGIN_NANOS = TimeUnit.MILLISECONDS.toNanos(250);
-    /** A request that has had no answer so long after its time gets one from the gateway itself; half a second later it is lost. */
+    /**
+     * Time after its deadline at which the gateway itself answers an unanswered request. Half a second after this the answer
+     * would be lost.
+     */
     private static final long OVERDUE_NANOS = TimeUnit.MILLISECONDS.toNanos(200);
-    /** The same at the process's end, and how often it is looked for. */
+    /** The same at shutdown, past the shutdown deadline, and the interval of the check for overdue requests. */
     private static final long OVERDUE_AT_END_NANOS = TimeUnit.MILLISECONDS.toNanos(40);
     private static final long OVERDUE_LOOK_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
     private static final long LONGEST_TAKING_NANOS = TimeUnit.SECONDS.toNanos(1);
-    /** New connections go on coming for up to 0.4 s. */
+    /** Shortest time for which connections are accepted during shutdown: new ones keep arriving for up to 0.4 s. */
     private static final long LEAST_TAKING_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
     private static final long END_CHECK_MILLIS = 10;
-    /** How often, and how far apart, listening is tried where the system gives no socket. */
+    /** Tries to bind the listener, and the delay between them, while the system cannot provide a socket. */
     private static final int LISTEN_ATTEMPTS = 40;
     private static final long LISTEN_RETRY_MILLIS = 50;
-    /** A disk that takes longer at the end must not hold the end up. */
+    /** Longest wait for the journal at shutdown: a slow disk must not delay the end of the process. */
     private static final long JOURNAL_END_MILLIS = 300;
-    /** Descriptors for the listener, the watch, the selector, the jar files and the standard streams. */
+    /** File descriptors reserved for the listener, the watch, the selector, the jar files and the standard streams. */
     private static final int OTHER_DESCRIPTORS = 64;
-    /** Of the operators' door and its callers, where there is one. */
+    /** File descriptors of the operators' socket and its connections, reserved where there is one. */
     static final int DOOR_DESCRIPTORS = 33;
-    /** A list of more nodes is compared with the last one and taken in portions. */
+    /** A list of more endpoints than this is compared with the previous one and applied in portions. */
     private static final int LARGE_LIST = 1_000;
 
     private final EventLoop loop;
     private final Consumer<String> log;
     private final GatewayClock clock = new GatewayClock();
     private final LagAwareTimers timers;
-    /** What operators are told of the loop's lateness, and of refusals, from so long on: it eats a good part of an aim. */
+    /**
+     * Lateness of the event loop, and waiting time of a refused or failed request, from which it is logged: it uses up a good
+     * part of a target latency.
+     */
     private static final long WORTH_TELLING_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
     private final EventLoopLag lag = new EventLoopLag();
     private final TransitionMonitor monitor;
-    /** Requests that were refused or failed long after they came, with what was tried. */
+    /** Sampled log of requests that were refused or failed long after they arrived, with their attempts. */
     private final SampledLog lateRefusals;
     private final GatewayConfig config;
-    /** Null where it talks with no other gateway. */
+    /** Null where this gateway has no peers. */
     private final ZoneTalk talk;
-    /** Whether there is any host for whose sake clients should come here. */
+    /** Whether any zone is usable, so that clients should come to this gateway. */
     private boolean welcome = true;
-    /** Null where no operator has set routes. */
+    /** Null where no operator's file sets routes. */
     private Routing routing;
-    /** Null where nobody keeps account. */
+    /** Null where no ledger is kept. */
     private final Ledger ledger;
-    /** Null where account is not kept over restarts. */
+    /** Null where the ledger is not kept across restarts. */
     private final Journal journal;
     private long taken;
     private final Sheet requestSheet;
     private final Sheet attemptSheet;
     private final Map<String, RequestClass> classes = new HashMap<>();
-    /** By class, also of those that were dropped; null where no operator can ask. */
+    /** Request counters by class name, including classes that a reload removed; null where there is no operators' socket. */
     private final Map<String, RequestCounters> tallies;
     private final Map<String, OpenRequest> open = new HashMap<>();
     private final ArrayDeque<Stamped> events = new ArrayDeque<>();
@@ -149,13 +158,13 @@
     private final HostPool hosts;
     private final Discovery discovery;
     private final ClientServer clients;
-    /** Those that are told of the list by this one. */
+    /** Gateways of the other event loops, which receive each list from this one. */
     private List<Gateway> followers = List.of();
-    /** Null where the list is small and told as it comes. */
+    /** Null where the list is small and applied as it is received. */
     private ListChanges changes;
-    /** Takes what {@link #changes} tells. */
+    /** Applies the portions of {@link #changes}. */
     private InTurn portions;
-    /** The listener of all loops, which stops with this one; null where each has its own. */
+    /** The listener shared by all loops, which stops with this gateway; null where each loop has its own. */
     private Acceptor acceptor;
     private int sharers;
     private long last = Long.MIN_VALUE;
@@ -163,17 +172,21 @@
     private final StartTimes startTimes = new StartTimes();
     private boolean askedForList;
     private long listIndex;
-    /** Processes of this same gateway that serve beside this one. */
+    /** Number of processes of this same gateway that serve beside this one. */
     private int beside;
     private long cfgAccepted;
     private long cfgInvalid;
     private boolean listening;
     private boolean standby;
     private boolean ending;
-    /** By when all has to be answered, once the process is to end; and when overdue requests are looked for next. */
+    /**
+     * Time by which every request must be answered, once shutdown was requested, and time of the next check for overdue
+     * requests.
+     */
     private long answersBy = Long.MAX_VALUE;
     private long looksAt = Long.MIN_VALUE;
 
+    /** An event for the decision module with its time, in nanoseconds of the gateway's clock. */
     private record Stamped(long at, Event event) { }
 
     private Gateway(EventLoop loop, GatewayConfig config, Transport transport, Consumer<String> log) {
@@ -198,7 +211,7 @@
                 ledger == null ? null : ledger.sheet(Place.NODES), ledger == null ? 0 : ledger.accounts().size());
         discovery = config.discovery() == null ? null : new Discovery(loop, transport, config.discovery(),
                 config.known().index(), Discovery.SILENCE_MILLIS,
-                // Only under an operator's file: a line without an end is noticed by its length alone.
+                // The larger limit only with an operator's file: an endless line is detected by its length alone.
                 config.routes() == null ? Discovery.USUAL_LINE : Discovery.LARGE_LINE, new Watcher(), log);
         askedForList = discovery == null && (config.scale() == null || !config.scale().follows());
         clients = new ClientServer(loop, transport, clock, lag, connections / 2, new Requests(),
@@ -208,15 +221,15 @@
                 config.seed(), this::tell, clientsMayCome -> welcome = clientsMayCome, log);
     }
 
-    /** Starts a gateway; the future ends when it listens, or tells why it can't. */
+    /** Starts a gateway. The future completes once it listens, or exceptionally if it cannot. */
     static CompletableFuture<Gateway> start(EventLoop loop, GatewayConfig config, Transport transport,
                                             Consumer<String> log) {
         return open(loop, config, transport, log).thenCompose(Gateway::listen);
     }
 
     /**
-     * A gateway that follows discovery and takes no clients yet. Guards against a gateway that listens and
-     * isn't ready: discovery's first answer may take its time, in which other work can be done.
+     * Opens a gateway that follows discovery and does not accept clients yet. A gateway that listened at once would not be
+     * ready: discovery's first answer may take time, in which other work can be done.
      */
     static CompletableFuture<Gateway> open(EventLoop loop, GatewayConfig config, Transport transport,
                                            Consumer<String> log) {
@@ -253,10 +266,11 @@
             changes.rest().forEach(this::take);
             return;
         }
-        // A list that nobody tells anew is no old one: it is how things are.
+        // Without discovery, the configured list is the current one and not a cached one.
         take(config.discovery() == null ? ListKind.WHOLE : ListKind.CACHED, known);
         if (discovery != null && !config.settings().subscribe()) {
-            // Guards against a list that never changes: one that is pushed waits at the agent, and the module asks for none.
+            // The policy does not ask for a watch where the platform pushes the list, and a pushed list waits at the agent:
+            // without this the list would never change.
             discovery.watch();
         }
     }
@@ -266,7 +280,7 @@
         loop.schedule(() -> {
             long now = clock.nanos();
             long late = lag.beat(now);
-            // Before what might fail: this beat is the last guard of all that is open.
+            // Scheduled before anything that can fail: the heartbeat is the last safeguard of all open requests.
             beatLater();
             if (late >= WORTH_TELLING_NANOS) {
                 log("the event loop was late by " + TimeUnit.NANOSECONDS.toMillis(late) + " ms");
@@ -282,8 +296,9 @@
     }
 
     /**
-     * Guards against a request that nobody thinks of any more, whatever became of the decision on it, and against one whose
-     * time is longer than the process's end leaves: its client would wait for ever, or until the process is killed.
+     * Answers requests that are past their deadline plus {@link #OVERDUE_NANOS}, in case the policy lost track of them, and,
+     * past the shutdown deadline, all open ones, whose deadline may be later than the end of the process. Their clients would
+     * otherwise wait for ever, or until the process is killed.
      */
     private void answerOverdue() {
         long now = clock.nanos();
@@ -294,12 +309,12 @@
             }
         }
         if (last) {
-            // Guards against a request that comes whole when nobody could answer it any more.
+            // A request whose last byte arrives now could not be answered any more.
             clients.endAll();
         }
     }
 
-    /** Tells these of each list that it is told; before any of them listens. */
+    /** Sets the gateways that receive each list from this one; called before any of them listens. */
     void leads(List<Gateway> others) {
         loop.execute(() -> {
             followers = List.copyOf(others);
@@ -309,7 +324,7 @@
         });
     }
 
-    /** Stops this listener too when it takes in no more. */
+    /** Sets the shared listener, which stops when this gateway stops accepting. */
     void stopsWith(Acceptor shared) {
         loop.execute(() -> acceptor = shared);
     }
@@ -318,12 +333,15 @@
         return clients;
     }
 
-    /** Of this loop's thread; null where nobody keeps account. */
+    /** Returns the ledger, which only the loop's thread may use; null where none is kept. */
     Ledger ledger() {
         return ledger;
     }
 
-    /** Starts to take clients; the future ends with this gateway, or tells why it can't. From any thread. */
+    /**
+     * Starts to accept clients. The future completes with this gateway, or exceptionally if it cannot listen. May be called
+     * from any thread.
+     */
     @Override
     public CompletableFuture<Gateway> listen() {
         return listen(config.listen());
@@ -341,14 +359,17 @@
         });
     }
 
-    /** Tries again while the system has no socket to give, which passes; an address that can't be had is told at once. */
+    /**
+     * Binds the listener, with further tries while the system cannot provide a socket, which is temporary; an address that is
+     * not available fails at once.
+     */
     private void listen(CompletableFuture<Gateway> started, Supplier<ChannelFuture> listen, int attemptsLeft) {
         ChannelFuture bound = listen.get();
         bound.addListener(done -> {
             boolean passes = !done.isSuccess() && !(done.cause() instanceof BindException) && attemptsLeft > 1;
             if (passes) {
                 if (attemptsLeft == LISTEN_ATTEMPTS) {
-                    log("can't listen yet: " + done.cause());
+                    log("can't listen yet, trying again: " + done.cause());
                 }
                 loop.schedule(() -> listen(started, listen, attemptsLeft - 1), LISTEN_RETRY_MILLIS, TimeUnit.MILLISECONDS);
             } else {
@@ -357,7 +378,7 @@
         });
     }
 
-    /** Clients can connect from now on. From any thread. */
+    /** Notes that clients can connect from now on. May be called from any thread. */
     void listened() {
         loop.execute(() -> listening = true);
     }
@@ -400,7 +421,10 @@
                 EndpointList.address(h.address()));
     }
 
-    /** The list only where discovery has not told one yet: what it says is newer than what any process knows. */
+    /**
+     * Restores a predecessor's snapshot. Its list is used only where discovery has not sent one yet: discovery's is newer
+     * than any process's.
+     */
     @Override
     public CompletableFuture<Void> recall(Snapshot from) {
         return CompletableFuture.runAsync(() -> {
@@ -434,7 +458,7 @@
         return CompletableFuture.runAsync(() -> {
             standby = empty;
             clients.standby(empty);
-            log(empty ? "standby: clients are sent away" : "active: clients are welcome");
+            log(empty ? "standby: sending clients away" : "active: accepting clients");
         }, loop);
     }
 
@@ -444,15 +468,16 @@
     }
 
     /**
-     * Ends in good order: serves on the connections that clients have for as long as a request can still be
-     * answered within its aim, answers all that was taken, and then completes the future. Guards against
-     * sending clients away while no other gateway may be there for them, as in a rolling restart whose
-     * starts take long; equally where the others are full, or die. It could do harm where a successor has
-     * to wait for this process's end, so the time is bounded. May be called from any thread.
+     * Shuts down gracefully: serves on existing client connections for as long as a request can still be answered within its
+     * target latency, answers every accepted request, and then completes the future. Clients are not sent away earlier,
+     * because no other gateway may be available for them: in a rolling restart whose starts take long, or where the others
+     * are full or fail. The time is bounded, because a successor may have to wait for the end of this process. May be called
+     * from any thread.
      */
     @Override
     public CompletableFuture<Void> end() {
-        // From the word on, and not from when a loop that may be busy comes to hear of it: the kill doesn't wait for that.
+        // Measured from the request to shut down, not from when a busy loop gets to this task: the platform's kill does not
+        // wait for the loop.
         long asked = clock.nanos();
         loop.execute(() -> {
             if (!ending) {
@@ -463,7 +488,7 @@
                 long heard = clock.nanos();
                 tell(new Ending(Math.max(0, answersBy - heard)));
                 if (config.inherited() != null) {
-                    // A successor serves: it has the listener, and clients are to come over to it.
+                    // A successor serves on the same listener, and clients are to move to it.
                     if (acceptor != null) {
                         acceptor.stop();
                     }
@@ -481,7 +506,7 @@
         return classes.values().stream().mapToLong(time).max().orElseThrow();
     }
 
-    /** Accounts are numbered by routes, from the start to the end of a process. */
+    /** Rejects a configuration with other routes: ledger accounts are numbered by route for the whole life of a process. */
     void checkRoutes(GatewayConfig next) {
         if (config.routes() != null && !next.routes().stream().map(Object::toString).toList()
                 .equals(config.routes().stream().map(Object::toString).toList())) {
@@ -494,7 +519,7 @@
         checkRoutes(next);
         return CompletableFuture.runAsync(() -> {
             if (tallies != null) {
-                // Before it is dropped: a class keeps its counts, also where nobody has asked for them yet.
+                // Before a class is removed: it keeps its counts, also where nobody has asked for them yet.
                 classes.keySet().forEach(this::tally);
             }
             classes.clear();
@@ -502,12 +527,12 @@
             routing = next.routes() == null ? null : new Routing(next.routes());
             hosts.retune(next.dialTimeoutNanos(), next.idleNanos());
             tell(new Retuned(next.settings()));
-            // Guards against a watch that nothing closes any more.
+            // After the shutdown, nothing would close a newly opened watch.
             if (!ended.isDone() && discovery != null && next.discovery() != null) {
                 discovery.moveTo(next.discovery());
             }
             cfgAccepted++;
-            log("took a new configuration");
+            log("applied the reloaded configuration");
         }, loop);
     }
 
@@ -525,7 +550,7 @@
     }
 
     private void endWhenIdle() {
-        // In this order: guards against a client that is handed over between the two looks.
+        // In this order: otherwise a client connection handed over between the two checks would be missed.
         if (acceptor != null && acceptor.mayHandOver() || clients.holdsAny()) {
             loop.schedule(this::endWhenIdle, END_CHECK_MILLIS, TimeUnit.MILLISECONDS);
         } else {
@@ -548,7 +573,7 @@
         }
     }
 
-    /** As a task of its own, between events: nothing is half done. */
+    /** Checks the ledger and logs new breaches. Runs as a task of its own, between events, when no update is half done. */
     private void compareAccounts() {
         newBreaches().forEach(breach -> log(breach.toString()));
     }
@@ -583,7 +608,7 @@
         }, loop);
     }
 
-    /** On the loop's thread, as a task of its own. */
+    /** Checks the ledger and returns the breaches not seen before. Runs on the loop's thread, as a task of its own. */
     List<Breach> newBreaches() {
         return ledger.check(openNow());
     }
@@ -593,7 +618,9 @@
                 .forEach(entry -> frame.held(entry.number, entry.account, entry.id));
     }
 
-    /** Counted anew at each place, from what it holds; in one walk, however many accounts there are. */
+    /**
+     * Counts what is open at each place of the ledger from what that place holds, in one pass for any number of accounts.
+     */
     private Ledger.OpenNow openNow() {
         int accounts = ledger.accounts().size();
         long[] waiting = clients.waiting(accounts);
@@ -615,7 +642,10 @@
         tell(clock.nanos(), event);
     }
 
-    /** The one way into the module. Its times never go back, even where events are stamped earlier. */
+    /**
+     * Passes an event to the decision module; there is no other way into it. The times it sees never go back, even where an
+     * event has an earlier time stamp.
+     */
     private void tell(long at, Event event) {
         events.add(new Stamped(at, event));
         if (deciding) {
@@ -632,12 +662,15 @@
         }
     }
 
-    /** Guards against one request's fault ending the process. */
+    /**
+     * Lets the module handle an event. A fault is logged and fails the request that arrived, so that it does not end the
+     * process.
+     */
     private void decide(Event event) {
         try {
             choice.on(last, event);
         } catch (RuntimeException e) {
-            log("fault in the decision on " + event.getClass().getSimpleName() + ": " + e);
+            log("unexpected error in the decision module on " + event.getClass().getSimpleName() + ": " + e);
             if (event instanceof RequestArrived arrived && open.containsKey(arrived.id())) {
                 fail(arrived.id());
             }
@@ -677,6 +710,7 @@
         }
     }
 
+    /** Answers a request with a status and a line of text, if it is still open. */
     private void conclude(String request, HttpResponseStatus status, String line, long pauseNanos) {
         OpenRequest r = open.get(request);
         if (r != null) {
@@ -710,6 +744,7 @@
         log.accept(line);
     }
 
+    /** Receives the endpoint list from discovery. */
     private final class Watcher implements Discovery.Listener {
         @Override
         public void listed(EndpointList list) {
@@ -731,7 +766,7 @@
         loop.execute(() -> askedForList = true);
     }
 
-    /** The list, or changes to it, from discovery or from who follows it for this one. */
+    /** Handles the list, or changes to it, from discovery or from the gateway that follows discovery for this one. */
     private void hear(EndpointList received) {
         EndpointList list = startTimes.convert(received, clock.nanos());
         askedForList = true;
@@ -742,7 +777,8 @@
             return;
         }
         if (list.endpoints().size() > LARGE_LIST) {
-            // Taken whole this once; from now on a list told whole is compared, and what differs is taken.
+            // Applied whole this once; from now on a complete list is compared with the last one, and only the differences
+            // are applied.
             follow(new ListChanges(null));
             changes.tell(list);
             changes.rest();
@@ -750,6 +786,7 @@
         take(list.snapshot() ? ListKind.WHOLE : ListKind.CHANGES, list);
     }
 
+    /** Applies changes of the list in portions from now on. */
     private void follow(ListChanges list) {
         changes = list;
         portions = new InTurn(loop, list::waits, this::takeNext);
@@ -766,7 +803,7 @@
         if (changes.ofSubset() && sharers != changes.sharers()) {
             sharers = changes.sharers();
             tell(new Sharing(sharers));
-            log("keeps to " + changes.summary() + ", shared by " + sharers + " gateways each");
+            log("using " + changes.summary() + ", shared by " + sharers + " gateways each");
         }
         take(ListKind.CHANGES, portion);
     }
@@ -779,6 +816,7 @@
         tell(new ListReceived(kind, list.servers()));
     }
 
+    /** Receives client requests from the connections. */
     private final class Requests implements ClientServer.Listener {
         @Override
         public boolean ready() {
@@ -787,14 +825,14 @@
 
         @Override
         public void failed(Throwable fault) {
-            log("fault in the handling of a request, which is answered as failed: " + fault);
+            log("unexpected error while handling a request, answered as failed: " + fault);
         }
 
         @Override
         public void requested(FullHttpRequest request, Upload upload, long arrivedAt, Reply reply) throws BadRequest {
             long at = clock.nanos();
             if (tallies != null) {
-                // Before it is read: what is turned away for a fault of its own is counted with its class too.
+                // Before the request is parsed: a request rejected as invalid is counted with its class too.
                 String named = Paths.firstPart(request.uri());
                 reply.countIn(classes.containsKey(named) ? tally(named) : null);
             }
@@ -823,14 +861,14 @@
         }
     }
 
-    /** A request's place in the ledger; there is none where nobody keeps account. */
+    /** A request's entry in the ledger; null where no ledger is kept. */
     private final class Entry {
         private final String id;
         private final int account;
         private final long openedAt;
-        /** Its own within this life and loop. */
+        /** Number that is unique within this loop and run of the process. */
         private final long number = ++taken;
-        /** Null until it is over. */
+        /** Null until the request has ended. */
         private End end;
 
         Entry(String id, int account, long openedAt) {
@@ -843,7 +881,7 @@
             }
         }
 
-        /** Only the first end is one: an attempt may well be served when the request is long over. */
+        /** Records the request's end. Only the first counts: an attempt may be served when the request has long ended. */
         void over(End how) {
             if (end == null) {
                 end = how;
@@ -856,25 +894,25 @@
         }
     }
 
-    /** A request that is owed its answer, or whose attempts have not all ended. */
+    /** A request that is not answered yet, or some of whose attempts have not ended. */
     private final class OpenRequest implements HostPool.Listener, Upload.Listener, Passage {
         private final String id;
         private final FullHttpRequest request;
-        /** Null where the request has its whole body. */
+        /** Null where the request was received with its whole body. */
         private final Upload upload;
-        /** What it may take from its last byte on. */
+        /** Time for the answer, in nanoseconds from the request's last byte. */
         private final long expiresIn;
         private final RequestLifecycle lifecycle;
         private final Reply reply;
         private final List<HostPool.Attempt> attempts = new ArrayList<>(1);
         private final List<String> servers = new ArrayList<>(1);
-        /** Null where nobody keeps account. */
+        /** Null where no ledger is kept. */
         private final Entry entry;
         private final long openedAt = clock.nanos();
         private int outstanding;
-        /** Null where it talks with no other gateway. */
+        /** Null where this gateway has no peers. */
         private final Traffic.OfRequest zones;
-        /** Null where no operator can ask. */
+        /** Null where there is no operators' socket. */
         private RequestCounters tally;
 
         OpenRequest(RequestArrived arrived, FullHttpRequest request, Upload upload, Reply reply, Entry entry) {
@@ -927,7 +965,7 @@
             tell(new Spent(id));
         }
 
-        /** From here on its time runs, as that of any other request. */
+        /** Starts the request's deadline once its body is complete, as for any other request. */
         @Override
         public void whole() {
             if (!reply.isDone()) {
@@ -975,7 +1013,7 @@
             forgetIfOver();
         }
 
-        /** Takes note of an attempt's end; its number. */
+        /** Records an attempt's end and returns the attempt's number. */
         private int over(HostPool.Attempt attempt, Outcome outcome) {
             outstanding--;
             if (entry != null) {
@@ -1008,24 +1046,27 @@
             if (zones != null) {
                 zones.ended(at, number, outcome, attempt.elapsed(at), load);
             }
-            // Of one that was called off before its last byte nothing is learnt, and it is proved not to have run.
+            // An attempt cancelled before its last byte was sent says nothing about the server, and certainly did not run.
             boolean unsent = outcome == Outcome.CANCELLED && attempt.isUnsent();
             tell(at, new AttemptEnded(id, number, servers.get(number), unsent ? Outcome.NOT_SENT : outcome,
                     attempt.elapsed(at), reply.isDone(), load));
         }
 
-        /** A full node is no failing one, and what was called off or never sent says nothing. */
+        /**
+         * Passes an attempt's outcome to the subset. A full server is not a failing one, and cancelled or unsent attempts say
+         * nothing.
+         */
         private void judge(Outcome outcome) {
             if (outcome != Outcome.FULL && outcome != Outcome.CANCELLED && outcome != Outcome.NOT_SENT) {
                 changes.ended(outcome == Outcome.SERVED);
             }
         }
 
-        /** Tells why a request waited: a refusal that comes late has cost its client the time for a try elsewhere. */
+        /** Logs why a request waited: a late refusal has cost the client the time for a retry elsewhere. */
         private void logIfLate(HttpResponseStatus status) {
             long waited = clock.nanos() - openedAt;
             if (waited >= WORTH_TELLING_NANOS && !attempts.isEmpty()) {
-                lateRefusals.add(() -> "request " + id + " is answered " + status.code() + " after "
+                lateRefusals.add(() -> "request " + id + " was answered " + status.code() + " after "
                         + TimeUnit.NANOSECONDS.toMillis(waited) + " ms; attempts: " + tried());
             }
         }
@@ -1034,12 +1075,12 @@
             List<String> tried = new ArrayList<>();
             for (int i = 0; i < attempts.size(); i++) {
                 Outcome outcome = attempts.get(i).outcome();
-                tried.add(servers.get(i) + " " + (outcome == null ? "still out" : outcome));
+                tried.add(servers.get(i) + " " + (outcome == null ? "in flight" : outcome));
             }
             return String.join(", ", tried);
         }
 
-        /** The final answer goes to the client; of several the first counts. */
+        /** Marks the request completed; of several answers only the first counts. */
         private void complete() {
             if (lifecycle.state() != RequestState.COMPLETED && lifecycle.state() != RequestState.ABANDONED) {
                 lifecycle.become(RequestState.COMPLETED);
@@ -1073,7 +1114,7 @@
         }
 
         void answerOverdue() {
-            log("request " + id + " had no answer in its time, and gets one from the gateway itself");
+            log("request " + id + " was not answered by its deadline; answered by the gateway itself");
             boolean sent = !attempts.isEmpty();
             if (entry != null) {
                 entry.over(sent ? End.FAILED : End.REFUSED);
@@ -1082,11 +1123,14 @@
                     sent ? "failed: it may have run" : "refused: trying again is harmless", 0);
             complete();
             forgetIfOver();
-            // The module owes nothing any more either.
+            // The decision module need not answer the request any more either.
             tell(new ClientLeft(id));
         }
 
-        /** Nobody waits any more once it has its answer, or its client has gone: what was not sent by then is not sent. */
+        /**
+         * Cancels unsent attempts once the request is answered or its client has left, and removes the request when it has
+         * ended.
+         */
         private void forgetIfOver() {
             if (reply.isDone()) {
                 attempts.forEach(HostPool.Attempt::callOff);
--- a/src/main/java/cinderhollow/daemon/GatewayConfig.java
+++ b/src/main/java/cinderhollow/daemon/GatewayConfig.java
@@ -14,19 +14,23 @@
 import java.util.Map;
 
 /**
- * What the platform tells a gateway at its start: the environment, and the JSON file that it names.
+ * The configuration of a gateway process, from the environment and the JSON file that it names.
  *
- * @param discovery where changes to the list are told, or null where the list stays as it is
- * @param sockets the descriptors that the process may hold
- * @param dialTimeoutNanos how long a connection to a host may take to come up
- * @param idleNanos when at the latest a host closes a connection that stands idle
- * @param routes what an operator's file has set, or null where there is none
- * @param scale how an operator's file lets the process grow, or null
- * @param bookkeeping how an operator's file has account kept, or null
- * @param admin where figures are told, or null
- * @param door where operators call, or null where the platform names no such address
- * @param peering how an operator's file lets it talk with other gateways, or null
- * @param inherited the clients' listener where the platform holds it, or null where it is bound here
+ * @param listen address that clients connect to
+ * @param discovery address of discovery, from which changes to the endpoint list come, or null where the list never changes
+ * @param seed seed of the policy's random numbers
+ * @param sockets number of file descriptors that the process may hold
+ * @param dialTimeoutNanos time limit for connecting to a server, in nanoseconds
+ * @param idleNanos time after which, at the latest, a server closes an idle connection, in nanoseconds
+ * @param settings settings of the policy
+ * @param known endpoint list as known at the start
+ * @param routes routes of the operator's file, or null where there is no file
+ * @param scale event loops and subset of the operator's file, or null
+ * @param bookkeeping ledger of the operator's file, or null
+ * @param admin address of the admin listener, or null
+ * @param peering peers of the operator's file, or null
+ * @param door address of the operators' socket, or null where the platform names none
+ * @param inherited the clients' listener where the platform provides it, or null where it is bound here
  */
 record GatewayConfig(SocketAddress listen, SocketAddress discovery, long seed, int sockets,
                      long dialTimeoutNanos, long idleNanos, Settings settings, EndpointList known, List<Route> routes,
@@ -35,7 +39,10 @@
     private static final int USUAL_SOCKETS = 1024;
     private static final long LOOP_SEED = 0x9e3779b97f4a7c15L;
 
-    /** Reads both, the file being parsed; whatever is wrong ends as an {@link IllegalArgumentException} with one plain line. */
+    /**
+     * Reads the configuration from the environment and the parsed file. Invalid input causes an {@link
+     * IllegalArgumentException} with a one-line message.
+     */
     static GatewayConfig read(Map<String, String> environment, Json file) {
         String door = environment.getOrDefault("LB_OPS", file.field("ops").text());
         GatewayConfig config = read(file, EndpointList.address(variable(environment, "LB_LISTEN")),
@@ -45,7 +52,7 @@
         return descriptor.isEmpty() ? config : config.withListener(descriptor, environment.get("TMPDIR"));
     }
 
-    /** The file that the environment names. */
+    /** Reads and parses the file that the environment names. */
     static Json file(Map<String, String> environment) {
         String file = variable(environment, "LB_CONFIG");
         try {
@@ -56,7 +63,7 @@
         }
     }
 
-    /** The same from the parsed file, the two addresses and the operator's file or null. */
+    /** Reads the configuration from the parsed file, the two addresses, and the path of the operator's file or null. */
     static GatewayConfig read(Json json, SocketAddress listen, SocketAddress discovery, String operator) {
         SettingsReader settings = settings(json);
         Operator.Read read = operator == null ? null : Operator.read(operator, settings);
@@ -69,25 +76,26 @@
                 read == null || read.fellows() == null ? null : Operator.peering(read.fellows(), settings, json), null, null);
     }
 
-    /** The same with a door for operators. */
+    /** Returns a copy with the address of an operators' socket. */
     GatewayConfig withDoor(SocketAddress address) {
         return new GatewayConfig(listen, discovery, seed, sockets, dialTimeoutNanos, idleNanos, settings, known, routes,
                 scale, bookkeeping, admin, peering, address, inherited);
     }
 
-    /** The same with a listener that the platform holds, which is not taken over before all else was read. */
+    /** Returns a copy with a listener provided by the platform, which is adopted only after everything else was read. */
     private GatewayConfig withListener(String descriptor, String folder) {
         if (scale != null && scale.eachListens()) {
-            throw new IllegalArgumentException("LB_INHERITED_FD gives one listener, and the operator's file wants one a loop");
+            throw new IllegalArgumentException("LB_INHERITED_FD gives one listener, the operator's file wants one per loop");
         }
         return new GatewayConfig(listen, discovery, seed, sockets, dialTimeoutNanos, idleNanos, settings, known, routes,
                 scale, bookkeeping, admin, peering, door, Inherited.take(descriptor, folder));
     }
 
     /**
-     * The same for one of several event loops: one gateway more among all, with its part of the descriptors. Guards
-     * against a node holding many times the idle connections that it held for one loop: each loop asks it so much more
-     * rarely, and closes what isn't used so much sooner.
+     * Returns the configuration for one of several event loops: each counts as one more gateway among all, and has its part
+     * of the file descriptors. The idle timeout is divided by the number of loops: otherwise a server would hold many times
+     * the idle connections that it holds for one loop. Each loop sends it correspondingly fewer requests, and closes unused
+     * connections correspondingly sooner.
      */
     GatewayConfig loop(int number) {
         int loops = scale.loops();
@@ -100,14 +108,14 @@
                 bookkeeping == null ? null : bookkeeping.of(number, loops), null, null, door, inherited);
     }
 
-    /** The settings in a configuration's JSON, in the form of the simulator's pairs. */
+    /** Returns the settings of a configuration's JSON as the pairs of path and value that the simulator uses. */
     static SettingsReader settings(Json json) {
         Map<String, String> pairs = new HashMap<>();
         flatten("", json.field("settings"), pairs);
         return new SettingsReader(pairs);
     }
 
-    /** A gateway that never had a list starts with an empty one. */
+    /** Returns the known endpoint list; empty for a gateway that has never had one. */
     private static EndpointList known(Json json) {
         return json.value() == null ? new EndpointList(0, true, List.of()) : EndpointList.read(json);
     }
@@ -120,7 +128,7 @@
         }
     }
 
-    /** Writes nested settings as the simulator's pairs of path and value. */
+    /** Flattens nested settings into the simulator's pairs of path and value. */
     private static void flatten(String path, Json json, Map<String, String> pairs) {
         if (json.isObject()) {
             json.fields().forEach((name, value) ->
@@ -139,7 +147,7 @@
     private static String variable(Map<String, String> environment, String name) {
         String value = environment.get(name);
         if (value == null || value.isEmpty()) {
-            throw new IllegalArgumentException("the environment lacks " + name);
+            throw new IllegalArgumentException("missing environment variable " + name);
         }
         return value;
     }
--- a/src/main/java/cinderhollow/daemon/Handover.java
+++ b/src/main/java/cinderhollow/daemon/Handover.java
@@ -29,12 +29,12 @@
 import java.util.function.Consumer;
 
 /**
- * The sockets of a hand-over between the process that serves and its successor, in a folder that both have. Their one
- * connection is the overlap: a snapshot comes over it, the successor tells on it that it serves, and its end tells each that
- * the other is gone. Loaded only where the platform holds the listener.
+ * The socket exchange between the serving process and its successor in an upgrade, in a directory that both know. They share
+ * one connection for as long as both serve: over it the successor receives a snapshot and reports that it serves, and its end
+ * tells each that the other is gone. Loaded only where the platform provides the listener.
  */
 final class Handover {
-    /** A successor starts without what doesn't come in this time. */
+    /** Longest wait for the predecessor, in milliseconds; after it a successor starts without the snapshot. */
     static final long LONGEST_MILLIS = 500;
     private static final String NAME = "handover";
     private static final byte SERVES = '!';
@@ -42,8 +42,8 @@
     private Handover() { }
 
     /**
-     * Offers this gateway's knowledge in the folder from now on, in place of whoever did so before. What can't be offered
-     * is told in one line and costs a later upgrade what it would have gained.
+     * Offers this gateway's snapshot in the directory from now on, in place of any earlier offer. A failure is logged in one
+     * line; a later upgrade then starts without a snapshot.
      */
     static ChannelFuture offer(EventLoop loop, Path folder, Serving gateway, Consumer<String> log) {
         Path own = folder.resolve(NAME + "-" + ProcessHandle.current().pid() + "-" + System.nanoTime());
@@ -58,15 +58,15 @@
                         if (!bound.isSuccess()) {
                             throw new IOException(bound.cause());
                         }
-                        // At one instant: whoever comes meets the old one or this one, and never none.
+                        // Replaced atomically: a successor always finds either the old socket or this one.
                         Files.move(own, folder.resolve(NAME), StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
                     } catch (IOException e) {
-                        log.accept("no hand-over can be offered: " + e.getMessage());
+                        log.accept("cannot offer a handover to a successor: " + e.getMessage());
                     }
                 });
     }
 
-    /** The side of the process that serves. */
+    /** Connection handler in the process that serves. */
     private static final class Predecessor extends SimpleChannelInboundHandler<ByteBuf> {
         private final Serving gateway;
         private final Consumer<String> log;
@@ -83,7 +83,7 @@
                 if (fault == null) {
                     ctx.writeAndFlush(Unpooled.wrappedBuffer(bytes));
                 } else {
-                    log.accept("no snapshot for a successor: " + fault.getMessage());
+                    log.accept("cannot make a snapshot for a successor: " + fault.getMessage());
                     ctx.close();
                 }
             });
@@ -93,7 +93,7 @@
         protected void channelRead0(ChannelHandlerContext ctx, ByteBuf word) {
             if (!succeeded && word.isReadable() && word.readByte() == SERVES) {
                 succeeded = true;
-                log.accept("a successor serves beside this process");
+                log.accept("a successor process serves beside this one");
                 gateway.overlap(true);
             }
         }
@@ -103,7 +103,7 @@
             if (succeeded) {
                 gateway.overlap(false);
             } else {
-                log.accept("a successor went before it served; all stays as it is");
+                log.accept("a successor went before it served; this process serves on");
             }
         }
 
@@ -114,8 +114,8 @@
     }
 
     /**
-     * Takes over what a process in the folder offers, and returns when this gateway has it, or when there is nothing to be
-     * had: then it is a plain start. What it gives tells the predecessor that this process serves.
+     * Takes over the snapshot that a process offers in the directory. Returns when this gateway has restored it, or when
+     * there is none, which makes this an ordinary start. The returned task tells the predecessor that this process serves.
      */
     static Runnable takeOver(EventLoop loop, Path folder, Serving gateway, Consumer<String> log) {
         Path path = folder.resolve(NAME);
@@ -131,8 +131,8 @@
                 return () -> channel.writeAndFlush(Unpooled.wrappedBuffer(new byte[] {SERVES}));
             } catch (ExecutionException | TimeoutException e) {
                 successor.close();
-                log.accept("a plain start, without what the process before knows: "
-                        + (e.getCause() == null ? "it took too long" : e.getCause().getMessage()));
+                log.accept("no handover, starting without the predecessor's snapshot: "
+                        + (e.getCause() == null ? "timed out" : e.getCause().getMessage()));
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
@@ -140,7 +140,7 @@
         return () -> { };
     }
 
-    /** Reads the first line, and then as many bytes as it says. */
+    /** Connection handler in the successor: reads the header line, and then as many bytes as it announces. */
     private static final class Successor extends ByteToMessageDecoder {
         private final CompletableFuture<Snapshot> snapshot = new CompletableFuture<>();
         private volatile Channel channel;
@@ -183,7 +183,7 @@
         @Override
         public void channelInactive(ChannelHandlerContext ctx) throws Exception {
             super.channelInactive(ctx);
-            snapshot.completeExceptionally(new IOException("it ended before its snapshot was whole"));
+            snapshot.completeExceptionally(new IOException("connection closed before the snapshot was complete"));
         }
 
         @Override
--- a/src/main/java/cinderhollow/daemon/InTurn.java
+++ b/src/main/java/cinderhollow/daemon/InTurn.java
@@ -5,9 +5,9 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * Long work on an event loop, one step at a time, with a look at the sockets after each. Guards against a stall: a task
- * for each step would not do, since the loop runs all tasks that are due before it looks; hence the short wait. On the
- * loop's thread alone.
+ * Runs long work on an event loop in steps, and lets the loop poll its sockets after each, so that the loop does not stall.
+ * One queued task per step would not do: the loop runs all tasks that are due before it polls; hence the short delay between
+ * steps. Used only on the loop's thread.
  */
 final class InTurn {
     private static final long PAUSE_MILLIS = 1;
@@ -17,18 +17,18 @@
     private final Runnable step;
     private boolean due;
 
-    /** Does a step at a time for as long as one waits. */
+    /** Creates the task; it runs {@code step} repeatedly for as long as {@code hasWork} returns true. */
     InTurn(EventLoop loop, BooleanSupplier waits, Runnable step) {
         this.loop = loop;
         this.waits = waits;
         this.step = step;
     }
 
-    /** Goes on at once, or when the next step is due. */
+    /** Runs the next step now, or when it is due if one is already scheduled. */
     void goOn() {
         if (!due && waits.getAsBoolean()) {
             due = true;
-            // Before the step, whose fault must not be the end of all that come after it.
+            // Scheduled before the step runs, so that a step that throws does not stop all later ones.
             loop.schedule(() -> {
                 due = false;
                 goOn();
--- a/src/main/java/cinderhollow/daemon/Inherited.java
+++ b/src/main/java/cinderhollow/daemon/Inherited.java
@@ -7,17 +7,20 @@
 import java.nio.file.Path;
 
 /**
- * The listener that the platform holds and every process inherits. Loaded only where it names one.
+ * The listening socket that the platform holds and that every process inherits. Loaded only where the platform provides one.
  *
- * <p>It is never closed while the process has something to say: the runtime sends the standard streams to nowhere when
- * the inherited channel is closed. Who takes in no more stops reading from it.
+ * <p>It is not closed as long as the process still writes output: the Java runtime redirects the standard streams to nowhere
+ * when the inherited channel is closed. To stop accepting, a process stops reading from it.
  *
- * @param listener bound, listening, in non-blocking mode, which all processes that hold it share
- * @param first who was accepted while it was looked at, or null
- * @param folder where both processes of an upgrade find each other, or null
+ * @param listener the bound, listening socket in non-blocking mode, shared by all processes that hold it
+ * @param first connection that was accepted while the socket was checked, or null
+ * @param folder directory in which the two processes of an upgrade find each other, or null
  */
 record Inherited(ServerSocketChannel listener, SocketChannel first, Path folder) {
-    /** Takes over the descriptor of this number; one that is none, or doesn't listen, is an {@link IllegalArgumentException}. */
+    /**
+     * Adopts the file descriptor of this number. An invalid one, or one that does not listen, causes an {@link
+     * IllegalArgumentException}.
+     */
     static Inherited take(String descriptor, String folder) {
         if (!descriptor.equals("0")) {
             throw new IllegalArgumentException("LB_INHERITED_FD names descriptor '" + descriptor
@@ -29,7 +32,7 @@
                 throw new IllegalArgumentException("LB_INHERITED_FD names descriptor 0, which is no listening socket");
             }
             listener.configureBlocking(false);
-            // The only way to tell a socket that listens from one that doesn't: the call fails there.
+            // Accepting is the only way to find out whether the socket listens: the call fails if it does not.
             return new Inherited(listener, listener.accept(), folder == null ? null : Path.of(folder));
         } catch (IOException e) {
             throw new IllegalArgumentException("LB_INHERITED_FD names descriptor 0, which can't accept: " + e.getMessage(), e);
--- a/src/main/java/cinderhollow/daemon/Journal.java
+++ b/src/main/java/cinderhollow/daemon/Journal.java
@@ -22,24 +22,27 @@
 import org.jctools.queues.SpscArrayQueue;
 
 /**
- * The journal of one event loop's ledger. Entries are gathered on the loop and handed over in frames, without locks, to a
- * thread that writes them and syncs them in groups. A disk that is slow, full or gone costs entries and never the loop's
- * time: what is lost is counted, and made up for by a frame that tells all as soon as there is room again.
+ * The journal of one event loop's ledger. The loop collects entries in frames and passes them, without locks, to a thread
+ * that writes them and syncs them in groups. A disk that is slow, full or missing costs entries and never delays the loop.
+ * Lost entries are counted, and a checkpoint frame with the complete state is written as soon as there is room again.
  */
 final class Journal {
-    /** Where frames go; a test has slow and failing ones. */
+    /** Output for frames; tests use slow and failing ones. */
     interface Output extends Closeable {
+        /** Writes all remaining bytes. */
         void write(ByteBuffer bytes) throws IOException;
 
+        /** Forces what was written to the disk. */
         void sync() throws IOException;
     }
 
-    /** Makes a file that was not there. */
+    /** Creates journal files. */
     interface Disk {
+        /** Creates a file; fails if it exists. */
         Output create(Path file) throws IOException;
     }
 
-    /** The real one. */
+    /** Creates files on disk; fails if the file exists. */
     static final Disk FILES = file -> {
         FileChannel channel = FileChannel.open(file, StandardOpenOption.CREATE_NEW, StandardOpenOption.WRITE);
         return new Output() {
@@ -62,15 +65,19 @@
         };
     };
 
-    /** What is open on the loop, for a frame that tells all. */
+    /** Source of the requests that are open on the loop, for a checkpoint frame. */
     interface Held {
+        /** Writes each open request to the frame. */
         void tell(Frame frame);
     }
 
+    /** Frames in each queue, usual size of a frame, and size from which a frame is not reused, in bytes. */
     private static final int FRAMES = 64, ROOM = 1 << 15, LARGE = 1 << 18;
-    /** So long may an entry wait on the loop: what a killed process can't know of. */
+    /** Longest time, in milliseconds, for which an entry stays on the loop; a killed process loses these entries. */
     private static final long FLUSH_MILLIS = 5;
+    /** Pause of the writer thread when there is nothing to write. */
     private static final long PAUSE_NANOS = TimeUnit.MILLISECONDS.toNanos(1);
+    /** Time after a write failure before the disk is tried again. */
     private static final long RETRY_NANOS = TimeUnit.SECONDS.toNanos(1);
 
     private final EventLoop loop;
@@ -88,14 +95,14 @@
     private final Thread thread;
     private final FileChannel lock;
 
-    // The loop's.
+    // Used only by the event loop.
     private Frame current = new Frame(ROOM);
     private boolean due;
-    /** Entries were lost, and all must be told before any further one makes sense. */
+    /** Entries were lost: a checkpoint must be written before any further entry makes sense. */
     private boolean gap = true;
     private long lostHere;
 
-    // The thread's, and what both look at.
+    // Used by the writer thread; the volatile fields are also used by the event loop.
     private Output output;
     private long position;
     private long files;
@@ -123,7 +130,9 @@
         thread.setDaemon(true);
     }
 
-    /** Reads what earlier lives left and begins; null, with a line in the log, where the directory can't be used. */
+    /**
+     * Reads the journals of earlier runs and opens a new one. Returns null, with a log line, if the directory cannot be used.
+     */
     static Journal open(EventLoop loop, Bookkeeping setting, Disk disk, Ledger ledger, Held held, Consumer<String> log) {
         FileChannel lock = null;
         try {
@@ -138,14 +147,17 @@
             journal.tick();
             return journal;
         } catch (IOException | OverlappingFileLockException e) {
-            log.accept("ledger's journal: none is kept, " + setting.directory() + " can't be used: "
-                    + (e instanceof IOException ? e.getMessage() : "this process keeps another there"));
+            log.accept("ledger's journal: not written, directory " + setting.directory() + " can't be used: "
+                    + (e instanceof IOException ? e.getMessage() : "this process already writes a journal there"));
             release(lock);
             return null;
         }
     }
 
-    /** Held until the process ends. Guards against two processes that take each other's files for an earlier life's. */
+    /**
+     * Locks the journal of this loop until the process ends. Otherwise two processes could take each other's files for those
+     * of an earlier run.
+     */
     private static FileChannel lock(Bookkeeping setting) throws IOException {
         FileChannel channel = FileChannel.open(setting.directory().resolve("ledger-" + setting.loop() + ".lock"),
                 StandardOpenOption.CREATE, StandardOpenOption.WRITE);
@@ -158,7 +170,7 @@
             throw e;
         }
         release(channel);
-        throw new IOException("another process keeps its journal there");
+        throw new IOException("another process writes its journal there");
     }
 
     private static void release(FileChannel lock) {
@@ -167,22 +179,22 @@
                 lock.close();
             }
         } catch (IOException e) {
-            // The process's end closes it, and until then nobody else may have the directory.
+            // The end of the process closes it; until then, no other process may use the directory.
             return;
         }
     }
 
-    /** The sums of earlier lives. */
+    /** Returns the sums of earlier runs by account. */
     List<Life> earlier() {
         return earlier;
     }
 
-    /** Entries that never reached the disk. */
+    /** Returns the number of entries that never reached the disk. */
     long lost() {
         return lostHere + lostThere;
     }
 
-    /** A request has begun. On the loop. */
+    /** Records that a request has opened. Called on the event loop. */
     void opened(long request, int account, String id) {
         if (gap) {
             lostHere++;
@@ -192,7 +204,7 @@
         wrote();
     }
 
-    /** A request is over. On the loop. */
+    /** Records that a request has ended. Called on the event loop. */
     void ended(long request, End end) {
         if (gap) {
             lostHere++;
@@ -230,7 +242,10 @@
         }
     }
 
-    /** Between events: what is open is as the sums say. */
+    /**
+     * Passes the current frame to the writer, and a checkpoint where one is needed. Runs between events, when the open
+     * requests agree with the sums.
+     */
     private void tick() {
         due = false;
         handOver();
@@ -250,7 +265,7 @@
         }
     }
 
-    /** Ends in good order; the future is completed when all is on the disk. On the loop. */
+    /** Closes the journal; the future completes once everything is on disk. Called on the event loop. */
     CompletableFuture<Void> end() {
         if (!gap) {
             current.closed();
@@ -293,7 +308,7 @@
         boolean begins = frame.isCheckpoint() && (output == null || position >= setting.mostBytes());
         if (output == null && (!begins || System.nanoTime() < retryAt)) {
             lostThere += frame.entries();
-            // Not at once: a disk that refuses is asked again once a second.
+            // Not immediately: a failing disk is tried again once a second.
             wantsAll = System.nanoTime() >= retryAt;
             return;
         }
@@ -303,7 +318,7 @@
             }
             put(frame);
             if (begins) {
-                // Only now is the older file not needed any more.
+                // Only once the checkpoint is on disk are the older files no longer needed.
                 output.sync();
                 removeOld();
             }
@@ -313,7 +328,7 @@
             }
             if (inTrouble) {
                 inTrouble = false;
-                log.accept("ledger's journal: goes on");
+                log.accept("ledger's journal: writing again");
             }
         } catch (IOException e) {
             lostThere += frame.entries();
@@ -341,7 +356,7 @@
         position += JournalFiles.FRAME_HEAD + frame.length();
     }
 
-    /** All but the one that is being written. */
+    /** Deletes all segments but the one that is being written. */
     private void removeOld() throws IOException {
         while (old.size() > 1) {
             Files.deleteIfExists(old.remove(0));
@@ -366,7 +381,7 @@
         retryAt = System.nanoTime() + RETRY_NANOS;
         if (!inTrouble) {
             inTrouble = true;
-            log.accept("ledger's journal: can't be written (" + e.getMessage() + "); requests go on without it");
+            log.accept("ledger's journal: write failed (" + e.getMessage() + "); requests are served without it");
         }
     }
 
@@ -376,7 +391,7 @@
                 output.close();
             }
         } catch (IOException e) {
-            log.accept("ledger's journal: " + e.getMessage());
+            log.accept("ledger's journal: closing a segment failed: " + e.getMessage());
         } finally {
             output = null;
         }
--- a/src/main/java/cinderhollow/daemon/JournalFiles.java
+++ b/src/main/java/cinderhollow/daemon/JournalFiles.java
@@ -17,17 +17,18 @@
 import java.util.zip.CRC32C;
 
 /**
- * The files of a ledger's journal in a directory that lasts. Each holds frames: a length, a checksum of the frame (CRC-32C,
- * RFC 3720, section 12.1) and its bytes. Every file begins with a frame that names its life, and one that tells all.
+ * The segment files of a ledger's journal, in a persistent directory. Each consists of frames: a length, a checksum of the
+ * frame (CRC-32C, RFC 3720, section 12.1) and its bytes. Each segment begins with a frame that identifies the run of the
+ * process, followed by a checkpoint frame with the complete state.
  */
 final class JournalFiles {
-    /** A longer frame is none: it would tell of more than a million open requests. */
+    /** Longest valid frame, in bytes: a longer one would hold more than a million open requests. */
     static final int LONGEST_FRAME = 1 << 26;
     static final int FRAME_HEAD = 8;
     private static final Pattern NAME = Pattern.compile("ledger-([0-9]{1,3})-([0-9]{16})-([0-9]{8})\\.journal");
     private static final int BUFFER = 1 << 16;
 
-    /** One file, by its name. */
+    /** A segment file, as described by its name. */
     record Segment(Path path, int loop, long epochMillis, long number) { }
 
     private JournalFiles() { }
@@ -36,7 +37,7 @@
         return directory.resolve(String.format("ledger-%d-%016d-%08d.journal", loop, epochMillis, number));
     }
 
-    /** A loop's files, the newest first. */
+    /** Lists a loop's segments, the newest first. */
     static List<Segment> list(Path directory, int loop) throws IOException {
         List<Segment> found = new ArrayList<>();
         try (Stream<Path> files = Files.list(directory)) {
@@ -51,7 +52,7 @@
         return found;
     }
 
-    /** The numbers of the loops that have files. */
+    /** Returns the numbers of the loops that have segments. */
     static List<Integer> loops(Path directory) throws IOException {
         try (Stream<Path> files = Files.list(directory)) {
             return files.map(path -> NAME.matcher(path.getFileName().toString())).filter(Matcher::matches)
@@ -59,7 +60,7 @@
         }
     }
 
-    /** The bytes that go before a frame. */
+    /** Writes the header of a frame, its length and checksum. */
     static void head(byte[] frame, int length, ByteBuffer head) {
         CRC32C sum = new CRC32C();
         sum.update(frame, 0, length);
@@ -67,7 +68,7 @@
     }
 
     /**
-     * Reads a file to its end, or to where it can't be believed any more.
+     * Reads a segment to its end, or to the first byte that is not valid.
      *
      * @return what was wrong, or null
      */
@@ -82,10 +83,10 @@
                     length = in.readInt();
                 } catch (EOFException e) {
                     long rest = Files.size(file) - good;
-                    return rest == 0 ? null : "its last " + rest + " bytes are torn off";
+                    return rest == 0 ? null : "its last " + rest + " bytes are an incomplete frame";
                 }
                 if (length <= 0 || length > LONGEST_FRAME) {
-                    return "a frame of " + length + " bytes at " + good + "; what follows is not believed";
+                    return "invalid frame length " + length + " at byte " + good + "; the rest is ignored";
                 }
                 int expected;
                 try {
@@ -93,17 +94,17 @@
                     frame = length > frame.length ? new byte[Math.max(length, 2 * frame.length)] : frame;
                     in.readFully(frame, 0, length);
                 } catch (EOFException e) {
-                    return "its last " + (Files.size(file) - good) + " bytes are torn off";
+                    return "its last " + (Files.size(file) - good) + " bytes are an incomplete frame";
                 }
                 sum.reset();
                 sum.update(frame, 0, length);
                 if ((int) sum.getValue() != expected) {
-                    return "a wrong checksum at " + good + "; what follows is not believed";
+                    return "wrong checksum at byte " + good + "; the rest is ignored";
                 }
                 try {
                     recovery.read(frame, length);
                 } catch (IllegalArgumentException e) {
-                    return e.getMessage() + " at " + good + "; what follows is not believed";
+                    return e.getMessage() + " at byte " + good + "; the rest is ignored";
                 }
                 good += FRAME_HEAD + length;
             }
--- a/src/main/java/cinderhollow/daemon/Lives.java
+++ b/src/main/java/cinderhollow/daemon/Lives.java
@@ -12,19 +12,19 @@
 import java.util.TreeMap;
 
 /**
- * What is known of the process's earlier lives when one begins.
+ * What the journals of earlier runs of the process hold, as read at a start.
  *
- * @param lives their sums by account
- * @param orphans the requests that were open when the last life was cut off
- * @param lines what is to be told to the operators
- * @param read the files that this stands for, which may go when it has been written down anew
+ * @param lives sums of the earlier runs by account
+ * @param orphans requests that were open when the last run was cut off
+ * @param lines lines for the log
+ * @param read segments covered by this, which may be deleted once it has been written to a new segment
  */
 record Lives(List<Life> lives, List<Recovery.Orphan> orphans, List<String> lines, List<Path> read) {
-    /** The file that lists orphans; one that is longer than a screen is of no use in a log. */
+    /** Name of the file that lists the orphans: a list longer than a screen is of no use in a log. */
     static final String ORPHANS = "orphans.txt";
     private static final int MOST_NAMED = 20;
 
-    /** Reads what the loops of these numbers have left. A file that can't be read is told of, and no fault of the start. */
+    /** Reads what the loops of these numbers have left. A file that cannot be read is logged and does not fail the start. */
     static Lives read(Path directory, List<Integer> loops) throws IOException {
         Map<String, Life> lives = new TreeMap<>();
         List<Recovery.Orphan> orphans = new ArrayList<>();
@@ -38,12 +38,12 @@
                 }
                 orphans.addAll(last.orphans());
                 if (last.lost() > 0) {
-                    lines.add("the last life lost " + last.lost() + " entries to its disk, and made up for them later");
+                    lines.add("the last run could not write " + last.lost() + " entries to disk, and wrote a checkpoint later");
                 }
             }
         }
         if (!orphans.isEmpty()) {
-            lines.add(orphans.size() + " requests were open when the last life ended, and may have run: "
+            lines.add(orphans.size() + " requests were open when the last run ended, and may have run: "
                     + String.join(", ", orphans.stream().limit(MOST_NAMED)
                     .map(orphan -> orphan.id() + " (" + orphan.account() + ")").toList())
                     + (orphans.size() > MOST_NAMED ? ", ...: all are in " + directory.resolve(ORPHANS) : ""));
@@ -51,7 +51,7 @@
         return new Lives(List.copyOf(lives.values()), List.copyOf(orphans), List.copyOf(lines), List.copyOf(read));
     }
 
-    /** The newest file that tells all: it stands for those before it. Null where there is none. */
+    /** Reads the newest segment with a checkpoint, which covers all earlier ones. Returns null where there is none. */
     private static Recovery last(List<Segment> segments, List<String> lines, List<Path> read) {
         Recovery found = null;
         for (Segment segment : segments) {
@@ -61,13 +61,13 @@
                 try {
                     wrong = JournalFiles.read(segment.path(), recovery);
                 } catch (IOException e) {
-                    wrong = "it can't be read: " + e.getMessage();
+                    wrong = "can't be read: " + e.getMessage();
                 }
                 if (wrong != null) {
                     lines.add(segment.path().getFileName() + ": " + wrong);
                 }
                 if (recovery.file() < 0) {
-                    continue; // kept: another version may know what to make of it
+                    continue; // kept: another version may be able to read it
                 }
                 found = recovery.isWhole() ? recovery : null;
             }
@@ -76,7 +76,7 @@
         return found;
     }
 
-    /** Writes the list of orphans beside the journal, where there are any. */
+    /** Writes the list of orphans to a file beside the journal, if there are any. */
     void keepOrphans(Path directory) throws IOException {
         if (!orphans.isEmpty()) {
             Files.write(directory.resolve(ORPHANS),
--- a/src/main/java/cinderhollow/daemon/Loops.java
+++ b/src/main/java/cinderhollow/daemon/Loops.java
@@ -18,14 +18,14 @@
 import java.util.stream.IntStream;
 
 /**
- * Several gateways in one process, each on an event loop of its own with its own decisions, clients and connections.
- * They share the list of nodes, which the first one follows for all, and the listener, and nothing else: the module's
- * limits, trials and cold budgets go by how many gateways there are, and each loop counts as one.
+ * Several gateways in one process, each on its own event loop with its own policy, clients and connections. They share only
+ * the listener and the endpoint list, which the first one follows for all. The policy's limits, trials and cold budgets
+ * depend on the number of gateways, and each loop counts as one.
  */
 final class Loops implements Serving {
     private final List<Gateway> gateways;
     private final SocketAddress listen;
-    /** Null where each loop listens for itself. */
+    /** Null where each loop has its own listener. */
     private final Acceptor acceptor;
     private final Inherited inherited;
     private volatile boolean listening;
@@ -38,7 +38,10 @@
                 : new Acceptor(accepting, gateways.stream().map(Gateway::clients).toList());
     }
 
-    /** As {@link Gateway#open}; the group has one loop more than there are gateways, which accepts. */
+    /**
+     * Opens the gateways, like {@link Gateway#open}. The group has one loop more than there are gateways, which accepts
+     * connections.
+     */
     static CompletableFuture<Serving> open(EventLoopGroup group, GatewayConfig config, Transport transport,
                                            Consumer<String> log) {
         List<CompletableFuture<Gateway>> opened = new ArrayList<>();
@@ -67,7 +70,7 @@
 
     private CompletableFuture<?> listenAll() {
         if (acceptor == null) {
-            // The first's port is the others': it may have been left to the system.
+            // The others use the first one's port, which the system may have chosen.
             return gateways.get(0).listen().thenCompose(first -> all(gateways.stream().skip(1)
                     .map(gateway -> gateway.listen(first.address())).toList()));
         }
@@ -80,7 +83,10 @@
         return acceptor == null ? gateways.get(0).address() : (InetSocketAddress) acceptor.address();
     }
 
-    /** All serve on for the same time; the listener closes with the first that takes in no more. */
+    /**
+     * Shuts all gateways down. All serve on for the same time; the shared listener closes with the first that stops
+     * accepting.
+     */
     @Override
     public CompletableFuture<Void> end() {
         if (acceptor != null) {
@@ -95,7 +101,7 @@
         return all(each).thenApply(none -> each.stream().flatMap(figures -> figures.join().stream()).toList());
     }
 
-    /** The list comes to the first one first. */
+    /** All loops must be serving: the endpoint list reaches the first loop first. */
     @Override
     public CompletableFuture<Boolean> serves() {
         List<CompletableFuture<Boolean>> each = gateways.stream().map(Gateway::serves).toList();
@@ -113,7 +119,7 @@
         return all(gateways.stream().map(gateway -> gateway.standby(empty)).toList());
     }
 
-    /** What one loop has learnt is as good for each of the successor's. */
+    /** Returns the first loop's snapshot: what one loop has learned is valid for each loop of the successor. */
     @Override
     public CompletableFuture<Snapshot> snapshot() {
         return gateways.get(0).snapshot();
@@ -134,7 +140,7 @@
         return all(gateways.stream().map(Gateway::acknowledge).toList());
     }
 
-    /** Each loop at an instant of its own: they share no request. */
+    /** Each loop applies the configuration at its own instant, since they share no request. */
     @Override
     public CompletableFuture<Void> retune(GatewayConfig next) {
         gateways.forEach(gateway -> gateway.checkRoutes(next));
@@ -142,7 +148,7 @@
                 .mapToObj(i -> gateways.get(i).retune(next.loop(i))).toList());
     }
 
-    /** Several loops talk with nobody. */
+    /** Returns the first loop's state: a gateway with several event loops has no peers. */
     @Override
     public CompletableFuture<ZoneStanding> zones() {
         return gateways.get(0).zones();
--- a/src/main/java/cinderhollow/daemon/Operations.java
+++ b/src/main/java/cinderhollow/daemon/Operations.java
@@ -7,11 +7,14 @@
 import java.net.SocketAddress;
 import java.util.concurrent.CompletableFuture;
 
-/** The operators' door of a process. Loaded only where the platform names an address for it. */
+/** Starts the operators' socket of a process. Loaded only where the platform names an address for it. */
 final class Operations {
     private Operations() { }
 
-    /** Opens it before this gateway; what it gives closes it. An address that can't be had ends the start. */
+    /**
+     * Opens the operators' socket for this gateway and returns a task that closes it. An address that cannot be bound causes
+     * an {@link IllegalArgumentException}, which fails the start.
+     */
     static Runnable open(EventLoopGroup group, SocketAddress address, Serving gateway) {
         Door door = new Door(group.next(), new Desk() {
             @Override
--- a/src/main/java/cinderhollow/daemon/Operator.java
+++ b/src/main/java/cinderhollow/daemon/Operator.java
@@ -26,17 +26,20 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 
-/** The operator's file in a deployment: used whole, or not at all. Loaded only where one is named. */
+/** Loads the operator's file of a deployment, which is used whole or not at all. Loaded only where a file is named. */
 public final class Operator {
-    /** One screen of text. */
+    /** Findings shown at most in the error message: about one screen of text. */
     private static final int MOST_SHOWN = 18;
 
     private Operator() { }
 
-    /** What a file without faults sets. */
+    /** The configuration of a valid file. */
     record Read(List<Route> routes, Scale scale, Bookkeeping bookkeeping, SocketAddress admin, Fellows fellows) { }
 
-    /** Reads the file; with any fault the gateway must not start, and the exception's text says why. */
+    /**
+     * Reads the file. Any fault in it causes an {@link IllegalArgumentException} that lists the faults, and the gateway must
+     * not start.
+     */
     static Read read(String file, SettingsReader settings) {
         OperatorFile read = OperatorFile.read(Path.of(file), platform(settings));
         if (!read.findings().isEmpty()) {
@@ -46,7 +49,7 @@
                 read.admin() == null ? null : AdminClient.address(read.admin()), read.fellows());
     }
 
-    /** With whom it talks: as the file says, or else as the platform's configuration does. */
+    /** Returns the peers, from the operator's file or else from the platform's configuration. */
     static Peering peering(Fellows f, SettingsReader settings, Json json) {
         Settings read = settings.read();
         List<InetSocketAddress> members = new ArrayList<>();
@@ -57,14 +60,14 @@
         String listen = f.listen() == null ? json.field("peer_listen").text() : f.listen();
         int number = f.number() < 0 ? read.gatewayNumber() : f.number();
         if (members.size() < 2 || number >= members.size() || listen.isEmpty()) {
-            throw new IllegalArgumentException("[peers] names nobody to talk with, and nor does the platform's configuration");
+            throw new IllegalArgumentException("[peers] and the platform's file give no usable members or listen address");
         }
         try {
             byte[] secret = f.secret() == null ? new byte[0] : Files.readAllBytes(f.secret());
             return new Peering(EndpointList.address(listen), members, new Roster(number, members.size(), f.fleet(), secret),
                     new Terms(f.zones(), f.zones().indexOf(read.zone()), f.gateways(), f.regions(), f.mostOut(), f.holdNanos(), f.mostHoldNanos()));
         } catch (IOException e) {
-            throw new IllegalArgumentException("can't read the fleet's secret: " + e.getMessage(), e);
+            throw new IllegalArgumentException("can't read the file with the fleet's secret: " + e.getMessage(), e);
         }
     }
 
@@ -87,6 +90,7 @@
                 read.zone(), settings.flag("allowed.peers", true));
     }
 
+    /** Returns the error message for a file with faults, which shows at most {@code most} of them. */
     private static String text(String file, List<Finding> findings, int most) {
         List<String> lines = new ArrayList<>();
         lines.add("the operator's file " + file + " has " + findings.size() + (findings.size() == 1 ? " fault" : " faults")
@@ -99,9 +103,10 @@
     }
 
     /**
-     * What {@code check} prints: each route with its values, or all faults.
+     * Returns the output of the command {@code check}: each route with its values. Faults in the file cause an {@link
+     * IllegalArgumentException} that lists all of them.
      *
-     * @param config a gateway's JSON file, or null for a deployment with the usual two classes
+     * @param config a gateway's JSON file, or null for a deployment with the two default classes
      */
     public static String explain(Path file, Path config) throws IOException {
         OperatorFile read = OperatorFile.read(file, config == null ? usual()
@@ -112,6 +117,7 @@
         return read.explained();
     }
 
+    /** Returns the platform of a deployment with the two default classes. */
     private static Platform usual() {
         return new Platform(List.of(
                 new RequestClass("status", Effect.SAFE, Group.ALL, 0, TimeUnit.MILLISECONDS.toNanos(150),
--- a/src/main/java/cinderhollow/daemon/Peering.java
+++ b/src/main/java/cinderhollow/daemon/Peering.java
@@ -6,13 +6,15 @@
 import java.util.List;
 
 /**
- * How an operator lets this gateway talk with the fleet's others.
+ * How this gateway exchanges datagrams with the fleet's other gateways, as set by the operator's file.
  *
- * @param listen where their datagrams come
- * @param members where each of them listens, in the order of their numbers; a datagram of one comes from there too
+ * @param listen address on which datagrams are received
+ * @param members addresses of all members, in the order of their numbers; a member also sends from its address
+ * @param roster this member's number, the fleet's size and name, and its secret
+ * @param terms configuration of the evacuation of zones
  */
 record Peering(InetSocketAddress listen, List<InetSocketAddress> members, Roster roster, Terms terms) {
-    /** Keeps a copy. */
+    /** Copies the list of members. */
     Peering {
         members = List.copyOf(members);
     }
--- a/src/main/java/cinderhollow/daemon/Rehearsal.java
+++ b/src/main/java/cinderhollow/daemon/Rehearsal.java
@@ -38,31 +38,37 @@
 import java.util.concurrent.TimeoutException;
 
 /**
- * Made-up requests through a gateway of its own, over sockets in the file system, before the real one listens.
- * Guards against a cold start under load: code that is not yet compiled costs so much that the first seconds'
- * clients are answered late, and the module learns from these answers that all hosts are slow. Nothing of the
- * rehearsal outlives it, and no client or host ever sees it.
+ * A warm-up: sends made-up requests through a gateway of its own, over Unix domain sockets, before the real one listens. In a
+ * cold start under load, code that is not yet compiled costs so much time that the clients of the first seconds are answered
+ * late, and the policy learns from these answers that all servers are slow. Nothing of the warm-up remains after it, and no
+ * real client or server is involved.
  */
 final class Rehearsal {
-    /** Enough to meet nearly all code often; more would keep a gateway that starts anew out for longer. */
+    /** Size of the warm-up: enough to run nearly all code often; more would delay the start of the gateway. */
     private static final int REQUESTS = 400, CLIENTS = 8, HOSTS = 4, NONE = -1, MARK = 0;
-    /** The mark stands at the end alone: a read may end anywhere. */
+    /** Body that contains the end mark only as its last byte: a read may end anywhere. */
     private static final byte[] BODY = (".".repeat(600) + (char) MARK).getBytes(StandardCharsets.US_ASCII);
     private static final byte[] NOTHING = { };
-    /** A gateway is wanted soon after its start: what isn't warm by then has to do. */
+    /**
+     * Longest duration of the warm-up, in milliseconds: the gateway is needed soon, and what is not compiled by then stays
+     * cold.
+     */
     static final long LONGEST_MILLIS = 4_000;
     private static final long END_MILLIS = 500;
-    /** Far longer than a connection within a machine takes; a machine so slow that it isn't loses only the sockets' part. */
+    /**
+     * Longest wait for the first client connection, in milliseconds: far longer than connecting within a machine takes. On a
+     * slower machine only the sockets are not warmed up.
+     */
     private static final long FIRST_MILLIS = 100;
 
-    /** Of clients and hosts, and of the gateway. */
+    /** Event loops of the stand-in clients and servers, and of the warm-up's gateway. */
     private final EventLoop loop;
     private final EventLoop gatewayLoop;
     private final GatewayConfig config;
     private final Transport transport;
     private final SocketAddress stage;
     private final SocketAddress hosts;
-    /** The far sides of all that the gateway has open. */
+    /** Channels of the stand-ins for clients and servers. */
     private final ChannelGroup sides;
     private final CompletableFuture<Boolean> done = new CompletableFuture<>();
     private int asked;
@@ -80,9 +86,9 @@
     }
 
     /**
-     * Returns when all is warm, or when it has taken long enough: whether it was played to its end. One that
-     * fails costs only its gain. Where nobody comes to sockets in the file system it is played without sockets,
-     * which warms all but the reading and writing of them.
+     * Runs the warm-up and returns whether it completed within {@code maxMillis} milliseconds. A failed warm-up only loses
+     * its benefit. Where no connection over Unix domain sockets comes up, it runs without sockets, which warms up everything
+     * but reading and writing them.
      */
     static boolean run(GatewayConfig config, long longestMillis) {
         return run(config, Transport.FILES, longestMillis);
@@ -91,7 +97,7 @@
     static boolean run(GatewayConfig config, Transport transport, long longestMillis) {
         MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         try {
-            // Of its own making: the library's names for such folders come out of a slow source of chance.
+            // Not a library method for temporary directories: these take their names from a slow random source.
             Path folder = Files.createDirectory(Path.of(System.getProperty("java.io.tmpdir"),
                     "rehearsal-" + ProcessHandle.current().pid() + "-" + System.nanoTime()));
             Path stage = folder.resolve("stage");
@@ -106,20 +112,21 @@
                 Files.deleteIfExists(folder);
             }
         } catch (TimeoutException e) {
-            System.err.println("cinderhollow: the rehearsal was cut short");
+            System.err.println("cinderhollow: warm-up stopped at its time limit");
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } catch (IOException | ExecutionException | RuntimeException e) {
-            // Also what the library throws unchecked, as where the system has no socket: guards against the end of the main
-            // thread, whose process would stay and never listen.
-            System.err.println("cinderhollow: no rehearsal: " + e.getMessage());
+            // Includes what the library throws unchecked, for instance where the system has no socket: otherwise the main
+            // thread would end, and the process would stay without ever listening.
+            System.err.println("cinderhollow: warm-up failed, starting cold: " + e.getMessage());
         }
         return false;
     }
 
+    /** Runs the warm-up over in-process channels, without sockets. */
     private static boolean inProcess(GatewayConfig config, long longestMillis)
             throws InterruptedException, ExecutionException, TimeoutException {
-        // Guards against answers that come while their request is still being sent, as within one thread they would.
+        // Two threads: on one, answers would be received while their request is still being sent.
         MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(2, LocalIoHandler.newFactory());
         try {
             return new Rehearsal(group, config, Transport.PROCESS, new LocalAddress(Rehearsal.class),
@@ -129,14 +136,15 @@
         }
     }
 
-    /** Returns at its end: true if it was played whole, false if nobody came. */
+    /** Runs the warm-up and closes what it opened. Returns true if it completed, false if no client connected. */
     private boolean played(long longestMillis) throws InterruptedException, ExecutionException, TimeoutException {
         try {
             return play().get(longestMillis, TimeUnit.MILLISECONDS);
         } finally {
-            // While both loops run: a queue whose other end's loop is gone can't be closed without a warning. What the
-            // far sides' closing sets off stands in the gateway's queue before its end, and the answer to that in theirs. In
-            // one process the gateway's loop ends first, since it may dial anew until then, and closes what it has open.
+            // Closed while both loops run: an in-process channel whose peer's loop has ended cannot be closed without a
+            // warning. What the closing of the stand-ins triggers is queued on the gateway's loop before that ends, and the
+            // reaction to it on theirs. In one process the gateway's loop ends first, since it may open new connections until
+            // then, and closes what it has open.
             sides.close().await(END_MILLIS);
             gatewayLoop.submit(() -> { }).await(END_MILLIS);
             if (gatewayLoop != loop) {
@@ -147,7 +155,8 @@
     }
 
     private CompletableFuture<Boolean> play() {
-        // Guards against compiling for one kind of sockets alone, which the first of the other kind would undo.
+        // Loads the TCP channel class too: code compiled for one kind of channel alone would be deoptimized by the first
+        // channel of the other kind.
         new NioSocketChannel().unsafe().closeForcibly();
         ServerBootstrap listener = new ServerBootstrap().group(loop).channel(transport.server());
         listener.handler(new AcceptErrorHandler()).childHandler(new ChannelInitializer<Channel>() {
@@ -172,7 +181,7 @@
         return done;
     }
 
-    /** The real settings, with hosts that are all this rehearsal's own. */
+    /** Returns the real settings, with the stand-in servers as the only endpoints. */
     private GatewayConfig setting() {
         List<Endpoint> endpoints = new ArrayList<>();
         for (int i = 0; i < HOSTS; i++) {
@@ -195,8 +204,8 @@
         for (int i = 0; i < CLIENTS; i++) {
             dial.connect(stage);
         }
-        // Guards against a machine on which nobody comes to such sockets: the start would stand still until the
-        // rehearsal's whole time is over, and in a release most of a fleet starts at once.
+        // On a machine where no connection over such sockets comes up, the start would otherwise wait for the whole duration
+        // of the warm-up, and in a release most of a fleet starts at once.
         if (transport != Transport.PROCESS) {
             loop.schedule(() -> {
                 if (asked == 0) {
@@ -207,8 +216,8 @@
     }
 
     /**
-     * Far sides know each other's words and so need no codec, whose own warming would only cost time: what
-     * they send ends in a mark, and nothing follows before it has its answer.
+     * Stand-in for a client or a server. Both know each other's messages and need no codec, whose own warming up would only
+     * cost time: a body ends with a mark, and nothing is sent before the answer to it has come.
      */
     private abstract static class FarSide extends SimpleChannelInboundHandler<ByteBuf> {
         private int first = NONE;
@@ -223,14 +232,16 @@
             }
         }
 
-        /** A connection that breaks ends its part of the rehearsal, whose time is bounded. */
+        /** Closes a connection that fails; the duration of the warm-up is bounded all the same. */
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
             ctx.close();
         }
 
+        /** Returns whether the message read so far is complete, by its first and last byte and what was read last. */
         abstract boolean isWhole(int first, int last, ByteBuf end);
 
+        /** Handles a complete message. */
         abstract void came(ChannelHandlerContext ctx);
 
         static void write(ChannelHandlerContext ctx, String head, byte[] body) {
@@ -238,6 +249,7 @@
         }
     }
 
+    /** Stand-in client: sends a request, and the next one after each answer. */
     private final class Client extends FarSide {
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
@@ -260,7 +272,10 @@
             write(ctx, safe ? head : head + "Content-Length: " + BODY.length + "\r\n", safe ? NOTHING : BODY);
         }
 
-        /** A host's body ends in the mark; the gateway's own line ends in a bare line feed, which no head does. */
+        /**
+         * A server's body ends with the mark; the gateway's own answer ends with a bare line feed, which no header block
+         * does.
+         */
         @Override
         boolean isWhole(int first, int last, ByteBuf end) {
             int ahead = end.readableBytes() < 2 ? MARK : end.getByte(end.writerIndex() - 2);
@@ -277,14 +292,14 @@
         }
     }
 
-    /** Serves nearly all, and shows the gateway the other ends that an attempt can have. */
+    /** Stand-in server: serves nearly all requests, and answers some in the other ways in which an attempt can end. */
     private static final class Host extends FarSide {
         private static final int FULL_EVERY = 37, ERROR_EVERY = 53;
         private static final String REST = "Content-Length: " + BODY.length + "\r\nX-Server-Load: tps=";
 
         private int requests;
 
-        /** A POST has a body, which ends in the mark; a GET ends with its head. */
+        /** A POST has a body, which ends with the mark; a GET ends with its headers. */
         @Override
         boolean isWhole(int first, int last, ByteBuf end) {
             return last == (first == 'P' ? MARK : '\n');
--- a/src/main/java/cinderhollow/daemon/Retuning.java
+++ b/src/main/java/cinderhollow/daemon/Retuning.java
@@ -6,20 +6,22 @@
 import java.util.Set;
 
 /**
- * Holds a configuration that comes while the gateway runs against the one in force. No I/O.
+ * Checks a reloaded configuration file against the one in force. No I/O.
  *
- * <p>At a start a key that isn't there has its default, for the sake of deployments that don't know it. Later that would
- * be a trap: a file cut short would silently turn limits into defaults. So the next file must have each key that the
- * running one has, of the same type; an entry of a list each key that all running entries of that list share. More keys,
- * and more or fewer entries, are welcome.
+ * <p>At a start, a missing key has its default, so that deployments that do not know the key work. On reload this would be
+ * dangerous: a truncated file would silently replace limits by defaults. So the new file must have each key of the running
+ * one, with the same type; each entry of a list must have every key that all running entries of that list share. Additional
+ * keys, and more or fewer entries, are allowed.
  */
 final class Retuning {
-    /** The list of hosts as it was known at a start; it says nothing of how the gateway is to behave. */
+    /** Key of the endpoint list as known at a start, which is not compared: it does not configure the gateway's behavior. */
     private static final String KNOWN = "known";
 
     private Retuning() { }
 
-    /** Returns where the next file may follow the running one; else an {@link IllegalArgumentException} names the key. */
+    /**
+     * Checks that the next file may replace the running one; otherwise an {@link IllegalArgumentException} names the key.
+     */
     static void check(Json running, Json next) {
         if (!next.isObject()) {
             throw new IllegalArgumentException("it is no JSON object");
@@ -69,7 +71,7 @@
     private static String kind(Json json) {
         Object value = json.value();
         if (value instanceof Number number) {
-            // Guards against a figure beyond all figures, which passes every check that asks for more than something.
+            // JSON numbers such as 1e999 parse as infinite, which would pass every check for a lower bound.
             return Double.isFinite(number.doubleValue()) ? "a number" : "no finite number";
         }
         return json.isText() ? "a text" : json.isObject() ? "an object" : json.isArray() ? "a list"
--- a/src/main/java/cinderhollow/daemon/Scale.java
+++ b/src/main/java/cinderhollow/daemon/Scale.java
@@ -5,15 +5,16 @@
 import java.util.Map;
 
 /**
- * How an operator lets one process grow.
+ * How many event loops a process runs, and which subset of the servers it uses, as set by the operator's file.
  *
- * @param loops event loops that take clients, each a gateway of its own
- * @param eachListens each loop has a share of the listener (SO_REUSEPORT) in place of one that hands over
- * @param follows it is told the list by another loop
- * @param place the process's place among those that share the nodes out, or null where each takes all
+ * @param loops number of event loops that serve clients, each a gateway of its own
+ * @param eachListens whether each loop binds a listener of its own (SO_REUSEPORT); otherwise one listener hands connections
+ * over to the loops
+ * @param follows whether this loop receives the endpoint list from another loop
+ * @param place the process's place among the gateways that divide the servers into subsets, or null where each uses all
  */
 record Scale(int loops, boolean eachListens, boolean follows, Place place) {
-    /** The same for one of the loops, which is one gateway among all loops of all processes. */
+    /** Returns the configuration of one loop, which counts as one gateway among all loops of all processes. */
     Scale of(int loop) {
         if (place == null) {
             return new Scale(1, eachListens, loop > 0, null);
--- a/src/main/java/cinderhollow/daemon/Server.java
+++ b/src/main/java/cinderhollow/daemon/Server.java
@@ -16,19 +16,23 @@
 import java.util.concurrent.TimeoutException;
 import java.util.function.Consumer;
 
-/** The process round a {@link Gateway}: its thread, its start, its signals and its end. */
+/** The process that runs a {@link Gateway}: its event loops, start, signal handling and shutdown. */
 public final class Server {
-    /** The platform kills no sooner than 3.7 s after it asked for an end, where a deadline is 3 s. */
+    /**
+     * Bound on the whole shutdown, and on stopping the event loops, in milliseconds. The platform kills the process no sooner
+     * than 3.7 s after SIGTERM where the longest deadline is 3 s.
+     */
     private static final long LONGEST_END_MILLIS = 3_600, LOOP_END_MILLIS = 100;
 
     private Server() { }
 
     /**
-     * Starts the gateway that the environment describes and returns when it listens; it runs until the
-     * process is asked to end. A bad environment or configuration is an {@link IllegalArgumentException}.
+     * Starts the gateway that the environment describes and returns once it listens; it then runs until the process is asked
+     * to stop. An invalid environment or configuration causes an {@link IllegalArgumentException}.
      */
     public static void serve(Map<String, String> environment) {
-        // Guards against a search for logging libraries that aren't there, which costs a start as much as a list.
+        // Avoids Netty's search for logging libraries that are not on the class path: it takes as long as fetching an
+        // endpoint list.
         InternalLoggerFactory.setDefaultFactory(JdkLoggerFactory.INSTANCE);
         CompletableFuture<Reload> started = new CompletableFuture<>();
         onHangUp(() -> started.thenAccept(Reload::run));
@@ -36,10 +40,10 @@
         start(GatewayConfig.read(environment, file), gateway -> started.complete(new Reload(environment, file, gateway)));
     }
 
-    /** Starts a gateway of a small site, whose settings are all on its command line, in the same way. */
+    /** Starts a gateway whose configuration is given entirely on the command line; otherwise like {@link #serve(Map)}. */
     public static void serve(SmallSite site) {
         InternalLoggerFactory.setDefaultFactory(JdkLoggerFactory.INSTANCE);
-        onHangUp(() -> System.err.println("cinderhollow: there is no file to read anew; all stays as it is"));
+        onHangUp(() -> System.err.println("cinderhollow: SIGHUP has no effect: there is no configuration file to reload"));
         start(site.config(), gateway -> { });
         System.out.println("ready: " + site);
     }
@@ -48,16 +52,17 @@
         MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(threads(config), NioIoHandler.newFactory());
         Serving gateway = open(group, config, System.out::println).join();
         started.accept(gateway);
-        // Before the rehearsal: operators ask from the start on, and are told that it does not serve yet.
+        // Opened before the warm-up: operators may ask from the start, and are answered that the gateway does not serve yet.
         Runnable endOfDoor = config.door() == null ? null : Operations.open(group, config.door(), gateway);
-        // While discovery thinks about its first answer.
+        // The warm-up runs while discovery's first answer is awaited.
         Rehearsal.run(config, Rehearsal.LONGEST_MILLIS);
         boolean upgrades = config.inherited() != null && config.inherited().folder() != null;
-        // As late as can be: what the process before knows is newest then.
+        // As late as possible, so that the predecessor's snapshot is as recent as possible.
         Runnable tellServes = upgrades ? Handover.takeOver(group.next(), config.inherited().folder(), gateway,
                 System.out::println) : null;
         try {
-            // First: what can't be had must end the start before a client has come.
+            // Before the clients' listener: an address that cannot be bound must fail the start before any client has
+            // connected.
             Runnable endOfAdmin = config.admin() == null ? null : Admin.start(config.admin(), gateway);
             listen(gateway, new Thread(() -> end(gateway, group, endOfAdmin, endOfDoor)));
             if (upgrades) {
@@ -72,7 +77,8 @@
     }
 
     private static void listen(Serving gateway, Thread ends) {
-        // Before a client can come: guards against an end in the next instant that leaves what it has asked unanswered.
+        // Registered before clients can connect: otherwise a SIGTERM right after listening would end the process with
+        // requests unanswered.
         Runtime.getRuntime().addShutdownHook(ends);
         try {
             gateway.listen().join();
@@ -82,27 +88,31 @@
         }
     }
 
-    /** With several event loops one thread more, which accepts for the others. */
+    /**
+     * Returns the number of event loop threads: one, or for several gateway loops one more, which accepts connections for
+     * them.
+     */
     static int threads(GatewayConfig config) {
         return config.scale() == null || config.scale().loops() == 1 ? 1 : config.scale().loops() + 1;
     }
 
-    /** A gateway, or several on so many threads, that follow discovery and take no clients yet. */
+    /** Opens one gateway, or one per event loop. They follow discovery and do not accept clients yet. */
     static CompletableFuture<? extends Serving> open(EventLoopGroup group, GatewayConfig config, Consumer<String> log) {
         return threads(config) == 1 ? Gateway.open(group.next(), config, Transport.TCP, log)
                 : Loops.open(group, config, Transport.TCP, log);
     }
 
     /**
-     * Guards against the runtime's own answer to SIGHUP, which is to end. Each signal comes on a thread of its
-     * own, so the work is handed to one thread: an older file must not be applied after a newer one. A start that ignores
-     * the signal is told of, since nothing else would show that reloads are without effect.
+     * Installs a SIGHUP handler in place of the Java runtime's, which ends the process. Each signal arrives on a thread of
+     * its own, so the work is passed to a single thread: otherwise an older file could be applied after a newer one. If the
+     * process was started with SIGHUP ignored, this is logged, since nothing else would show that reloads have no effect.
      */
     private static void onHangUp(Runnable work) {
         sun.misc.SignalHandler before = sun.misc.Signal.handle(new sun.misc.Signal("HUP"),
                 signal -> GlobalEventExecutor.INSTANCE.execute(work));
         if (before == sun.misc.SignalHandler.SIG_IGN) {
-            // What was ignored at the start stays so, by the runtime's rule, and nothing in Java can undo it.
+            // The Java runtime leaves a signal ignored that was ignored at the start of the process, and Java code cannot
+            // change that.
             System.err.println("cinderhollow: SIGHUP is ignored by whoever started this program (nohup does so): "
                     + "a new configuration will not be read");
         }
@@ -117,12 +127,12 @@
             if (endOfDoor != null) {
                 endOfDoor.run();
             }
-            // The Java runtime waits 0.3 s at its exit for a thread that stands in a system call.
+            // At exit, the Java runtime waits 0.3 s for a thread that is inside a system call.
             group.shutdownGracefully(0, LOOP_END_MILLIS, TimeUnit.MILLISECONDS).await(LOOP_END_MILLIS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } catch (ExecutionException | TimeoutException e) {
-            System.err.println("cinderhollow: ended with requests open: " + e);
+            System.err.println("cinderhollow: shutdown did not complete, requests may be unanswered: " + e);
         }
     }
 }
--- a/src/main/java/cinderhollow/daemon/Serving.java
+++ b/src/main/java/cinderhollow/daemon/Serving.java
@@ -10,12 +10,17 @@
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
 
-/** What a process serves with, on one event loop or on several. All from any thread. */
+/**
+ * The control interface of a process's gateway, on one event loop or on several. All methods may be called from any thread.
+ */
 interface Serving {
-    /** Starts to take clients; the future ends when it does, or tells why it can't. */
+    /** Starts to accept clients. The future completes once the gateway listens, or exceptionally if it cannot. */
     CompletableFuture<?> listen();
 
-    /** Ends with the result when this has succeeded, or tells why it has not. */
+    /**
+     * Completes {@code promise} with {@code result} once {@code done} has succeeded, or with its cause if it fails. Returns
+     * {@code promise}.
+     */
     static <T> CompletableFuture<T> tell(CompletableFuture<T> told, Future<?> done, T result) {
         done.addListener(future -> {
             if (future.isSuccess()) {
@@ -27,49 +32,53 @@
         return told;
     }
 
-    /** Whether it takes clients' requests. */
+    /** Returns whether client requests are accepted. */
     CompletableFuture<Boolean> serves();
 
-    /** What operators are told, at one instant. */
+    /** Returns the statistics for the operators' socket, all taken at one instant. */
     CompletableFuture<Standing> standing();
 
-    /** Sends clients away, or takes them again; all else goes on. */
+    /** Turns standby on (clients are sent to other gateways) or off; nothing else changes. */
     CompletableFuture<Void> standby(boolean empty);
 
-    /** What a successor need not learn again. */
+    /** Returns a snapshot of what this gateway has learned, for a successor process. */
     CompletableFuture<Snapshot> snapshot();
 
-    /** Takes over what another process of this gateway has learnt. */
+    /** Restores what another process of this gateway has learned. */
     CompletableFuture<Void> recall(Snapshot from);
 
-    /** One more process of this same gateway serves beside this one, or one less. */
+    /** Notes that one more ({@code begins}), or one fewer, process of this same gateway serves beside this one. */
     void overlap(boolean begins);
 
-    /** Where clients connect. */
+    /** Returns the address that clients connect to. */
     InetSocketAddress address();
 
-    /** Ends in good order: all that was taken is answered, and then the future is completed. */
+    /** Shuts down gracefully: answers every accepted request, then completes the future. */
     CompletableFuture<Void> end();
 
-    /** What the ledger of each event loop has; empty where nobody keeps account. */
+    /** Returns the ledger figures of each event loop; empty where no ledger is kept. */
     CompletableFuture<List<Figures>> figures();
 
-    /** The breaches found so far have been seen. */
+    /** Marks the ledger breaches found so far as seen, so that they are no longer reported as new. */
     CompletableFuture<Void> acknowledge();
 
     /**
-     * Goes over to the settings and to discovery's address in this, at one instant; all else in it counts at a start only.
-     * The list and the open requests stay, with the classes that they came with. The future ends when it counts; one that
-     * can't be is an {@link IllegalArgumentException}, and then nothing has changed.
+     * Applies the settings and the discovery address of a reloaded configuration at one instant; everything else in it takes
+     * effect only at a start. The endpoint list and the open requests stay, and requests keep the class they arrived with.
+     * The future completes once the configuration is in force. For a configuration that cannot be applied there is an {@link
+     * IllegalArgumentException}, and nothing has changed.
      */
     CompletableFuture<Void> retune(GatewayConfig next);
 
-    /** How the fleet stands to its zones, or null where it talks with nobody. */
+    /** Returns the state of the fleet's zones, or null where this gateway has no peers. */
     CompletableFuture<ZoneStanding> zones();
 
-    /** An order to the whole fleet for so long; one that can't be is an {@link IllegalArgumentException} in the future. */
+    /**
+     * Gives the whole fleet an order about a zone, valid for {@code forMillis} milliseconds. An invalid order completes the
+     * future with an {@link IllegalArgumentException}.
+     */
     CompletableFuture<Void> order(String zone, Order.What what, long forMillis);
 
-    /** A file was of no use. */
+    /** Counts a reload that was rejected because its file was not usable. */
     void turnedDown();
 }
--- a/src/main/java/cinderhollow/daemon/SmallSite.java
+++ b/src/main/java/cinderhollow/daemon/SmallSite.java
@@ -11,11 +11,11 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A gateway without the platform's JSON file: what {@code run} has on its command line, and for the rest figures
- * that suit a few nodes.
+ * The configuration of a gateway without the platform's JSON file: the command line of {@code run}, and for everything else
+ * defaults that suit a few nodes.
  */
 public final class SmallSite {
-    /** A class of requests: its name is the first part of their path. */
+    /** A class of requests; its name is the first segment of the path. */
     private record Grade(String name, String semantics, long aimNanos, long deadlineNanos) { }
 
     private static final long AIM_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
@@ -32,12 +32,13 @@
     private final List<Grade> grades = new ArrayList<>();
 
     /**
-     * Whatever is wrong ends as an {@link IllegalArgumentException} with one plain line.
+     * Creates the configuration. Invalid input causes an {@link IllegalArgumentException} with a one-line message.
      *
-     * @param discovery where the list of nodes is watched, or null
-     * @param nodes the addresses of the nodes, where there is no discovery
+     * @param listen address that clients connect to
+     * @param discovery address of discovery, from which the list of nodes is watched, or null
+     * @param nodes addresses of the nodes, where there is no discovery
      * @param classes each as {@code NAME:safe|unsafe|keyed[:AIM[:DEADLINE]]}
-     * @param operator the operator's file, or null
+     * @param operator path of the operator's file, or null
      */
     public SmallSite(String listen, String discovery, List<String> nodes, List<String> classes, String operator) {
         this.listen = listen;
@@ -68,12 +69,12 @@
         long aim = parts.length > 2 ? nanos(parts[2], text) : AIM_NANOS;
         long deadline = parts.length > 3 ? nanos(parts[3], text) : Math.max(aim, DEADLINE_NANOS);
         if (aim > deadline) {
-            throw new IllegalArgumentException("the class '" + text + "' aims later than its deadline");
+            throw new IllegalArgumentException("the class '" + text + "' has an aim later than its deadline");
         }
         return new Grade(parts[0], parts[1], aim, deadline);
     }
 
-    /** A time with its unit: {@code 150ms} or {@code 2s}. */
+    /** Parses a time with its unit, such as {@code 150ms} or {@code 2s}. */
     private static long nanos(String text, String of) {
         boolean millis = text.matches("[0-9]{1,7}ms");
         if (!millis && !text.matches("[0-9]{1,4}s")) {
@@ -83,12 +84,12 @@
         long figure = Long.parseLong(text.replaceAll("[a-z]", ""));
         long nanos = millis ? TimeUnit.MILLISECONDS.toNanos(figure) : TimeUnit.SECONDS.toNanos(figure);
         if (nanos <= 0 || nanos > LONGEST_NANOS) {
-            throw new IllegalArgumentException("the class '" + of + "' has a time that can't be: " + text);
+            throw new IllegalArgumentException("the class '" + of + "' has a time out of range: " + text);
         }
         return nanos;
     }
 
-    /** The configuration that the platform would have given. */
+    /** Returns the configuration that the platform would otherwise provide. */
     GatewayConfig config() {
         try {
             SocketAddress watched = discovery == null ? null : EndpointList.address(discovery);
@@ -129,7 +130,7 @@
         return settings;
     }
 
-    /** Where it listens, for which classes, and to whom it sends. */
+    /** Returns where the gateway listens, its classes, and the nodes or discovery. */
     @Override
     public String toString() {
         return "http://" + listen + ", classes " + String.join(", ", grades.stream().map(Grade::name).toList())
--- a/src/main/java/cinderhollow/daemon/ZoneTalk.java
+++ b/src/main/java/cinderhollow/daemon/ZoneTalk.java
@@ -29,13 +29,14 @@
 import java.util.function.Consumer;
 
 /**
- * The sockets and the clock of {@link Evacuation}: datagrams from and to the other gateways, and what happens to attempts
+ * The sockets and the clock of {@link Evacuation}: exchanges datagrams with the other gateways and passes on how attempts end
  * here. Everything runs on the gateway's own event loop. Loaded only where an operator's file has peers.
  */
 final class ZoneTalk {
-    /** A datagram that is longer than any is cut, and then not believed. */
+    /** Longest datagram that is read, in bytes, longer than any valid one; a longer one is truncated and then rejected. */
     private static final int RECEIVED = 512;
     private static final long LEAST_WAIT = TimeUnit.MILLISECONDS.toNanos(1), MOST_WAIT = TimeUnit.MILLISECONDS.toNanos(25);
+    /** Lateness of the event loop from which the gateway doubts its own observations, in nanoseconds. */
     private static final long LATE_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
 
     private final EventLoop loop;
@@ -46,7 +47,10 @@
     private Channel channel;
     private boolean over;
 
-    /** What the module is told goes to {@code module}; whether clients should come to {@code welcome}. */
+    /**
+     * Creates the exchange. Events for the decision module go to {@code eventSink}, and whether clients should come to this
+     * gateway goes to {@code zoneAvailable}.
+     */
     ZoneTalk(EventLoop loop, Peering peering, Rules rules, GatewayClock clock, long seed, Consumer<Event> module,
              Consumer<Boolean> welcome, Consumer<String> log) {
         this.loop = loop;
@@ -84,12 +88,15 @@
         });
     }
 
-    /** Unix time; the gateway's own clock was set to it once, and does not follow it when it steps. */
+    /**
+     * Returns Unix time in milliseconds, from the gateway's clock, which was set to it once and does not follow when it is
+     * adjusted.
+     */
     private long unixMillis() {
         return TimeUnit.NANOSECONDS.toMillis(clock.nanos());
     }
 
-    /** Begins to listen and to talk; the future fails where the address can't be had. */
+    /** Binds the socket and starts the exchange; the future fails if the address cannot be bound. */
     ChannelFuture open() {
         ChannelFuture bound = new Bootstrap().group(loop).channel(NioDatagramChannel.class)
                 .option(ChannelOption.RECVBUF_ALLOCATOR, new FixedRecvByteBufAllocator(RECEIVED))
@@ -111,19 +118,22 @@
         loop.schedule(this::tick, Math.max(LEAST_WAIT, Math.min(MOST_WAIT, next - clock.nanos())), TimeUnit.NANOSECONDS);
     }
 
-    /** Tells the others, so that they need not find out, and talks no more. */
+    /** Tells the other gateways that this one leaves, so that they need not detect it, and stops the exchange. */
     void close() {
         evacuation.leave();
         over = true;
         channel.close();
     }
 
-    /** How late this gateway's own loop has been lately, in nanoseconds: it doubts what it sees then. */
+    /**
+     * Passes on how late this gateway's own event loop was recently, in nanoseconds: from {@link #LATE_NANOS} on, it doubts
+     * its own observations.
+     */
     void late(long nanos) {
         evacuation.late(nanos >= LATE_NANOS);
     }
 
-    /** Where what happens to requests, and which hosts there are, is told. */
+    /** Returns the receiver of the outcomes of attempts and of the endpoint list. */
     Traffic traffic() {
         return evacuation.traffic();
     }
@@ -132,7 +142,10 @@
         return evacuation.standing();
     }
 
-    /** An unknown zone is an {@link IllegalArgumentException}. */
+    /**
+     * Gives the fleet an order about a zone, valid for {@code forMillis} milliseconds. An unknown zone causes an {@link
+     * IllegalArgumentException}.
+     */
     void order(String zone, Order.What what, long forMillis) {
         int number = evacuation.zone(zone);
         if (number < 0) {
@@ -141,6 +154,7 @@
         evacuation.order(number, what, unixMillis() + forMillis);
     }
 
+    /** Receives the datagrams of the other gateways. */
     private final class Ear extends SimpleChannelInboundHandler<DatagramPacket> {
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, DatagramPacket packet) {
@@ -148,7 +162,10 @@
             evacuation.received(clock.nanos(), unixMillis(), from, ByteBufUtil.getBytes(packet.content()));
         }
 
-        /** What a datagram met on its way, as a port that nobody listens on: it is lost, as any may be. */
+        /**
+         * Ignores errors of datagrams already sent, such as a port that nobody listens on: such a datagram is lost, as any
+         * may be.
+         */
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) { }
     }
--- a/src/main/java/cinderhollow/daemon/package-info.java
+++ b/src/main/java/cinderhollow/daemon/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The process round one gateway: what it is told, its start with a rehearsal, its signals and its end, and
- * {@link cinderhollow.daemon.Gateway}, which hosts the decision module between the sockets of
- * {@link cinderhollow.http1} and {@link cinderhollow.membership}. One event loop thread runs all of it.
+ * The gateway process: its configuration, start with a warm-up, signal handling and shutdown, and {@link
+ * cinderhollow.daemon.Gateway}, which connects the decision module to the sockets of {@link cinderhollow.http1} and {@link
+ * cinderhollow.membership}. Each gateway runs on one event loop thread.
  */
 package cinderhollow.daemon;
--- a/src/test/java/cinderhollow/daemon/HandoverTest.java
+++ b/src/test/java/cinderhollow/daemon/HandoverTest.java
@@ -82,9 +82,9 @@
             assertEquals(20, snapshot(next).memory().classes().get(0).served());
             assertEquals(snapshot(old).hosts(), snapshot(next).hosts());
             assertTrue(next.get("/ready").firstLine().contains(" 503 "), "a gateway in standby stays in standby");
-            assertTrue(!logged("a successor serves"));
+            assertTrue(!logged("a successor process serves"));
             serves.run();
-            await("the word that it serves", () -> logged("a successor serves"));
+            await("the word that it serves", () -> logged("a successor process serves"));
         }
     }
 
@@ -147,7 +147,7 @@
                 log.clear();
                 takeOver(next).run();
                 answers.join(PATIENCE_MILLIS);
-                assertTrue(logged("a plain start"), log.toString());
+                assertTrue(logged("no handover, starting without the predecessor's snapshot"), log.toString());
                 assertEquals("fine", next.client().ask(status("r" + stuck, LONG_MILLIS)).body());
             }
         }
@@ -162,7 +162,7 @@
         try (ScriptedHost host = new ScriptedHost(ScriptedHost.reply("200 OK", "fine"));
                 GatewayFixture next = GatewayFixture.knowing(host)) {
             takeOver(next).run();
-            assertTrue(logged("a plain start"), log.toString());
+            assertTrue(logged("no handover, starting without the predecessor's snapshot"), log.toString());
             offer(next);
         }
     }
--- a/src/test/java/cinderhollow/daemon/JournalFaultsTest.java
+++ b/src/test/java/cinderhollow/daemon/JournalFaultsTest.java
@@ -45,7 +45,7 @@
             Await.until("the disk's end of trouble", () -> {
                 serve(client, asked[0]++);
                 // A write may succeed while others still fail.
-                return System.nanoTime() - begin > OVER_NANOS && gateway.log().contains("ledger's journal: goes on");
+                return System.nanoTime() - begin > OVER_NANOS && gateway.log().contains("ledger's journal: writing again");
             });
             for (int i = 0; i < AFTERWARDS; i++) {
                 serve(client, asked[0]++);
--- a/src/test/java/cinderhollow/daemon/JournalTest.java
+++ b/src/test/java/cinderhollow/daemon/JournalTest.java
@@ -120,7 +120,7 @@
         assertEquals(500, lives.lives().get(0).taken());
         assertEquals(200, lives.lives().get(0).orphaned());
         assertTrue(lives.lives().get(0).addsUp());
-        assertTrue(lives.lines().get(0).startsWith("200 requests were open when the last life ended"), lives.lines().toString());
+        assertTrue(lives.lines().get(0).startsWith("200 requests were open when the last run ended"), lives.lines().toString());
     }
 
     @Test
@@ -170,7 +170,7 @@
             Files.write(file, Arrays.copyOf(whole, cut));
             Recovery torn = new Recovery();
             String wrong = JournalFiles.read(file, torn);
-            assertTrue(wrong == null || wrong.contains("torn off"), wrong);
+            assertTrue(wrong == null || wrong.contains("an incomplete frame"), wrong);
             torn.lives().forEach(life -> assertTrue(life.addsUp()));
             byte[] flipped = whole.clone();
             int bit = random.nextInt(8 * whole.length);
@@ -283,7 +283,7 @@
         Journal first = journal(Journal.FILES, 1 << 20);
         assertNotNull(first);
         assertNull(journal(Journal.FILES, 1 << 20));
-        assertTrue(log.get(0).contains("can't be used: this process keeps another there"), log.toString());
+        assertTrue(log.get(0).contains("can't be used: this process already writes a journal there"), log.toString());
         loop.submit(first::end).get().get(10, TimeUnit.SECONDS);
         Path file = Files.createFile(folder.resolve("file"));
         assertNull(loop.submit(() -> Journal.open(loop, new Bookkeeping(0, file, SYNC_NANOS, 1 << 20, 0, 1), Journal.FILES,
--- a/src/test/java/cinderhollow/daemon/KilledTest.java
+++ b/src/test/java/cinderhollow/daemon/KilledTest.java
@@ -84,7 +84,7 @@
                 Process next = second;
                 Await.until("the second life", () -> listens(next, port));
                 String told = Files.readString(folder.resolve("second.log"));
-                assertTrue(told.contains(REQUESTS + " requests were open when the last life ended, and may have run: "), told);
+                assertTrue(told.contains(REQUESTS + " requests were open when the last run ended, and may have run: "), told);
                 Set<String> listed = new HashSet<>();
                 Files.readAllLines(folder.resolve("journal").resolve(Lives.ORPHANS))
                         .forEach(line -> listed.add(line.split("\t")[0]));
