--- a/src/main/java/cinderhollow/evacuation/Digest.java
+++ b/src/main/java/cinderhollow/evacuation/Digest.java
@@ -6,32 +6,32 @@
 import java.util.List;
 
 /**
- * What one gateway saw lately, in a few bytes. Each gateway's newest replaces its older ones, so that they may come in any order
- * and any number of times and nothing is counted twice.
+ * Compact summary of one gateway's recent observations. The newest digest of a gateway replaces its older ones, so that digests
+ * may arrive in any order and repeatedly without counting anything twice.
  *
- * @param vantage the zone in which it stands
- * @param doubtsItself what it saw may be its own fault
- * @param heard which orders it knows, as a sum: who has another one has not heard all
- * @param arrivals requests a second that came
- * @param served requests a second that warm hosts served
- * @param zones those that say most
+ * @param vantage number of the gateway's own zone
+ * @param doubtsItself whether the failures it saw may be caused by the gateway itself
+ * @param heard hash of the orders that the gateway knows; a different hash means that its orders differ
+ * @param arrivals requests received per second
+ * @param served requests per second served by warm servers
+ * @param zones summaries of the zones; only those with the most failures are encoded
  */
 record Digest(int vantage, boolean doubtsItself, int heard, int arrivals, int served, List<OfZone> zones) {
     static final int BUCKETS = 64, UNKNOWN_USE = 255;
     private static final int MOST_ZONES = 7, MOST = 255, MOST_RATE = 65_535;
 
     /**
-     * Of one zone.
+     * What one gateway saw of one zone.
      *
-     * @param tried attempts that ended, or should have
-     * @param bad of these, refused, reset, errors, silent
-     * @param late of these, answered late or turned away
-     * @param use how busy its hosts report to be, in parts of 200, or {@link #UNKNOWN_USE}
-     * @param good the buckets of hosts whose newest attempt ended well, as bits
-     * @param failing likewise of those whose newest did not
+     * @param tried attempts that ended or are overdue
+     * @param bad attempts of these that were refused, reset, ended in an error or got no answer
+     * @param late attempts of these that were answered late or turned away as full
+     * @param use reported utilisation of the servers, in parts of 200, or {@link #UNKNOWN_USE}
+     * @param good bit set of the server buckets whose newest attempt succeeded
+     * @param failing bit set of the server buckets whose newest attempt failed
      */
     record OfZone(int zone, int tried, int bad, int late, int use, long good, long failing) {
-        /** Counts of any size, as parts of 255 where they are larger. */
+        /** Returns a summary with counts that fit into a byte: above 255 attempts, all counts are scaled down to 255 attempts. */
         static OfZone scaled(int zone, int tried, int bad, int late, int use, long good, long failing) {
             if (tried <= MOST) {
                 return new OfZone(zone, tried, bad, late, use, good, failing);
@@ -57,7 +57,7 @@
         return to.written();
     }
 
-    /** What can't be read is an {@link IllegalArgumentException} or an {@link IndexOutOfBoundsException}. */
+    /** Decodes a digest; throws {@link IllegalArgumentException} or {@link IndexOutOfBoundsException} if it is invalid. */
     static Digest read(byte[] value, int zones) {
         Bytes from = Bytes.reading(value);
         int vantage = (int) from.take(1);
@@ -70,17 +70,17 @@
             OfZone z = new OfZone((int) from.take(1), (int) from.take(1), (int) from.take(1), (int) from.take(1), (int) from.take(1),
                     from.take(8), from.take(8));
             if (z.zone >= zones || z.bad + z.late > z.tried) {
-                throw new IllegalArgumentException("no such zone: " + z);
+                throw new IllegalArgumentException("digest with an invalid zone number or counts: " + z);
             }
             of.add(z);
         }
         if (vantage >= zones) {
-            throw new IllegalArgumentException("no such vantage: " + vantage);
+            throw new IllegalArgumentException("digest with an invalid vantage: " + vantage);
         }
         return new Digest(vantage, doubts, heard, arrivals, served, of);
     }
 
-    /** Of one zone, or null where it says nothing of it. */
+    /** Returns the summary of a zone, or null if the digest has none. */
     OfZone of(int zone) {
         for (OfZone z : zones) {
             if (z.zone == zone) {
--- a/src/main/java/cinderhollow/evacuation/Evacuation.java
+++ b/src/main/java/cinderhollow/evacuation/Evacuation.java
@@ -20,77 +20,97 @@
 import java.util.stream.IntStream;
 
 /**
- * One gateway's part in leaving and returning: it tells the others what it saw, hears what they saw, and decides with those of
- * its own zone, from whose place it sees the others. Single-threaded, and what it decides is a function of what it was told.
+ * Zone evacuation as run by one gateway: publishes what this gateway observes of each zone, receives the observations of the
+ * other gateways, and decides, together with the gateways of its own zone (its vantage), how much traffic goes to each zone.
+ * Single-threaded and deterministic: decisions depend only on the inputs received and their times.
  *
- * <p>What package-private methods decide can be replaced by a mistake, which the tests' random walks have to find.
+ * <p>Some package-private methods are overridden by tests with planted faults, which the random walks must detect.
  *
- * <p>Who decides: of the living gateways of a vantage any may, but each waits for its turn, so that usually the first one's
- * decision has come round before the second's turn is. Two decisions at once end as the one that {@link Course} ranks higher.
+ * <p>Any living gateway of a vantage may decide. Each waits according to its rank, so that the decision of the first has
+ * usually reached the second before the second's wait ends. Of two concurrent decisions the one that {@link Course} ranks
+ * higher applies.
  */
 public class Evacuation {
-    /** What the process does for it. */
+    /** Callbacks into the process that runs the evacuation. */
     public interface Host {
         /** Sends a datagram to a member. */
         void send(int member, byte[] datagram);
 
-        /** How much of the usual goes to each zone from now on; all that are numbered are named. */
+        /** Sets the weight of every configured zone: the part of its normal traffic that it gets from now on, 0 to 1. */
         void weigh(Map<String, Double> byZone);
 
-        /** Requests a second that a warm server bears from this gateway's part of the traffic; 0 where that is not known. */
+        /** Sets how many requests per second of this gateway one warm server can take; 0 if that is unknown. */
         void bears(double perSecond);
 
-        /** Whether there is any zone for whose sake clients should come here. */
+        /** Sets whether clients should connect here; false while this gateway is cut off from half of the fleet and all sound zones. */
         void welcome(boolean clients);
 
-        /** A line for the operators. */
+        /** Writes a log line for operators. */
         void log(String line);
     }
 
     static final Kind SIGHTINGS = new Kind(1, false, 2);
     private static final long MS = 1_000_000L, SECOND = 1_000 * MS, NEVER = Long.MIN_VALUE / 2;
-    /** How often it thinks, with a zone in doubt or on its course and without; how often a witness tells of a doubted zone. */
+    /**
+     * Intervals of evaluation while a zone is suspected or evacuated and otherwise; intervals of publishing a digest while a
+     * zone is suspected and otherwise.
+     */
     private static final long THINK = 25 * MS, THINK_CALM = 100 * MS, URGENT = 100 * MS, CALM = SECOND;
-    /** In a doubt a digest counts for so long; news has gone round after so long; and for so long after a change it is in haste. */
+    /**
+     * Age up to which a digest counts during a suspicion; time in which news reaches the fleet; time of fast gossip after a
+     * decision; interval of updating the rate that a warm server can take.
+     */
     private static final long FRESH = 600 * MS, ROUND = 100 * MS, HASTE = SECOND, BEAR = 250 * MS;
-    /** From a vantage so many tell of a doubt at once: bytes don't grow with the fleet, and so many are enough. */
+    /**
+     * Bounds on the digests sent: of a vantage at most this many gateways send urgent digests, which is enough to decide and
+     * keeps the traffic from growing with the fleet; and all members together send about this many normal digests per second.
+     */
     private static final int WITNESSES = 16, MEMBERS_A_SECOND = 100;
-    /** What was seen just before a doubt began may belong to it; and a doubt that nothing confirms ends after so long. */
+    /** Attempts that ended this shortly before a suspicion still count for it; an unconfirmed suspicion ends after the second. */
     private static final long BEFORE_DOUBT = 300 * MS, DOUBT_ENDS = 2 * SECOND;
-    /** A decision stands on two looks at the least, and each later turn waits so much longer. */
+    /**
+     * How long a condition must hold before a decision, so that at least two evaluations see it; the additional wait of each
+     * later decider; the bound of that additional wait.
+     */
     private static final long CONFIRM = 50 * MS, TURN = 40 * MS, LAST_TURN = 400 * MS;
     private static final long LEAVE_STEP = 250 * MS, RETURN_STEP = 250 * MS, TRY_STEP = 3 * SECOND, FORGIVE = 60 * SECOND;
     private static final double LEAST_TRY = 0.02, MOST_TRY = 0.25, FIRST_RETURN = 0.25, FASTER = 2, IN_USE = 0.5;
-    /** Others are filled up to so much of their capacity and no further; a zone with less worth than this is dead. */
+    /**
+     * Utilisation up to which other zones are filled; ratio of attempts answered in time below which a zone counts as dead;
+     * utilisation assumed at least when the capacity of a warm server is estimated.
+     */
     private static final double FILL = 0.9, DEAD = 0.1, LEAST_USE = 0.25;
-    /** A trial asks so much of a second of a vantage; so many bad ones of it, and not fewer than the good ones, end it. */
+    /** Requests per second that a vantage sends in a trial; failures that end it if at least half of the attempts fail. */
     private static final double TRY_RATE = 10, TRY_FAILS = 3;
-    /** Without news from a zone's own gateways others try it after so many holds; and a hold is at least that part of the time out. */
+    /**
+     * Number of holds after which a vantage tries a zone without news from that zone's own gateways; and the divisor of the
+     * time since the zone was left that gives the least length of a hold.
+     */
     private static final int ALONE = 8, OF_OUT = 8;
     private static final int USE_PARTS = 200, ENOUGH = 30, LEAST_ENOUGH = 3, FEW_BAD = 2;
     private static final double LOCAL = 0.05, SAME = 0.005, SMOOTH = 0.3;
 
     private record Heard(Digest digest, long at) { }
 
-    /** What is known here of one zone. */
+    /** State of one zone at this gateway. */
     private static final class Zone {
         private Course course;
         private long adoptedAt;
         private long phaseAt = NEVER;
-        /** When it was left, and when its own gateways were heard to be on their way back to it since. */
+        /** Whether the zone's own gateways had left it; when it was left; when its own gateways were seen to return to it. */
         private boolean withinWasOut;
         private long leftAt = NEVER, foundWellAt = NEVER;
         private long doubtedSince = NEVER, doubtConfirmedAt;
-        /** Since when the next step's condition holds, or NEVER. */
+        /** Time since which the condition of the next step holds, or NEVER. */
         private long dueSince = NEVER;
         private Order order;
         private double ordered = 1;
         private long orderedAt;
         private long protectedUntil = NEVER;
         private int hosts;
-        /** All of its hosts were gone from the list, and there are some again: they are others, or have started anew. */
+        /** Whether all servers of the zone were gone from the list and some are listed again: new or restarted ones. */
         private boolean anew;
-        /** What was seen when it was last thought over. */
+        /** Assessment at the last evaluation. */
         private Judgement evidence = Judgement.of(0, 0, List.of());
     }
 
@@ -101,7 +121,7 @@
     private final Traffic traffic;
     private final Zone[] zones;
     private final Map<Integer, Heard> heard = new HashMap<>();
-    /** Where each member stands, as far as it has said so. */
+    /** Vantage (number of the own zone) of each member that has published a digest. */
     private final Map<Integer, Integer> vantages = new HashMap<>();
     private Map<String, Double> told = Map.of();
     private double toldBears;
@@ -113,7 +133,7 @@
     private Digest own;
     private long unreadable;
 
-    /** Begins as a member that knows nobody; its life is told by when it began, in Unix time. */
+    /** Creates the evacuation of a member that knows no others yet; the start time in Unix milliseconds is its generation. */
     public Evacuation(Terms terms, Rules rules, Roster roster, Pace pace, long seed, long lifeMillis, Host host) {
         this.terms = terms;
         this.host = host;
@@ -144,7 +164,7 @@
         own = new Digest(terms.vantage(), false, 0, 0, 0, List.of());
     }
 
-    /** Where what happens to requests, and which hosts there are, is told. */
+    /** Returns the observer to notify of requests, attempts and the server list. */
     public Traffic traffic() {
         return traffic;
     }
@@ -153,24 +173,24 @@
         return sightings;
     }
 
-    /** The number of a zone, or -1. */
+    /** Returns the number of a zone, or -1 if no zone has this name. */
     public int zone(String name) {
         return terms.zones().indexOf(name);
     }
 
-    /** This gateway's own loop is late, so that what it sees is not to be trusted; or it is no more. */
+    /** Sets whether this gateway's event loop is late, so that its observations are not reliable. */
     public void late(boolean now) {
         late = now;
     }
 
-    /** A datagram from the address of this member; -1 where it is nobody's. */
+    /** Handles a datagram received from the address of a member; -1 if the address belongs to no member. */
     public void received(long nowNanos, long nowUnixMillis, int from, byte[] datagram) {
         now = nowNanos;
         unixMillis = nowUnixMillis;
         peers.received(nowNanos, nowUnixMillis, from, datagram);
     }
 
-    /** Does what is due, and tells when the next is. */
+    /** Does the work that is due and returns the time in nanoseconds at which the next work is due. */
     public long tick(long nowNanos, long nowUnixMillis) {
         now = nowNanos;
         unixMillis = nowUnixMillis;
@@ -189,7 +209,7 @@
         return Math.min(next, thinkAt);
     }
 
-    /** Ends in good order. */
+    /** Leaves the fleet: tells the other members that this one has ended. */
     public void leave() {
         peers.leave();
     }
@@ -215,7 +235,10 @@
         return z.bad() + z.late() >= FEW_BAD && 2 * (z.bad() + z.late()) >= z.tried();
     }
 
-    /** Guards against what was well before a fault hiding it: from a doubt on, only what is seen from then on counts. */
+    /**
+     * Starts a suspicion of a zone and discards older attempts, since successes from before a fault would hide it. Zones that
+     * are out or already suspected are unchanged.
+     */
     private void doubt(int zone) {
         Zone z = zones[zone];
         if (z.doubtedSince == NEVER && z.course.phase() != Phase.OUT) {
@@ -227,7 +250,7 @@
         }
     }
 
-    // ---- what is seen
+    // ---- observation
 
     private void think() {
         rates();
@@ -277,7 +300,7 @@
             tried += of[z].tried() >= FEW_BAD ? 1 : 0;
             bad += of[z].bad() >= FEW_BAD && 2 * of[z].bad() >= of[z].tried() ? 1 : 0;
         }
-        // Guards against blaming all others for what is its own: a starved core, no descriptors, a link that is gone.
+        // If all zones fail, or the loop is late, the cause is likely local: a starved core, no descriptors, a broken link.
         boolean doubtsItself = late || tried > 1 && bad == tried;
         own = new Digest(terms.vantage(), doubtsItself, orders(), (int) Math.round(arrivals), (int) Math.round(served), List.of(of));
         if (!doubtsItself) {
@@ -313,7 +336,7 @@
         return (int) vantages.entrySet().stream().filter(e -> e.getValue() == vantage && peers.isAlive(e.getKey())).count();
     }
 
-    /** How many of the living of this vantage come before this one in a matter of this zone. */
+    /** Returns this gateway's rank for a zone and epoch: the number of living gateways of its vantage that come before it. */
     private int turn(int zone, long epoch) {
         long mine = draw(zone, epoch, self());
         int before = 0;
@@ -325,21 +348,21 @@
     }
 
     private static long draw(int zone, long epoch, int member) {
-        // The finaliser of SplitMix64: each pair has a place of its own in each matter.
+        // The finaliser of SplitMix64: the order of the members differs from one zone and epoch to the next.
         long h = (epoch * MEMBERS_A_SECOND + zone) * 0x9e3779b97f4a7c15L + member;
         h = (h ^ h >>> 30) * 0xbf58476d1ce4e5b9L;
         h = (h ^ h >>> 27) * 0x94d049bb133111ebL;
         return h ^ h >>> 31;
     }
 
-    /** What was seen of a zone from a vantage, by who lives and as long as it is fresh. */
+    /** Assesses a zone by the fresh digests of the living gateways of a vantage. */
     private Judgement judged(int zone, int vantage) {
         Zone z = zones[zone];
         long fresh = now - 3 * calm() / 2;
-        // While there is a doubt witnesses tell often: what they told before their last word may be from before the fault.
+        // During a suspicion digests come often, and older ones may be from before the fault: only the most recent count.
         long since = z.doubtedSince == NEVER ? fresh : Math.max(Math.max(fresh, z.doubtedSince), now - FRESH);
         if (vantage == terms.vantage() && (z.course.phase() == Phase.TRYING || z.course.phase() == Phase.RETURNING)) {
-            // Guards against what others told before they had heard that it is tried again.
+            // Ignores digests that others sent before they knew of the new trial.
             since = Math.max(since, z.phaseAt + ROUND);
         }
         long from = since;
@@ -352,7 +375,7 @@
         return Judgement.of(zone, zones[zone].hosts, digests);
     }
 
-    /** By this gateway's own eyes alone. */
+    /** Assesses a zone by this gateway's own digest alone. */
     private Judgement byOwn(int zone) {
         return Judgement.of(zone, zones[zone].hosts, List.of(own));
     }
@@ -398,7 +421,7 @@
         if (another) {
             z.phaseAt = now;
             z.leftAt = newest.phase() == Phase.IN ? NEVER : z.leftAt == NEVER ? now : z.leftAt;
-            // What was seen of it as it was before tells nothing of how it is from now on.
+            // Attempts of the previous phase say nothing about the new one.
             z.doubtedSince = NEVER;
             sightings.forget(now, newest.zone());
             host.log(String.format(Locale.ROOT, "zone=%s seen-from=%s phase=%s weight=%.2f epoch=%d by=%d flaps=%d evidence=\"%s\"",
@@ -408,8 +431,9 @@
     }
 
     /**
-     * Guards against two deciders that each left another zone in the same moment: beyond the set number of regions, those of the lower
-     * numbers are left and the others are as ever, at each gateway by itself and before anybody decides it.
+     * Returns whether a decision to leave this zone applies. Two deciders may leave different zones at the same moment; if
+     * more regions are left than the maximum, only those with the lowest numbers are evacuated and the others keep their full
+     * weight. Each gateway applies this rule by itself, before a decision confirms it.
      */
     boolean isLeft(int zone) {
         int region = terms.regions().get(zone);
@@ -417,17 +441,20 @@
                 && regions(z -> terms.regions().get(z) < region && zones[z].course.phase() != Phase.IN) < terms.mostOut();
     }
 
-    /** How many regions have a zone of this kind. */
+    /** Returns the number of regions with at least one zone that matches. */
     private int regions(IntPredicate which) {
         return (int) IntStream.range(0, zones.length).filter(which).map(terms.regions()::get).distinct().count();
     }
 
-    /** How much of the usual goes there as far as the machine decides. */
+    /** Returns the weight of a zone by automatic decisions, without operators' orders. */
     private double decided(int zone) {
         return isLeft(zone) ? zones[zone].course.weight() : 1;
     }
 
-    /** Whether this gateway keeps away from a zone by its own eyes alone; what is decided for all goes first. */
+    /**
+     * Returns whether this gateway alone avoids a zone because of its own observations. Regions left by decision count first
+     * towards the maximum of regions out.
+     */
     private boolean isAvoided(int zone) {
         int region = terms.regions().get(zone);
         int others = regions(z -> terms.regions().get(z) != region && (isLeft(z) || z < zone && now < zones[z].protectedUntil));
@@ -461,7 +488,8 @@
             return;
         }
         z.dueSince = z.dueSince == NEVER ? now : z.dueSince;
-        // A slow zone loses little while it is looked at twice; where all grow slow at once the others' news must have come.
+        // Waiting costs little with a slow zone; and if all zones become slow at once, the digests of the others must have
+        // arrived before the decision.
         long confirmed = z.course.phase() != Phase.IN ? 0 : verdict == Verdict.SLOW ? SECOND : CONFIRM;
         long wait = confirmed + Math.min(LAST_TURN, turn(zone, z.course.epoch()) * TURN);
         if (now - z.dueSince >= wait) {
@@ -472,12 +500,12 @@
     }
 
     Course decided(Course next) {
-        // Also above what can't be read here: it would beat this everywhere else, and only this gateway would believe itself.
+        // Exceeds unreadable versions too: they would win at all other gateways, and only this one would follow its decision.
         Fact known = peers.fact(Course.KIND.number(), Course.subject(next.zone(), next.vantage()));
         return next.decided(known == null ? 0 : known.version(), unixMillis, self());
     }
 
-    /** What is decided for a zone as far as it is known and can be read here; else null, as where a newer build has said it. */
+    /** Returns the newest decision of a vantage, or null if none is known or it is unreadable (made by a newer build). */
     private Course course(int zone, int vantage) {
         Fact fact = peers.fact(Course.KIND.number(), Course.subject(zone, vantage));
         try {
@@ -488,7 +516,7 @@
         }
     }
 
-    /** What should follow now, or null; its epoch is still that of what it follows. */
+    /** Returns the decision that should follow now, or null; it still has the epoch of the current one. */
     private Course next(Zone z, Judgement seen, Verdict verdict) {
         Course c = z.course;
         long since = now - z.adoptedAt;
@@ -510,12 +538,12 @@
                 return since >= LEAVE_STEP ? leaving(c, seen, verdict, c.flaps()) : null;
             case OUT:
                 if (z.anew && z.hosts > 0) {
-                    // The list has told more than a trial would; what its hosts bear is the cold budget's matter.
+                    // The list says that the servers are new, so no trial is needed; the cold-server budget limits their load.
                     return c.next(Phase.RETURNING, IN_USE, c.flaps());
                 }
                 return z.hosts > 0 && mayTry(z) ? c.next(Phase.TRYING, Math.max(tryPart(), c.weight()), c.flaps()) : null;
             case TRYING:
-                // Guards against paying for what is known: it was bad, and a few more such attempts say that it still is.
+                // The zone was bad before, so that a few failures are enough to end the trial without losing more requests.
                 if (against || seen.bad() >= TRY_FAILS && 2 * seen.bad() >= seen.tried()) {
                     return c.next(Phase.OUT, 0, c.flaps());
                 } else if (verdict == Verdict.SOUND || z.foundWellAt != NEVER && soundFromWithin(c.zone())) {
@@ -544,8 +572,9 @@
     }
 
     /**
-     * Its own gateways, which are nearest, try a zone first, so that a dead one is not tried from everywhere; the others follow
-     * when these are on their way back, or try for themselves where these never left it, are no more, or take long.
+     * Returns whether a trial of a zone that is out may begin. The zone's own gateways are nearest and try it first, so that a
+     * dead zone is not tried from everywhere. The others follow once those return to it, and try on their own if those never
+     * left the zone, are all dead, or take too long.
      */
     private boolean mayTry(Zone z) {
         int zone = z.course.zone();
@@ -555,13 +584,13 @@
                 || z.foundWellAt != NEVER && since >= hold(z);
     }
 
-    /** Where its own gateways stand to a zone. */
+    /** Returns the phase of a zone as decided by its own gateways. */
     private Phase within(int zone) {
         Course course = course(zone, zone);
         return course == null ? Phase.IN : course.phase();
     }
 
-    /** So much of the usual that a judgement can stand after part of a second, and no more is lost than that takes. */
+    /** Returns the weight of a trial: enough traffic for an assessment within part of a second, so that few requests are lost. */
     private double tryPart() {
         double come = 0;
         for (Heard h : heard.values()) {
@@ -570,17 +599,17 @@
         return Math.max(LEAST_TRY, Math.min(MOST_TRY, TRY_RATE / Math.max(1, come)));
     }
 
-    /** One step down, to what the others can't bear. */
+    /** Returns the next step down, toward the weight of the traffic for which the other zones have no room. */
     private Course leaving(Course c, Judgement seen, Verdict verdict, int flaps) {
         double worth = verdict == Verdict.BAD && seen.tried() == 0 ? 0 : seen.worth();
         double target = worth < DEAD ? 0 : worth * unbearable(c.zone());
-        // What goes to a zone that fails is mostly lost anyway, and leaves at once; from a slow one it moves step by step.
+        // Requests to a failing zone are mostly lost, so it is left at once; traffic of a slow zone moves step by step.
         double step = verdict == Verdict.BAD ? target : Math.max(target, c.weight() / 2);
         boolean there = step - target < 2 * LOCAL;
         return c.next(there ? Phase.OUT : Phase.LEAVING, there ? target : step, flaps);
     }
 
-    /** Which part of what goes to a zone the others have no room for, by how busy all report to be. */
+    /** Returns the part of a zone's traffic, 0 to 1, for which the others have no room by the reported utilisation. */
     private double unbearable(int zone) {
         double moved = traffic.warm(zone) * use(zone);
         double room = 0;
@@ -590,7 +619,7 @@
         return moved <= 0 ? 0 : Math.max(0, Math.min(1, (moved - room) / moved));
     }
 
-    /** By all who say it; where nobody does, as much as can be moved. */
+    /** Returns the mean utilisation of a zone by all fresh digests, or 0 if none reports it, so that all traffic may move. */
     private double use(int zone) {
         double sum = 0;
         int count = 0;
@@ -604,7 +633,7 @@
         return count == 0 ? 0 : sum / count;
     }
 
-    /** Not below the half of one's own: a minority that is cut off decides nothing. */
+    /** Returns whether more than half of this vantage's gateways are alive: a minority that is cut off must not decide. */
     boolean mayDecide() {
         int known = Math.max(terms.gatewaysByZone().get(terms.vantage()),
                 (int) vantages.values().stream().filter(v -> v == terms.vantage()).count());
@@ -612,9 +641,10 @@
     }
 
     /**
-     * Not more regions than are set, in part or as a whole, and never without a zone of another one: one that fails is left where another serves at least half from
-     * here, or is sound as its own gateways say; a slow one for one that is seen to be well from here. Where all are late there
-     * is too much work and no better place.
+     * Returns whether a zone may be left. At most the set number of regions are left, in part or as a whole, and only if a zone
+     * of another region is better. That zone must not be slow or failing by its own gateways. To leave a failing zone, it must
+     * answer at least half in time as seen from here, or be unknown here and sound by its own gateways. To leave a slow zone,
+     * it must be sound as seen from here: if all zones are late there is too much load and no better place.
      */
     private boolean mayLeave(int zone, Verdict why) {
         int region = terms.regions().get(zone);
@@ -631,20 +661,23 @@
         return sound && regions(z -> terms.regions().get(z) != region && isOut(z)) < terms.mostOut();
     }
 
-    /** Left by the machine or by people. */
+    /** Returns whether a zone is left, by automatic decision or by an operator's order. */
     private boolean isOut(int zone) {
         return zones[zone].course.phase() != Phase.IN || ordered(zones[zone]) == Order.What.LEAVE;
     }
 
-    /** Its own gateways, which are nearest, find it well: whoever seldom goes there need not find out alone. */
+    /** Returns whether another zone is sound by its own gateways, so that a vantage with few attempts there can rely on them. */
     private boolean soundFromWithin(int zone) {
         return zone != terms.vantage() && judged(zone, zone).verdict() == Verdict.SOUND;
     }
 
     /**
-     * Two other vantages agree, and none but perhaps the zone itself says otherwise: whoever has not tried it need not.
+     * Returns whether the other vantages show that a zone fails, so that a vantage without attempts there need not try it: two
+     * of them agree and none but perhaps the zone itself calls it sound, or the zone's own gateways have left it and all
+     * attempts from here failed.
      *
-     * @param byCourse whether that they are out counts; while it is tried it does not, or each would stay out for the others' sake
+     * @param byCourse whether decisions of others to stay out count; not during a trial, or each would stay out because of the
+     *     others
      */
     private boolean othersCondemn(int zone, boolean byCourse) {
         int against = 0;
@@ -657,7 +690,7 @@
                 }
             }
         }
-        // Its own gateways have left it, and the few who tried it from here have met the same.
+        // The zone's own gateways have left it, and all attempts from here, by at least two gateways, failed.
         Judgement here = judged(zone, terms.vantage());
         return against >= 2 || byCourse && leftFrom(zone, zone) && here.voters() >= 2 && here.bad() == here.tried();
     }
@@ -667,7 +700,10 @@
         return course != null && course.phase() == Phase.OUT;
     }
 
-    /** Where too few are left to decide, each still saves its own requests, by its own eyes alone and for a while. */
+    /**
+     * Avoids a failing zone for one hold by this gateway's own observations, if too few gateways of its vantage are alive to
+     * decide.
+     */
     private void protect(int zone) {
         if (mayDecide() || own.doubtsItself() || now < zones[zone].protectedUntil) {
             return;
@@ -684,7 +720,7 @@
         }
     }
 
-    // ---- what follows for this gateway
+    // ---- effects on this gateway
 
     private void weigh() {
         Map<String, Double> weights = new LinkedHashMap<>();
@@ -707,7 +743,8 @@
         if (nowhere == toldWelcome) {
             toldWelcome = !nowhere;
             host.welcome(toldWelcome);
-            host.log(nowhere ? "cut off: clients are sent elsewhere" : "clients are welcome again");
+            host.log(nowhere ? "cut off from half of the fleet and from all sound zones: clients are sent to other gateways"
+                    : "no longer cut off: clients are accepted again");
         }
     }
 
@@ -735,7 +772,7 @@
         }
     }
 
-    /** What warm hosts were seen to bear, over the whole fleet, and this gateway's part of all that comes. */
+    /** Updates the rate that a warm server can take, from the rates of the whole fleet and this gateway's part of the traffic. */
     private void bear() {
         double come = 0;
         double borne = 0;
@@ -767,12 +804,12 @@
         }
     }
 
-    /** This gateway's part of all that comes to those who tell. */
+    /** Returns this gateway's part of the traffic of all reporting members, at least a quarter of the mean part. */
     double part(double come, int telling) {
         return Math.max(arrivals, come / telling / 4) / come;
     }
 
-    // ---- people
+    // ---- operators
 
     private int orders() {
         int sum = 0;
@@ -782,13 +819,13 @@
         return (sum ^ sum >>> 16) & 0xffff;
     }
 
-    /** An order to the whole fleet, from now until then. */
+    /** Publishes an operator's order to the whole fleet, valid from now until the given Unix time in milliseconds. */
     public void order(int zone, Order.What what, long untilMillis) {
         Order before = zones[zone].order;
         peers.publish(new Order(zone, what, untilMillis, Course.epoch(before == null ? 0 : before.epoch(), unixMillis), self()).fact());
     }
 
-    /** How things stand, as operators read it. */
+    /** Returns the state of all zones and members for operators. */
     public ZoneStanding standing() {
         List<ZoneStanding.OfZone> all = new ArrayList<>();
         for (int z = 0; z < zones.length; z++) {
@@ -814,7 +851,7 @@
                 unheard.stream().filter(m -> m != self()).toList(), peers.figures(), unreadable);
     }
 
-    /** What goes to each zone now, in the order of their numbers. */
+    /** Returns the weights applied now, by zone number. */
     public double[] weights() {
         return Arrays.stream(zones).mapToDouble(z -> told(z.course.zone())).toArray();
     }
--- a/src/main/java/cinderhollow/evacuation/Judgement.java
+++ b/src/main/java/cinderhollow/evacuation/Judgement.java
@@ -4,31 +4,40 @@
 import java.util.Locale;
 
 /**
- * What the gateways of one vantage saw of one zone together.
+ * Assessment of one zone by the digests of one vantage.
  *
- * <p>The test: were the zone sound, a part of at most {@link #USUAL} of its attempts would end badly. By Chernoff's bound the
- * chance of k or more bad ones of n is then at most exp(-n D(k/n || usual)), D being the Kullback-Leibler divergence; below
- * {@link #FALSE_ALARM} it is not believed to be sound. Nine lost attempts of nine are enough, or 62 of 124. Each gateway counts
- * with at most {@link #MOST_OF_ONE} attempts, so that no one of them decides.
+ * <p>The test on attempts: in a sound zone a part of at most {@link #USUAL} of the attempts fails. By Chernoff's bound the
+ * probability of k or more failures of n is then at most exp(-n D(k/n || expected)), where D is the Kullback-Leibler divergence.
+ * If that is below {@link #FALSE_ALARM} the zone is not considered sound; nine failures of nine are enough, or 62 of 124. Each
+ * gateway counts with at most {@link #MOST_OF_ONE} attempts, so that none of them decides alone.
  *
- * <p>Some of a zone's hosts may fail for themselves, up to {@link #OWN_FAULTS} of them. So six in ten of all must have failed, or
- * so many of those tried that chance picks them in fewer than one case in {@link #BY_CHANCE}: six of six, or 12 of 15.
+ * <p>The test on servers: a part of up to {@link #OWN_FAULTS} of a zone's servers may fail independently of the zone. So six in
+ * ten of all servers must fail, or so many of those tried that chance would pick them with a probability below
+ * {@link #BY_CHANCE}: six of six, or 12 of 15.
+ *
+ * @param tried attempts counted
+ * @param bad failed attempts
+ * @param late attempts answered late or turned away
+ * @param voters gateways whose digests count
+ * @param against gateways that saw at least half of their attempts fail
+ * @param hostsSeen server buckets that were tried
+ * @param hostsFailing server buckets that only failed
  */
 record Judgement(Verdict verdict, double tried, double bad, double late, int voters, int against, int hostsSeen, int hostsFailing) {
-    /** What is thought of a zone. */
+    /** Verdict on a zone. */
     enum Verdict { UNKNOWN, SOUND, SLOW, BAD }
 
-    /** Of the attempts at a sound zone some end badly: a host of it that fails, a start, a link that loses a packet. */
+    /** Failure ratio of a sound zone at most: single servers fail or restart, and links lose packets. */
     static final double USUAL = 0.2;
     static final double FALSE_ALARM = 1e-6;
-    /** From one gateway no more attempts count. */
+    /** Number of attempts up to which one gateway's counts are used in full; larger counts are scaled down to it. */
     static final double MOST_OF_ONE = 12;
-    /** Of the hosts that were tried: with fewer failing it is these hosts' fault and not the zone's. */
+    /** Part of the tried servers that may fail by themselves without the zone being at fault; significance level of that test. */
     static final double OWN_FAULTS = 0.4, BY_CHANCE = 0.01;
     private static final double HOSTS = 0.6, HALF = 0.5, MOSTLY_LATE = 0.75, SELDOM_LATE = 0.4;
     private static final int LEAST_TO_PRAISE = 5;
 
-    /** Of one zone with so many hosts, by these digests. */
+    /** Assesses a zone with the given number of servers by these digests. */
     static Judgement of(int zone, int hosts, Collection<Digest> digests) {
         double tried = 0;
         double bad = 0;
@@ -66,13 +75,16 @@
         return new Judgement(verdict, tried, bad, late, voters, against, seen, broken);
     }
 
-    /** Whether so many of so many are more than chance where the usual part is bad. */
+    /** Returns whether the failure ratio is above the expected one by more than chance explains. */
     static boolean unlikely(double bad, double tried) {
         double part = tried == 0 ? 0 : bad / tried;
         return part > USUAL && tried * divergence(part, USUAL) >= -Math.log(FALSE_ALARM);
     }
 
-    /** Guards against a third of the hosts passing for the zone where few of them were tried. */
+    /**
+     * Returns whether enough servers fail to blame the zone. If few servers were tried, chance could pick mostly failing ones of
+     * a zone in which only a third fails.
+     */
     static boolean mostHosts(int failing, int seen, int hosts) {
         double part = seen == 0 ? 0 : (double) failing / seen;
         return part >= HOSTS && (failing >= HOSTS * Math.min(hosts, Digest.BUCKETS)
@@ -83,12 +95,12 @@
         return (part == 0 ? 0 : part * Math.log(part / usual)) + (part == 1 ? 0 : (1 - part) * Math.log((1 - part) / (1 - usual)));
     }
 
-    /** Whether it is seen to answer at least half in time: busy perhaps, but better than one that fails. */
+    /** Returns whether the zone answers at least half of the attempts in time: possibly busy, but better than a failing one. */
     boolean serves() {
         return tried >= LEAST_TO_PRAISE && worth() >= HALF;
     }
 
-    /** How much of what is sent there is still answered in time. */
+    /** Returns the part of the attempts that is answered in time, 1 if there are none. */
     double worth() {
         return tried == 0 ? 1 : Math.max(0, 1 - (bad + late) / tried);
     }
--- a/src/main/java/cinderhollow/evacuation/Order.java
+++ b/src/main/java/cinderhollow/evacuation/Order.java
@@ -5,20 +5,21 @@
 import cinderhollow.peers.Kind;
 
 /**
- * What an operator wants of a zone, for the whole fleet: it beats what the machine decides for as long as it stands.
+ * Operator's order about a zone for the whole fleet; overrides automatic decisions until it expires.
  *
- * @param untilMillis Unix time
+ * @param untilMillis Unix time in milliseconds at which the order expires
+ * @param by number of the member that took the order
  */
 public record Order(int zone, What what, long untilMillis, long epoch, int by) {
-    /** What is ordered. */
+    /** Action that an order asks for. */
     public enum What {
-        /** The machine decides. */
+        /** No order: automatic decisions apply. */
         NONE,
-        /** Nothing goes there. */
+        /** Traffic of the zone is reduced to none. */
         LEAVE,
-        /** What goes there goes up to the usual, and the machine does not leave. */
+        /** Traffic of the zone is increased to normal, and the zone is not left automatically. */
         RETURN,
-        /** All stays as it is. */
+        /** The current decision on the zone stays: no automatic decision follows. */
         HOLD
     }
 
@@ -35,7 +36,7 @@
         Bytes from = Bytes.reading(fact.value());
         int what = (int) from.take(1);
         if (fact.subject() >= zones || what >= ALL.length) {
-            throw new IllegalArgumentException("no such order: " + fact.subject() + ", " + what);
+            throw new IllegalArgumentException("order with an invalid zone or action: " + fact.subject() + ", " + what);
         }
         return new Order(fact.subject(), ALL[what], from.take(6), fact.version() >> MEMBER_BITS,
                 (int) (fact.version() & (1 << MEMBER_BITS) - 1));
--- a/src/main/java/cinderhollow/evacuation/Sightings.java
+++ b/src/main/java/cinderhollow/evacuation/Sightings.java
@@ -5,25 +5,28 @@
 import java.util.Map;
 
 /**
- * What one gateway has seen of each zone lately: ended attempts in a ring, and those that are out. A request costs some
- * stores into arrays and allocates nothing.
+ * Sliding window of one gateway's attempts per zone: a ring buffer of ended attempts, and slots for those in flight. Recording
+ * a request costs a few array stores and allocates nothing, except when the slots are extended.
  */
 public final class Sightings {
-    /** How an attempt ended, as far as it tells of the place where it was. */
+    /** What the end of an attempt says about the server's zone. */
     public enum Seen {
-        /** Answered within its aim. */
+        /** Answered within the aim of its class. */
         GOOD,
-        /** Answered, but late. */
+        /** Answered after the aim. */
         LATE,
-        /** Turned away: there is too much, but it is there. */
+        /** Turned away as full: the server is overloaded but reachable. */
         FULL,
-        /** Refused, reset, an error, or nothing for too long. */
+        /** Connection refused or reset, an error, or no answer for too long. */
         BAD,
-        /** It tells nothing, as where the client left. */
+        /** Inconclusive, for instance because the client left. */
         NOTHING
     }
 
-    /** The shortest window that holds enough is looked at: where traffic is dense, what was good before a fault is soon out of it. */
+    /**
+     * Window lengths. The shortest window with enough attempts is used, so that with dense traffic successes from before a
+     * fault soon drop out of it.
+     */
     private static final long[] WINDOWS = {250_000_000L, 500_000_000L, 1_000_000_000L, 2_500_000_000L, 5_000_000_000L};
     private static final int RING = 4096, FIRST_SLOTS = 64;
     private static final Seen[] SEEN = Seen.values();
@@ -34,7 +37,7 @@
     private long added;
     private long reached;
     private final long[] forgottenBefore;
-    /** When the newest attempt that ended well was sent, and how many that were sent since then have ended badly. */
+    /** Per zone: when the newest successful attempt was sent, and the number of failed attempts sent since then. */
     private final long[] wellSentAt;
     private final int[] badSince;
     private long[] sentAt = new long[FIRST_SLOTS];
@@ -44,7 +47,7 @@
     private int freeCount;
     private long arrivals, served;
 
-    /** Of so many zones, numbered from 0. */
+    /** Creates an empty window for this number of zones, numbered from 0. */
     public Sightings(int zones) {
         this.zones = zones;
         forgottenBefore = new long[zones];
@@ -55,23 +58,23 @@
         }
     }
 
-    /** Which host, in so few bits; those of one zone that fall together are taken for one. */
+    /** Returns the bucket of a server's hash; servers of one zone in the same bucket count as one. */
     static int bucket(int host) {
         int h = host * 0x9e3779b9;
         return (h ^ h >>> 15) & Digest.BUCKETS - 1;
     }
 
-    /** A request has come from a client. */
+    /** Counts a request received from a client. */
     public void arrived() {
         arrivals++;
     }
 
-    /** A request was served by a host that is as fast as it will be. */
+    /** Counts a request served by a fully warmed-up server. */
     public void served() {
         served++;
     }
 
-    /** How many requests have come and how many were served so, in all. */
+    /** Returns the number of requests received since the start. */
     long arrivals() {
         return arrivals;
     }
@@ -81,11 +84,11 @@
     }
 
     /**
-     * An attempt goes out; what is given back is told at its end.
+     * Records that an attempt was sent and returns its slot, to be passed on when it ends; -1 if the zone is unknown.
      *
-     * @param zone of the host, or -1 where it is none of those numbered
-     * @param host any number that is the host's own
-     * @param patienceNanos when it says something that there is no answer yet
+     * @param zone number of the server's zone, or -1 if it is not configured
+     * @param host number that identifies the server, such as a hash of its id
+     * @param patienceNanos time after which a missing answer counts as a failure
      */
     public int sent(long now, int zone, int host, long patienceNanos) {
         if (zone < 0) {
@@ -108,13 +111,13 @@
         return slot;
     }
 
-    /** How it ended. */
+    /** Records how the attempt in a slot ended. */
     public void ended(long now, int slot, Seen how) {
         if (slot < 0) {
             return;
         }
         int i = (int) (added++ % RING);
-        // One that went out before all was forgotten tells of how it was then.
+        // An attempt sent before the discard time says nothing about the zone since then.
         boolean tells = sentAt[slot] >= forgottenBefore[place[slot] >> 8];
         int zone = place[slot] >> 8;
         if (how == Seen.BAD) {
@@ -129,13 +132,13 @@
         free[freeCount++] = slot;
     }
 
-    /** Forgets what was seen of a zone: from now on it may be another. */
+    /** Discards the attempts of a zone from before the given time, since its state may have changed. */
     void forget(long now, int zone) {
         forgottenBefore[zone] = now;
         badSince[zone] = 0;
     }
 
-    /** How many attempts have ended badly, or should have ended, of those that were sent after the newest that ended well. */
+    /** Returns, per zone, the number of attempts that failed or are overdue among those sent after the newest successful one. */
     int[] badInARow(long now) {
         int[] row = badSince.clone();
         for (int slot = 0; slot < sentAt.length; slot++) {
@@ -145,7 +148,7 @@
         return row;
     }
 
-    /** Of each zone, where so many ended attempts are enough. */
+    /** Returns summaries of all zones, each over the shortest window with at least this number of ended attempts. */
     Digest.OfZone[] look(long now, int enough) {
         int[][] counts = new int[WINDOWS.length][zones];
         for (long n = added - 1; n >= oldest(now); n--) {
@@ -168,7 +171,7 @@
         return gathered(now, windows);
     }
 
-    /** The number of the oldest that any window reaches; what comes after it is newer, so that it only moves on. */
+    /** Returns the index of the oldest entry within the longest window. It never decreases: entries are in order of time. */
     private long oldest(long now) {
         long first = Math.max(reached, added - RING);
         while (first < added && now - at[(int) (first % RING)] > WINDOWS[WINDOWS.length - 1]) {
--- a/src/main/java/cinderhollow/evacuation/Terms.java
+++ b/src/main/java/cinderhollow/evacuation/Terms.java
@@ -4,34 +4,37 @@
 import java.util.stream.IntStream;
 
 /**
- * What is set for leaving and returning.
+ * Settings of the zone evacuation.
  *
- * @param zones by name, the same at all gateways
- * @param vantage the number of the zone in which this gateway stands
- * @param gatewaysByZone how many gateways each zone has, as far as that is set; 0 where it is not
- * @param regions of which region each zone is, by the regions' numbers; where there are none, each zone is one of its own
- * @param mostOut so many regions at the most are left at once by the machine, in part or as a whole
- * @param holdNanos how long a zone stays out at the least, and twice as long with each time that it failed again
- * @param mostHoldNanos but no longer than this
+ * @param zones names of the zones, in the same order at all gateways
+ * @param vantage number of the zone in which this gateway runs
+ * @param gatewaysByZone number of gateways of each zone; 0 where it is not configured
+ * @param regions region number of each zone; without configured regions each zone is a region of its own
+ * @param mostOut maximum of regions that are evacuated automatically at once, in part or as a whole
+ * @param holdNanos minimum time for which a zone stays out; doubles with each time that the zone failed again
+ * @param mostHoldNanos upper bound of that time
  */
 public record Terms(List<String> zones, int vantage, List<Integer> gatewaysByZone, List<Integer> regions, int mostOut, long holdNanos, long mostHoldNanos) {
-    /** Checks and keeps copies. */
+    /** Checks the values and copies the lists. */
     public Terms {
         zones = List.copyOf(zones);
         gatewaysByZone = List.copyOf(gatewaysByZone);
         regions = List.copyOf(regions);
         if (zones.isEmpty() || zones.size() > Course.MOST_ZONES || vantage < 0 || vantage >= zones.size()
                 || gatewaysByZone.size() != zones.size() || regions.size() != zones.size()) {
-            throw new IllegalArgumentException("no place " + vantage + " among " + zones);
+            throw new IllegalArgumentException("invalid zone settings: zone number " + vantage + " of zones " + zones);
         }
     }
 
-    /** Each zone a region of its own. */
+    /** Returns region numbers where each zone is a region of its own. */
     public static List<Integer> eachItsOwn(int zones) {
         return IntStream.range(0, zones).boxed().toList();
     }
 
-    /** With the usual times. */
+    /**
+     * Returns settings with one region per zone, at most half of the other zones out at once (but at least one), and a hold of
+     * 1 s to 60 s.
+     */
     public static Terms usual(List<String> zones, int vantage, List<Integer> gatewaysByZone) {
         return new Terms(zones, vantage, gatewaysByZone, eachItsOwn(zones.size()), Math.max(1, (zones.size() - 1) / 2), 1_000_000_000L, 60_000_000_000L);
     }
--- a/src/main/java/cinderhollow/evacuation/Traffic.java
+++ b/src/main/java/cinderhollow/evacuation/Traffic.java
@@ -13,11 +13,11 @@
 import java.util.List;
 import java.util.Map;
 
-/** What happens to a gateway's requests, and which hosts it knows, as far as that tells of zones. */
+/** Observes the requests, the attempts and the server list of a gateway, for the assessment of zones. */
 public final class Traffic {
-    /** An attempt without an answer for so many times its aim says something of where it is. */
+    /** Multiple of the aim after which a missing answer counts as a failure of the server's zone. */
     private static final double PATIENCE = 1.5;
-    /** Weight of the newest report in a zone's use. */
+    /** Weight of the newest load report in a zone's smoothed utilisation. */
     private static final double NEWEST = 0.075;
     private static final long RECOUNT = 1_000_000_000L;
 
@@ -43,7 +43,7 @@
         Arrays.fill(use, Double.NaN);
     }
 
-    /** The hosts that there are; all of them, or those that have changed. */
+    /** Updates the known servers, by a complete list or by those that have changed. */
     public void listed(Collection<ServerInfo> servers, boolean whole) {
         if (whole) {
             hosts.clear();
@@ -58,13 +58,13 @@
         changed = true;
     }
 
-    /** A request has come; what becomes of it is told to the result. */
+    /** Counts a received request and returns the observer to notify of its attempts. */
     public OfRequest arrived(RequestClass requestClass) {
         sightings.arrived();
         return new OfRequest(requestClass);
     }
 
-    /** Counts anew where something has changed, and now and then, since hosts warm up with time. */
+    /** Recounts the servers of each zone after a change, and periodically because servers warm up with time. */
     void recount(long now) {
         if (!changed && now - countedAt < RECOUNT) {
             return;
@@ -81,22 +81,25 @@
         }
     }
 
-    /** How many hosts of a zone the list has. */
+    /** Returns the number of listed servers of a zone. */
     int hosts(int zone) {
         return count[zone];
     }
 
-    /** What they are worth together where each warm one is worth 1. */
+    /** Returns the capacity of a zone's servers in units of a warm server. */
     double warm(int zone) {
         return warm[zone];
     }
 
-    /** How busy they report to be, 1 being all that they can do; NaN where they do not. */
+    /** Returns the reported utilisation of a zone's servers, where 1 is full, or NaN if none reports it. */
     double use(int zone) {
         return use[zone];
     }
 
-    /** Guards against a short time-out, or a client that left, speaking against a host: only what outlasts the aim tells. */
+    /**
+     * Returns what an outcome says about the server's zone. A timed-out or cancelled attempt counts as a failure only after the
+     * aim: a shorter timeout, or a client that left, is not the server's fault.
+     */
     static Seen seen(Outcome outcome, boolean late) {
         return switch (outcome) {
             case SERVED -> late ? Seen.LATE : Seen.GOOD;
@@ -107,7 +110,7 @@
         };
     }
 
-    /** One request and its attempts, which are numbered from 0. */
+    /** Observes one request and its attempts, which are numbered from 0. */
     public final class OfRequest {
         private final RequestClass requestClass;
         private Host[] to = new Host[1];
@@ -118,7 +121,7 @@
             this.requestClass = requestClass;
         }
 
-        /** The next attempt goes out. */
+        /** Records that the next attempt was sent to a server. */
         public void sent(long now, String host) {
             if (attempts == to.length) {
                 to = Arrays.copyOf(to, 2 * attempts);
@@ -130,7 +133,7 @@
                     : sightings.sent(now, at.zone, at.number, (long) (requestClass.aimNanos() * PATIENCE));
         }
 
-        /** How an attempt ended; the report may be null. */
+        /** Records how an attempt ended; the load report may be null. */
         public void ended(long now, int attempt, Outcome outcome, long elapsedNanos, LoadReport load) {
             sightings.ended(now, slots[attempt], seen(outcome, elapsedNanos > requestClass.aimNanos()));
             Host at = to[attempt];
--- a/src/main/java/cinderhollow/evacuation/ZoneStanding.java
+++ b/src/main/java/cinderhollow/evacuation/ZoneStanding.java
@@ -7,20 +7,24 @@
 import java.util.Locale;
 
 /**
- * How one gateway sees the fleet's zones, for operators.
+ * State of the fleet and its zones as seen by one gateway, for operators.
  *
- * @param health how much it doubts itself
- * @param unheard members that are dead, or have not said that they know the newest orders
+ * @param member number of this gateway
+ * @param living members taken for alive, including this one
+ * @param members members of the fleet
+ * @param health Lifeguard's local health score; 0 is best, higher values mean that this gateway itself may be at fault
+ * @param unheard members that are dead, or not known to have the newest orders
+ * @param unreadable facts that could not be decoded
  */
 public record ZoneStanding(int member, int living, int members, int health, List<OfZone> zones, List<Integer> unheard,
                        Peers.Figures figures, long unreadable) {
-    /** One zone: how much of the usual this gateway sends there, and what is ordered. */
+    /** State of one zone: the weight that this gateway applies, 1 being full traffic, and the order in force. */
     public record OfZone(String zone, double weight, Order.What order, long untilMillis, List<From> seen) { }
 
-    /** How the gateways of one vantage stand to it. */
+    /** Newest decision of one vantage about the zone, and its evidence. */
     public record From(String vantage, String phase, double weight, long epoch, int by, int flaps, String evidence) { }
 
-    /** Lines of OpenMetrics text, without its end. */
+    /** Returns lines of OpenMetrics text, without the end marker. */
     public String metrics() {
         StringBuilder text = new StringBuilder(1024);
         gauge(text, "cinderhollow_peers_alive", "Members of the fleet that are taken for alive.", living);
@@ -50,7 +54,7 @@
         text.append(name).append("_total ").append(value).append('\n');
     }
 
-    /** A table in plain lines. */
+    /** Returns a table as plain lines of text. */
     public String text() {
         List<String> lines = new ArrayList<>();
         lines.add("member " + member + ", " + living + " of " + members + " alive, health " + health);
--- a/src/main/java/cinderhollow/evacuation/package-info.java
+++ b/src/main/java/cinderhollow/evacuation/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Leaving a zone that fails as a fleet, and returning to it: what each gateway saw of each zone, what all of them saw
- * together, and the decisions that follow, one for each pair of a zone and a place from which it is seen. No I/O, no clock.
- * See {@code docs/design/zones.md}.
+ * Evacuation of failing zones by the whole fleet, and the return to them: the observations of each gateway, their assessment
+ * over all gateways, and the decisions, one for each pair of a zone and a vantage (the zone from which it is observed). Does
+ * no I/O and reads no clock. See {@code docs/design/zones.md}.
  */
 package cinderhollow.evacuation;
--- a/src/main/java/cinderhollow/peers/Bytes.java
+++ b/src/main/java/cinderhollow/peers/Bytes.java
@@ -2,7 +2,7 @@
 
 import java.util.Arrays;
 
-/** Numbers in an array of bytes, most significant first; of a place from which to read or to which to write on. */
+/** Byte array with a position, for reading and writing unsigned big-endian numbers. */
 public final class Bytes {
     private byte[] bytes;
     private int at;
@@ -11,17 +11,17 @@
         this.bytes = bytes;
     }
 
-    /** For writing up to so many. */
+    /** Returns a buffer for writing up to this number of bytes. */
     public static Bytes ofSize(int most) {
         return new Bytes(new byte[most]);
     }
 
-    /** For reading these; what lies beyond their end is an {@link IndexOutOfBoundsException}. */
+    /** Returns a buffer for reading these bytes; reading past the end throws {@link IndexOutOfBoundsException}. */
     public static Bytes reading(byte[] bytes) {
         return new Bytes(bytes);
     }
 
-    /** Writes the lowest bytes of a number, so many of them. */
+    /** Writes the given count of lowest-order bytes of a number, most significant first. */
     public Bytes put(long number, int count) {
         for (int shift = 8 * (count - 1); shift >= 0; shift -= 8) {
             bytes[at++] = (byte) (number >>> shift);
@@ -29,14 +29,14 @@
         return this;
     }
 
-    /** Writes all of these. */
+    /** Writes all of these bytes. */
     public Bytes put(byte[] more) {
         System.arraycopy(more, 0, bytes, at, more.length);
         at += more.length;
         return this;
     }
 
-    /** Reads a number without a sign of so many bytes. */
+    /** Reads an unsigned number of this number of bytes. */
     public long take(int count) {
         long number = 0;
         for (int i = 0; i < count; i++) {
@@ -45,21 +45,21 @@
         return number;
     }
 
-    /** Reads so many as they are. */
+    /** Reads this number of bytes. */
     public byte[] takeBytes(int count) {
         if (count > left()) {
-            throw new IndexOutOfBoundsException(count + " of " + left());
+            throw new IndexOutOfBoundsException("cannot read " + count + " bytes, bytes left: " + left());
         }
         at += count;
         return Arrays.copyOfRange(bytes, at - count, at);
     }
 
-    /** How many are left to read, or to write. */
+    /** Returns the number of bytes left to read or to write. */
     public int left() {
         return bytes.length - at;
     }
 
-    /** What was written so far. */
+    /** Returns a copy of the bytes written so far. */
     public byte[] written() {
         return Arrays.copyOf(bytes, at);
     }
--- a/src/main/java/cinderhollow/peers/Fact.java
+++ b/src/main/java/cinderhollow/peers/Fact.java
@@ -1,27 +1,27 @@
 package cinderhollow.peers;
 
 /**
- * Something that is so until a newer version says otherwise: of two versions of one (kind, subject) the higher counts, in
- * whatever order and however often they come.
+ * Versioned value that gossip spreads to all members. Of two versions for the same kind and subject the higher one applies,
+ * regardless of the order in which and how often they arrive.
  *
- * @param kind what is said; 0 is a member's state
- * @param subject of what or whom, up to 65,535
- * @param version up to 48 bits
- * @param value at most {@link #MOST_BYTES}
+ * @param kind number of the fact's {@link Kind}, 0 to 255; 0 is a member's state
+ * @param subject number of what the fact is about, such as a member or a zone; up to 65,535
+ * @param version version, up to 48 bits
+ * @param value encoded value, at most {@link #MOST_BYTES} bytes
  */
 public record Fact(int kind, int subject, long version, byte[] value) {
-    /** So that each fits into one datagram. */
+    /** Maximum size of a value in bytes, so that each fact fits into one datagram. */
     public static final int MOST_BYTES = 160;
-    /** Of its head: kind, subject, version, length. */
+    /** Size in bytes of the header: kind, subject, version and length of the value. */
     static final int HEAD = 10;
     static final int VERSION_BYTES = 6;
     static final long LAST_VERSION = (1L << 8 * VERSION_BYTES) - 1;
 
-    /** Checks the bounds. */
+    /** Checks the bounds of all components. */
     public Fact {
         if (kind < 0 || kind > 255 || subject < 0 || subject > 65_535 || version < 0 || version > LAST_VERSION
                 || value.length > MOST_BYTES) {
-            throw new IllegalArgumentException("no such fact: " + kind + ", " + subject + ", " + version + ", " + value.length
+            throw new IllegalArgumentException("fact out of bounds (kind, subject, version, size): " + kind + ", " + subject + ", " + version + ", " + value.length
                     + " bytes");
         }
     }
--- a/src/main/java/cinderhollow/peers/Facts.java
+++ b/src/main/java/cinderhollow/peers/Facts.java
@@ -9,13 +9,14 @@
 import java.util.TreeSet;
 
 /**
- * The newest version of each fact that is known here, which of them are still to be passed on, and sums by which two members
- * find out in a few small datagrams where they differ: 256 leaves in 16 groups, each the sum of its facts' versions.
+ * Store of the newest known version of each fact. Keeps the queue of facts that are still to be gossiped, and checksums by which
+ * two members find their differences in a few small datagrams: 256 leaves in 16 groups, each the sum of the hashes of its
+ * facts' versions.
  */
 final class Facts {
     static final int GROUPS = 16, LEAVES = GROUPS * GROUPS, SUM_BYTES = 4;
 
-    /** A fact on its way, and how often it was sent from here. */
+    /** Fact that is being gossiped, and how often this member has sent it. */
     private static final class Rumour {
         private final Fact fact;
         private final int rank;
@@ -34,7 +35,7 @@
     private final List<Map<Integer, Fact>> leaves = new ArrayList<>();
     private final int[] sums = new int[LEAVES];
     private final Map<Integer, Rumour> rumours = new HashMap<>();
-    /** What matters most first, then what was sent least, then the newest. */
+    /** Facts to send, ordered by rank, then by fewest sends, then newest first. */
     private final TreeSet<Rumour> queue = new TreeSet<>(Comparator.<Rumour>comparingInt(r -> r.rank)
             .thenComparingInt(r -> r.sent).thenComparingLong(r -> -r.turn));
     private long turns;
@@ -62,7 +63,7 @@
         return byKey.size();
     }
 
-    /** Takes it if it is newer than what is known, and then passes it on; whether it was. */
+    /** Stores a fact and queues it for gossip if it is newer than the known version; returns whether it was. */
     boolean take(Fact fact) {
         Fact before = byKey.get(fact.key());
         if (before != null && before.version() >= fact.version()) {
@@ -79,7 +80,7 @@
         return true;
     }
 
-    /** From the beginning: it is as if nobody had been told. */
+    /** Queues a fact for gossip with its send count reset to 0. */
     void passOn(Fact fact) {
         Rumour old = rumours.remove(fact.key());
         if (old != null) {
@@ -94,7 +95,7 @@
         return !queue.isEmpty();
     }
 
-    /** Appends those that fit, but none of which this member was the source; each is sent so often and then forgotten. */
+    /** Appends the queued facts that fit. A fact that has been sent the given number of times is removed from the queue. */
     void write(Bytes to, int mostSends) {
         List<Rumour> written = new ArrayList<>();
         for (Rumour rumour : queue) {
@@ -133,7 +134,7 @@
         return mix(fact.version() * 31 + fact.key());
     }
 
-    /** Of all groups, or of the leaves of one. */
+    /** Writes the checksums of all groups if the group is negative, or else of the leaves of that group. */
     void writeSums(Bytes to, int group) {
         for (int i = 0; i < GROUPS; i++) {
             to.put(group < 0 ? sum(i) : sums[group * GROUPS + i], SUM_BYTES);
@@ -148,7 +149,7 @@
         return sum;
     }
 
-    /** Which of the groups, or of the leaves of one, have another sum at the other side. */
+    /** Reads the other member's checksums and returns the groups, or the leaves of the given group, that differ. */
     List<Integer> differing(Bytes from, int group) {
         List<Integer> differing = new ArrayList<>();
         for (int i = 0; i < GROUPS; i++) {
--- a/src/main/java/cinderhollow/peers/Flaw.java
+++ b/src/main/java/cinderhollow/peers/Flaw.java
@@ -2,28 +2,28 @@
 
 import java.util.Locale;
 
-/** Why a datagram is not believed. */
+/** Reason for which a datagram is dropped. */
 public enum Flaw {
-    /** Too short to be one, or longer than any. */
+    /** Shorter than the minimum or longer than the maximum size. */
     LENGTH,
-    /** Of another version of this protocol. */
+    /** Other protocol version. */
     VERSION,
-    /** Of another fleet, or of this one with another list of members. */
+    /** Other fleet, or this fleet with a member list of another size. */
     FLEET,
-    /** Changed on its way, or made by somebody who does not know the fleet's secret. */
+    /** Wrong authentication tag: changed in transit, or made without the fleet's secret. */
     SEAL,
-    /** From nobody of the list, or not from the address of whom it says. */
+    /** Sender is not on the member list, or the address is not that of the sender it names. */
     SENDER,
-    /** Once more, or so late that this can't be told. */
+    /** Duplicate, or too old for the replay window to tell. */
     REPEATED,
-    /** Of a life of its sender that is over. */
+    /** Earlier generation (process start) of its sender. */
     OLD_LIFE,
-    /** From a clock that is far ahead. */
+    /** Generation too far in the future: the sender's clock is far ahead. */
     FUTURE,
-    /** Sealed well, but what it says can't be read. */
+    /** Correctly authenticated, but the content cannot be decoded. */
     FORM;
 
-    /** As figures and logs have it. */
+    /** Returns the name used in metrics and logs: lower case with hyphens. */
     public String word() {
         return name().toLowerCase(Locale.ROOT).replace('_', '-');
     }
--- a/src/main/java/cinderhollow/peers/Kind.java
+++ b/src/main/java/cinderhollow/peers/Kind.java
@@ -1,12 +1,13 @@
 package cinderhollow.peers;
 
 /**
- * A kind of fact.
+ * Kind of fact.
  *
- * @param lasting members that meet make sure that both have the newest of it; what is not is told anew by its source
- * @param rank what has a lower one goes first where not all fits
+ * @param number number of the kind in datagrams
+ * @param lasting whether members compare and synchronise facts of this kind; other facts are only repeated by their source
+ * @param rank facts with a lower rank are sent first if not all fit into a datagram
  */
 public record Kind(int number, boolean lasting, int rank) {
-    /** Whether a member is alive; a fact of its own protocol. */
+    /** State of a member (alive, suspected, dead or left); used by the membership protocol itself. */
     public static final Kind MEMBER = new Kind(0, true, 1);
 }
--- a/src/main/java/cinderhollow/peers/Pace.java
+++ b/src/main/java/cinderhollow/peers/Pace.java
@@ -1,28 +1,28 @@
 package cinderhollow.peers;
 
 /**
- * The protocol's times, in nanoseconds, and its numbers.
+ * Settings of the gossip protocol; times are in nanoseconds.
  *
- * @param probe a member probes another one so often
- * @param pingTimeout so long it waits before it asks others to try; twice the longest way there and back
- * @param gossip what is new goes out so often beside the probes
- * @param hurried and so often while something is at stake
- * @param fanout to so many at once; and so many are asked to try
- * @param sync a member compares what it knows with another one's so often
- * @param suspicion how many probes a suspect has at the least to speak up, for each factor of ten in members
- * @param slack how many times longer while nobody else confirms the suspicion
+ * @param probe interval at which a member probes another one
+ * @param pingTimeout time without an answer after which others are asked to probe; twice the longest round trip
+ * @param gossip interval of sending new facts in addition to the probes
+ * @param hurried interval of sending new facts during fast gossip
+ * @param fanout number of members that get new facts at once, and that are asked for an indirect probe
+ * @param sync interval at which a member compares its facts with those of another one
+ * @param suspicion number of probe intervals that a suspect has at least to refute, for each factor of ten in members
+ * @param slack factor by which that time is longer while nobody else confirms the suspicion
  */
 public record Pace(long probe, long pingTimeout, long gossip, long hurried, int fanout, long sync, double suspicion, double slack) {
     private static final long MS = 1_000_000L;
-    /** For machines a few milliseconds from each other, or some tens. */
+    /** Defaults, for latencies between machines from a few to some tens of milliseconds. */
     public static final Pace USUAL = new Pace(250 * MS, 100 * MS, 100 * MS, 25 * MS, 3, 1_000 * MS, 4, 3);
 
-    /** How often a rumour is sent on: enough that it reaches all but surely (Karp and others, 2000). */
+    /** Returns how often a member sends a new fact: enough to reach all members almost surely (Karp and others, 2000). */
     int sends(int members) {
         return (int) Math.ceil(2 * Math.log(members + 1) / Math.log(2)) + 2;
     }
 
-    /** How long a suspect has, where so many others have confirmed it (Lifeguard). */
+    /** Returns the time that a suspect has to refute, by the number of confirmations from others (Lifeguard). */
     long suspicion(int members, int confirmations) {
         double least = suspicion * Math.max(1, Math.log10(members)) * probe;
         double most = least * slack;
--- a/src/main/java/cinderhollow/peers/Peers.java
+++ b/src/main/java/cinderhollow/peers/Peers.java
@@ -12,38 +12,39 @@
 import java.util.SplittableRandom;
 
 /**
- * One member: whom it takes for alive, what it knows, and what it sends next. Single-threaded; all chance is from one seed.
+ * One member of the fleet: tracks which members are alive, stores the newest facts and sends datagrams. Single-threaded; all
+ * random choices come from one seed.
  *
- * <p>A datagram: version, kind, mark of the fleet, sender, its life, its number for this receiver, what the kind needs, then as
- * many rumours as fit, and a seal over all of it.
+ * <p>Layout of a datagram: protocol version, type, checksum of the fleet, sender, the sender's generation, sequence number for
+ * this receiver, body by type, then as many gossiped facts as fit, and an authentication tag over all of it.
  */
 public final class Peers {
-    /** What a member's host does for it. None of these may call the member. */
+    /** Callbacks into the process that runs the member. None of these may call the member. */
     public interface Host {
-        /** Sends it to a member, perhaps in vain. */
+        /** Sends a datagram to a member, without guarantee of delivery. */
         void send(int member, byte[] datagram);
 
-        /** Something newer than what was known, from another member. */
+        /** Receives a fact from another member that is newer than the known version. */
         void told(Fact fact);
 
-        /** A member is taken for alive from now on, or no more. */
+        /** Notifies that a member is taken for alive from now on, or no longer is. */
         void lives(int member, boolean alive);
     }
 
-    /** The longest datagram that the deployment's page allows. */
+    /** Maximum size of a datagram in bytes, as set by the deployment's documentation. */
     public static final int LONGEST = 256;
     private static final int VERSION = 1, HEAD = 18, SHORTEST = HEAD + Seal.BYTES;
     private static final int PING = 1, ACK = 2, ASK = 3, NACK = 4, RUMOURS = 5, SUMS = 6, VERSIONS = 7, RELAYED = 8;
-    /** A clock that is further ahead is wrong. */
+    /** Clocks further ahead than this are considered wrong. */
     private static final long MOST_AHEAD_MILLIS = 300_000;
-    /** The states of a member, in the order in which they beat each other at one incarnation. */
+    /** States of a member; within one incarnation a later state overrides an earlier one. */
     private static final int ALIVE = 0, SUSPECT = 1, DEAD = 2, LEFT = 3, STATES = 4;
     private static final int MOST_HEALTH = 8, ONE_IN_LOST = 4, LEAVES_AT_ONCE = 2, ENTRY = 3 + Fact.VERSION_BYTES;
-    /** Of the time that a relay has, when it says that it has heard nothing. */
+    /** Part of the ping timeout after which a relay reports that the target has not answered. */
     private static final double NACK_PART = 0.8;
     private static final long NEVER = Long.MAX_VALUE;
 
-    /** What is held against a member until it speaks up. */
+    /** Suspicion against a member, until the member refutes it or its time runs out. */
     private static final class Suspicion {
         private final long since;
         private final Set<Integer> accusers = new HashSet<>();
@@ -54,7 +55,7 @@
         }
     }
 
-    /** A ping that was sent for another member. */
+    /** Indirect probe: a ping that was sent on behalf of another member. */
     private record Errand(int for_, long itsNumber, long nackAt) { }
 
     private final Roster roster;
@@ -69,7 +70,7 @@
     private final boolean[] alive;
     private int living;
     private final Map<Integer, Suspicion> suspicions = new HashMap<>();
-    /** By whom was pinged and with which number. */
+    /** Indirect probes in flight, by target and sequence number of the ping. */
     private final Map<Long, Errand> errands = new HashMap<>();
     private final Map<Flaw, Long> flaws = new EnumMap<>(Flaw.class);
     private final List<Integer> order = new ArrayList<>();
@@ -80,7 +81,7 @@
     private boolean started;
     private boolean left;
     private boolean hurried;
-    /** Lifeguard's: how much this member doubts itself. */
+    /** Lifeguard's local health score: 0 is best; higher values mean that this member itself may be at fault. */
     private int health;
     private int probed = -1;
     private long probeNumber;
@@ -89,7 +90,10 @@
     private long probeAt, timeoutAt = NEVER, gossipAt, syncAt;
     private long sentDatagrams, sentBytes, heardDatagrams, heardBytes;
 
-    /** A member that has just started and knows nobody; its life is told from its earlier ones by when it began, in Unix time. */
+    /**
+     * Creates a member that knows no others yet. Its start time in Unix milliseconds is its generation, by which its datagrams
+     * are told apart from those of earlier starts.
+     */
     public Peers(Roster roster, Pace pace, Collection<Kind> kinds, long seed, long lifeMillis, Host host) {
         this.roster = roster;
         this.pace = pace;
@@ -110,14 +114,14 @@
         living = 1;
     }
 
-    /** Does what is due, and tells when the next is. */
+    /** Does the work that is due and returns the time in nanoseconds at which the next work is due. */
     public long tick(long nowNanos, long nowUnixMillis) {
         now = nowNanos;
         unixMillis = nowUnixMillis;
         if (!started) {
             started = true;
             tellOfSelf();
-            // Guards against all that start at once probing in step.
+            // Random first times, so that members that start together do not probe in step.
             probeAt = now + random.nextLong(pace.probe());
             gossipAt = now + random.nextLong(pace.gossip());
             syncAt = now + random.nextLong(pace.probe());
@@ -147,19 +151,19 @@
         facts.take(new Fact(Kind.MEMBER.number(), roster.self(), incarnation * STATES + (left ? LEFT : ALIVE), new byte[0]));
     }
 
-    /** Ends in good order: the others need not find out. */
+    /** Announces that this member leaves, so that the others need not detect its end. */
     public void leave() {
         left = true;
         tellOfSelf();
         some(pace.fanout(), -1).forEach(member -> send(member, RUMOURS, Bytes.ofSize(0)));
     }
 
-    /** Says something; where it is older than what is known nothing happens, and this is false. */
+    /** Publishes a fact; returns false without effect if it is not newer than the known version. */
     public boolean publish(Fact fact) {
         return facts.take(fact);
     }
 
-    /** Whether what is new goes out sooner from now on: as often in all, in fuller haste. */
+    /** Sets whether new facts are sent at the shorter interval; the number of sends of each fact stays the same. */
     public void hurry(boolean now) {
         if (now && !hurried) {
             gossipAt = Math.min(gossipAt, this.now + pace.hurried());
@@ -167,49 +171,52 @@
         hurried = now;
     }
 
-    /** The newest that is known, or null. */
+    /** Returns the newest known version of a fact, or null. */
     public Fact fact(int kind, int subject) {
         return facts.get(kind, subject);
     }
 
-    /** All that is known of this kind. */
+    /** Returns all known facts of a kind. */
     public List<Fact> facts(Kind kind) {
         return facts.all(kind.number());
     }
 
-    /** Whether a member is taken for alive. */
+    /** Returns whether a member is taken for alive. */
     public boolean isAlive(int member) {
         return alive[member];
     }
 
-    /** How many are, this one among them. */
+    /** Returns the number of members taken for alive, including this one. */
     public int living() {
         return living;
     }
 
-    /** The fleet that it belongs to. */
+    /** Returns the fleet to which this member belongs. */
     public Roster roster() {
         return roster;
     }
 
-    /** How much it doubts itself, 0 to 8: it answers late, or is the only one to miss others. */
+    /**
+     * Returns Lifeguard's local health score, 0 (best) to 8. It rises when the member was suspected, when its probes fail, and
+     * more when relays do not answer either; it falls with each successful probe.
+     */
     public int health() {
         return health;
     }
 
-    /** Datagrams and bytes, out and in, and those that were not believed, by why. */
+    /** Returns the counters of datagrams and bytes sent and received, and of dropped datagrams by reason. */
     public Figures figures() {
         return new Figures(sentDatagrams, sentBytes, heardDatagrams, heardBytes, Map.copyOf(flaws));
     }
 
-    /** Counts since the start. */
+    /** Counters since the start. */
     public record Figures(long sent, long sentBytes, long heard, long heardBytes, Map<Flaw, Long> flaws) { }
 
     // ---- probing
 
     private void probe() {
         if (probed >= 0) {
-            // Guards against blaming others for what is this member's own fault: it probes more seldom while it fails.
+            // The fault may be this member's own: with a worse score it probes less often and waits longer.
             health = Math.min(MOST_HEALTH, health + 1 + Math.max(0, nacksDue));
             suspect(probed, roster.self());
         }
@@ -222,7 +229,7 @@
             probeNumber = ping(probed);
             timeoutAt = now + pace.pingTimeout() * (1 + health);
         }
-        // Guards against two halves that hold each other for dead and never look again.
+        // Also pings a member that is not alive at times, so that the halves of a healed partition find each other again.
         if (random.nextInt(ONE_IN_LOST) == 0) {
             int lost = someLost();
             if (lost >= 0) {
@@ -231,7 +238,7 @@
         }
     }
 
-    /** Each of the living once, in an order drawn anew for each round. */
+    /** Returns the next member to probe, each living one once per round in random order; -1 if there is none. */
     private int next() {
         while (true) {
             if (order.isEmpty()) {
@@ -244,7 +251,7 @@
                     return -1;
                 }
             }
-            // Drawn without order: the last one fills the gap.
+            // Removes a random element; the last one fills the gap.
             int at = random.nextInt(order.size());
             int drawn = order.get(at);
             order.set(at, order.get(order.size() - 1));
@@ -270,7 +277,7 @@
         relays.forEach(relay -> send(relay, ASK, Bytes.ofSize(6).put(probed, 2).put(probeNumber, 4)));
     }
 
-    /** Tells who asked that the relay itself is well, though the one asked for says nothing. */
+    /** Sends the due negative acknowledgements: this relay works, but the target has not answered. */
     private void nack() {
         if (!errands.isEmpty()) {
             errands.values().removeIf(errand -> {
@@ -315,7 +322,7 @@
         }
     }
 
-    /** One accuser more of the same suspect: the first few go round too, since they shorten its time. */
+    /** Adds an accuser to a suspicion; the first few are gossiped, since each shortens the time that the suspect has. */
     private void confirm(Fact suspicion) {
         Suspicion held = suspicions.get(suspicion.subject());
         if (held != null && suspicion.value().length == 2 && held.accusers.size() <= pace.fanout()
@@ -337,7 +344,7 @@
         }
     }
 
-    /** What is said of a member, by itself or by others. */
+    /** Handles a fact about the state of a member, from itself or from others. */
     private void take(Fact fact) {
         int member = fact.subject();
         int state = state(fact.version());
@@ -364,14 +371,17 @@
         }
     }
 
-    /** Guards against being held for dead, or for what it was in a life of which it knows nothing. */
+    /**
+     * Refutes a newer fact about this member, such as a suspicion, its death, or a state from a generation that it does not
+     * know, by publishing a higher incarnation.
+     */
     private void answerFor(long version) {
         long own = incarnation * STATES + (left ? LEFT : ALIVE);
         if (version > own) {
             health = Math.min(MOST_HEALTH, health + (state(version) == SUSPECT ? 1 : 0));
             incarnation = version / STATES + 1;
             if (incarnation > life && state(version) >= DEAD) {
-                // The others have heard of a later life than this one, as where the clock was set back between two.
+                // The others know a later generation than this one, for instance because the clock was set back before a restart.
                 life = incarnation;
                 Arrays.fill(numbers, 0);
             }
@@ -402,7 +412,7 @@
         send(member, VERSIONS, body);
     }
 
-    /** Goes down one step where the sums differ. */
+    /** Compares received checksums with its own and continues one level down where they differ. */
     private void compared(int from, Bytes body) {
         int group = (int) body.take(1) - 1;
         List<Integer> differing = facts.differing(body, group);
@@ -416,7 +426,7 @@
         }
     }
 
-    /** Sends what is newer here, and says what is here where the other has newer. */
+    /** Sends facts that are newer here, and its own versions if the other member has newer facts. */
     private void versions(int from, Bytes body) {
         int leaf = (int) body.take(1);
         Map<Integer, Long> theirs = new HashMap<>();
@@ -453,7 +463,7 @@
 
     // ---- datagrams
 
-    /** So many of the living, this one and another not among them. */
+    /** Returns up to this number of random living members, without this one and another one. */
     private List<Integer> some(int count, int but) {
         Set<Integer> drawn = new HashSet<>();
         for (int tries = 0; drawn.size() < count && tries < 4 * count + 8; tries++) {
@@ -472,7 +482,7 @@
         return List.copyOf(drawn);
     }
 
-    /** One of those that are not known to be alive, or -1. */
+    /** Returns a random member that is not taken for alive, or -1. */
     private int someLost() {
         if (living == roster.size()) {
             return -1;
@@ -487,12 +497,12 @@
         return -1;
     }
 
-    /** Its number for this receiver. */
+    /** Sends a datagram with queued facts and returns its sequence number for this receiver. */
     private long send(int member, int kind, Bytes body) {
         Bytes datagram = head(member, kind).put(body.written());
         Fact ofReceiver = facts.get(Kind.MEMBER.number(), member);
         if (ofReceiver != null && state(ofReceiver.version()) != ALIVE && datagram.left() >= ofReceiver.size()) {
-            // Lifeguard's buddy: whoever is doubted hears of it with the next word that it gets.
+            // Lifeguard's buddy system: a suspect gets the suspicion with the next datagram sent to it.
             ofReceiver.write(datagram);
         }
         facts.write(datagram, pace.sends(living));
@@ -512,7 +522,7 @@
         host.send(member, whole);
     }
 
-    /** A datagram from the address of this member; -1 where it is nobody's. */
+    /** Handles a datagram received from the address of a member; -1 if the address belongs to no member. */
     public void received(long nowNanos, long nowUnixMillis, int from, byte[] datagram) {
         now = nowNanos;
         unixMillis = nowUnixMillis;
@@ -552,7 +562,7 @@
         Flaw replayed = replays[sender].take(itsLife, number);
         if (replayed != null) {
             if (replayed == Flaw.OLD_LIFE) {
-                // One whose clock was set back hears of its later life, and takes a still later one.
+                // Tells a sender whose clock was set back of its later generation, so that it takes a still later one.
                 Bytes dead = head(sender, RUMOURS);
                 new Fact(Kind.MEMBER.number(), sender, replays[sender].life() * STATES + DEAD, new byte[0]).write(dead);
                 go(sender, dead);
@@ -584,7 +594,7 @@
                 }
             }
             case RELAYED -> {
-                // It names whom it speaks of: numbers are each receiver's own, so that another's may be the same.
+                // Names its target: sequence numbers are per receiver, so that another target's may be the same.
                 if (in.take(2) == probed && in.take(4) == probeNumber) {
                     succeeded();
                 }
@@ -593,7 +603,7 @@
                 int target = (int) in.take(2);
                 long itsNumber = in.take(4);
                 if (target >= roster.size()) {
-                    throw new IllegalArgumentException("there is no member " + target);
+                    throw new IllegalArgumentException("indirect probe of an unknown member " + target);
                 }
                 long mine = ping(target);
                 errands.put((long) target << 32 | mine, new Errand(sender, itsNumber, now + (long) (pace.pingTimeout() * NACK_PART)));
@@ -606,17 +616,17 @@
             case RUMOURS -> { }
             case SUMS -> compared(sender, in);
             case VERSIONS -> versions(sender, in);
-            default -> throw new IllegalArgumentException("there is no kind " + kind);
+            default -> throw new IllegalArgumentException("datagram of an unknown type " + kind);
         }
     }
 
     private void heard(Fact fact) {
         if (!facts.knows(fact.kind())) {
-            return; // of a newer build: it is passed over, and the rest still counts
+            return; // a kind of a newer build: skipped, and the rest still counts
         }
         if (fact.kind() == Kind.MEMBER.number()) {
             if (fact.subject() >= roster.size() || fact.version() / STATES > unixMillis + MOST_AHEAD_MILLIS) {
-                throw new IllegalArgumentException("no member can be so: " + fact);
+                throw new IllegalArgumentException("invalid member state: " + fact);
             }
             take(fact);
         } else if (facts.take(fact)) {
--- a/src/main/java/cinderhollow/peers/Replay.java
+++ b/src/main/java/cinderhollow/peers/Replay.java
@@ -1,20 +1,20 @@
 package cinderhollow.peers;
 
-/** Which of a sender's datagrams have come: those of its newest life, the last 64 by their numbers (RFC 4303's window). */
+/** Replay window of one sender: the last 64 sequence numbers received of its newest generation (as in RFC 4303). */
 final class Replay {
     private static final int WIDTH = 64;
 
     private long life;
     private long highest;
-    /** Bit i for the one i below the highest. */
+    /** Bit i is set if the number i below the highest was received. */
     private long seen;
 
-    /** The newest one that was heard of. */
+    /** Returns the newest generation received of the sender. */
     long life() {
         return life;
     }
 
-    /** Null where it is new, and from now on it is not. */
+    /** Marks a datagram as received; returns null if it is new, or else the reason for dropping it. */
     Flaw take(long itsLife, long number) {
         if (itsLife < life) {
             return Flaw.OLD_LIFE;
--- a/src/main/java/cinderhollow/peers/Roster.java
+++ b/src/main/java/cinderhollow/peers/Roster.java
@@ -5,26 +5,26 @@
 import java.util.zip.CRC32C;
 
 /**
- * Who belongs to a fleet: members are numbered by their places in the list of addresses that all of them are given.
+ * Members of a fleet, numbered by their positions in the list of addresses that all of them are configured with.
  *
- * @param self this one's number
- * @param size how many there are
- * @param fleet what the fleet is called: a datagram of another fleet is not believed
- * @param secret what all of its members know and others do not; empty where there is none
+ * @param self number of this member
+ * @param size number of members
+ * @param fleet name of the fleet; datagrams of other fleets are dropped
+ * @param secret secret shared by all members, which authenticates datagrams; empty if there is none
  */
 public record Roster(int self, int size, String fleet, byte[] secret) {
-    /** A number is written in two bytes. */
+    /** Maximum number of members; a member's number is encoded in two bytes. */
     public static final int MOST = 10_000;
 
-    /** Checks the numbers, and keeps a copy. */
+    /** Checks the numbers and copies the secret. */
     public Roster {
         if (size < 1 || size > MOST || self < 0 || self >= size) {
-            throw new IllegalArgumentException("there is no member " + self + " of " + size);
+            throw new IllegalArgumentException("invalid member number " + self + " of " + size);
         }
         secret = secret.clone();
     }
 
-    /** Tells fleets from each other, also those of one name and another size: their numbers mean other members. */
+    /** Returns a checksum of name and size: with another size, member numbers may mean other members. */
     int mark() {
         CRC32C sum = new CRC32C();
         sum.update((fleet + '/' + size).getBytes(StandardCharsets.UTF_8));
--- a/src/main/java/cinderhollow/peers/Seal.java
+++ b/src/main/java/cinderhollow/peers/Seal.java
@@ -7,7 +7,10 @@
 import javax.crypto.Mac;
 import javax.crypto.spec.SecretKeySpec;
 
-/** Eight bytes at a datagram's end: HMAC-SHA-256 (RFC 2104), cut off, under the secret; without one a checksum against bad luck alone. */
+/**
+ * Authentication tag of eight bytes at a datagram's end: a truncated HMAC-SHA-256 (RFC 2104) keyed with the fleet's secret.
+ * Without a secret it is a CRC-32C checksum, which detects only accidental changes.
+ */
 final class Seal {
     static final int BYTES = 8;
     private static final String ALGORITHM = "HmacSHA256";
@@ -21,18 +24,18 @@
                 mac.init(new SecretKeySpec(secret, ALGORITHM));
             }
         } catch (GeneralSecurityException e) {
-            throw new IllegalStateException("each Java runtime has " + ALGORITHM, e);
+            throw new IllegalStateException("this Java runtime lacks the required algorithm " + ALGORITHM, e);
         }
     }
 
-    /** These with their seal behind them. */
+    /** Returns the bytes with their tag appended. */
     byte[] onto(byte[] bytes) {
         byte[] whole = Arrays.copyOf(bytes, bytes.length + BYTES);
         System.arraycopy(of(bytes, bytes.length), 0, whole, bytes.length, BYTES);
         return whole;
     }
 
-    /** Whether the last bytes are the seal of those before; how long it takes tells nothing. */
+    /** Returns whether the last bytes are the tag of those before; compares in constant time, so that timing leaks nothing. */
     boolean holds(byte[] whole) {
         int length = whole.length - BYTES;
         return MessageDigest.isEqual(of(whole, length), Arrays.copyOfRange(whole, length, whole.length));
