--- a/src/test/java/cinderhollow/evacuation/EvacuationTest.java
+++ b/src/test/java/cinderhollow/evacuation/EvacuationTest.java
@@ -14,28 +14,28 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** A fleet in made-up time: who leaves what, who does not, and when all are back. */
+/** Zone evacuation of a fleet in simulated time: which gateways leave which zones, which do not, and when all have returned. */
 class EvacuationTest {
     private static final int GATEWAYS = 30;
 
     private static World calm(long seed) {
         World world = new World(GATEWAYS, seed);
         world.net.run(8 * SECOND);
-        assertTrue(world.allUsual(), () -> "left without a reason: " + world.log);
+        assertTrue(world.allUsual(), () -> "a zone was left without a fault: " + world.log);
         return world;
     }
 
     private static void leftAndBack(World world, String zone) {
         long began = world.net.now;
         long took = world.net.until(6 * SECOND, () -> world.left(zone, g -> true));
-        assertTrue(took > 0, () -> "not left: " + String.join("\n", world.log));
-        System.out.println("left by all after " + took / MS + " ms");
-        assertTrue(took < 3 * SECOND, "left after " + took / MS + " ms");
+        assertTrue(took > 0, () -> "the zone was not left by all gateways: " + String.join("\n", world.log));
+        System.out.println("left by all gateways after " + took / MS + " ms");
+        assertTrue(took < 3 * SECOND, "left too late, after " + took / MS + " ms");
         assertEquals(0, world.tooManyOut);
         world.net.run(5 * SECOND - (world.net.now - began));
         world.fate = (g, z, h) -> Seen.GOOD;
         long back = world.net.until(40 * SECOND, world::allUsual);
-        assertTrue(back > 0, () -> "not back: " + String.join("\n", world.log));
+        assertTrue(back > 0, () -> "the zone did not get its full traffic back: " + String.join("\n", world.log));
         System.out.println("back after " + back / MS + " ms");
     }
 
@@ -54,7 +54,7 @@
         leftAndBack(world, "b");
     }
 
-    /** All of a zone's hosts leave the list and come again, cold: the list says that they are new, and no trial need find out. */
+    /** All servers of a zone leave the list and are listed again, cold: a trial of servers known to be new would lose time. */
     @Test
     void hostsThatWereGoneFromTheListAreReturnedToAtOnce() {
         World world = calm(15);
@@ -64,7 +64,7 @@
             gateway.traffic().listed(World.hosts(List.of("b", "c"), 0), true);
         }
         world.net.run(4 * SECOND);
-        assertTrue(world.left("a", g -> true), "what is not in the list is not tried");
+        assertTrue(world.left("a", g -> true), "a zone without listed servers is not tried");
         world.fate = (g, z, h) -> Seen.GOOD;
         for (Evacuation gateway : world.gateways) {
             gateway.traffic().listed(World.hosts(List.of("a"), world.net.now), false);
@@ -73,7 +73,7 @@
         assertTrue(took > 0 && took < 2 * SECOND, () -> "back after " + took / MS + " ms\n" + String.join("\n", world.log));
     }
 
-    /** With a tenth of all datagrams lost and some twice. */
+    /** A tenth of all datagrams is lost and some arrive twice: the evacuation still completes. */
     @Test
     void lostDatagramsDelayIt() {
         World world = calm(5);
@@ -83,7 +83,7 @@
         leftAndBack(world, "c");
     }
 
-    /** Errors from half of a zone's hosts, a bad release on a third of all hosts that lie mostly in one zone: hosts' faults. */
+    /** Half of a zone's servers fail, or a bad release on a third of all servers, mostly in one zone: no zone is at fault. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     void hostsThatFailAreNoZone(long seed) {
@@ -93,7 +93,7 @@
         assertTrue(world.allUsual(), () -> String.join("\n", world.log));
     }
 
-    /** One gateway to which all look dead. */
+    /** One gateway that sees all zones fail has a fault of its own and must not evacuate any zone. */
     @Test
     void oneGatewaysOwnFaultMovesNobody() {
         World world = calm(6);
@@ -102,7 +102,7 @@
         assertEquals(0, world.leftAnything(g -> true), () -> String.join("\n", world.log));
     }
 
-    /** All gateways of one zone behind a bad link: to them the others look dead, and they stay where they are; nobody else leaves. */
+    /** All gateways of one zone are behind a bad link and see the other zones fail: other gateways must not leave any zone. */
     @Test
     void aZoneOfGatewaysBehindABadLinkMovesNobodyElse() {
         World world = calm(7);
@@ -112,7 +112,7 @@
         assertEquals(0, world.tooManyOut);
     }
 
-    /** a can't reach b, c can: only those of a leave it. */
+    /** Zone a can't reach b, but c can: only the gateways of a leave b. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     void onlyThoseLeaveWhoCanNotReach(long seed) {
@@ -125,7 +125,7 @@
         assertEquals(0, world.leftAnything(g -> world.zoneOf(g) != 0), () -> String.join("\n", world.log));
     }
 
-    /** Too much work everywhere: nothing is left, since there is no better place. */
+    /** All zones are overloaded or fail: none is left, since none is better. */
     @Test
     void troubleInAllZonesLeavesNone() {
         World world = calm(8);
@@ -136,7 +136,7 @@
         assertTrue(world.allUsual(), () -> String.join("\n", world.log));
     }
 
-    /** Two zones fail in one moment, or one after the other: no gateway ever leaves both, and each keeps away from one of them. */
+    /** Two zones fail together or shortly after each other: no gateway ever leaves both, and each avoids one of them. */
     @ParameterizedTest
     @CsvSource({"9, 300", "9, 0", "20, 0", "21, 50", "22, 150", "23, 300"})
     void aSecondZoneIsNotLeftWhileTheFirstIsOut(long seed, long apartMillis) {
@@ -150,11 +150,11 @@
                 () -> String.join("\n", world.log));
     }
 
-    /** Two gateways that have not heard of each other leave a zone each; when they meet, one zone is left and the other is not. */
+    /** Deciders without contact each leave another zone; once datagrams arrive again, only one of the zones stays left. */
     @Test
     void twoDecisionsOnTwoZonesEndAsOne() {
         World world = calm(24);
-        // All datagrams are lost until each half of the deciders has left a zone of its own.
+        // All datagrams are lost until each half of the deciders has left a different zone.
         world.net.open = (from, to) -> from / 15 == to / 15;
         world.net.run(200 * MS);
         world.fate = (g, z, h) -> z == (g < 15 ? 0 : 1) ? null : Seen.GOOD;
@@ -167,7 +167,7 @@
         assertTrue(world.net.until(40 * SECOND, world::allUsual) > 0, () -> String.join("\n", world.log));
     }
 
-    /** A region of two zones is lost in one moment, with its gateways or without: it is left as a whole, and the third zone is not. */
+    /** A region of two zones fails at once, with or without its gateways: both of its zones are left, the third is not. */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
     void aRegionIsLeftAsAWhole(boolean withItsGateways) {
@@ -180,12 +180,12 @@
         if (withItsGateways) {
             world.net.places.stream().filter(p -> world.zoneOf(p.number) < 2).forEach(Net.Place::kill);
         }
-        // Those of the third zone seldom go there, and less still once it is all that answers.
+        // Gateways of the third zone send few attempts there, and even fewer once only their own zone answers.
         world.ownZone = 0.5;
         long took = world.net.until(8 * SECOND, () -> IntStream.range(0, GATEWAYS).filter(g -> world.zoneOf(g) == 2)
                 .allMatch(g -> world.weight(g, "a") < 0.1 && world.weight(g, "b") < 0.1));
         assertTrue(took > 0, () -> String.join("\n", world.log));
-        System.out.println("a region left after " + took / MS + " ms");
+        System.out.println("region left after " + took / MS + " ms");
         world.net.run(5 * SECOND);
         assertTrue(IntStream.range(0, GATEWAYS).allMatch(g -> world.weight(g, "c") > 0.9), () -> String.join("\n", world.log));
         world.fate = (g, z, h) -> Seen.GOOD;
@@ -193,7 +193,7 @@
                 .allMatch(g -> world.weight(g, "a") == 1 && world.weight(g, "b") == 1)) > 0, () -> String.join("\n", world.log));
     }
 
-    /** A zone that fails again at half of its return, and again: each return is later, and it is never given up for good. */
+    /** A zone fails repeatedly while it returns: each return is later, but the zone must still return in the end. */
     @Test
     void aZoneThatFlapsReturnsMoreSlowlyAndForgetsIt() {
         World world = calm(10);
@@ -206,7 +206,7 @@
         assertTrue(world.net.until(90 * SECOND, world::allUsual) > 0, () -> String.join("\n", world.log));
     }
 
-    /** Seven in ten restart in the middle of it: those that are back know what was decided. */
+    /** Seven in ten gateways restart during an evacuation: the restarted ones must learn the decisions. */
     @Test
     void mostRestartInTheMiddle() {
         World world = calm(11);
@@ -223,7 +223,7 @@
         assertEquals(0, world.tooManyOut);
     }
 
-    /** Gateways of a newer build, whose clocks are an hour ahead, decide what the others can't read: these still decide for themselves. */
+    /** A newer build with clocks an hour ahead publishes decisions that the others can't read: these must still decide. */
     @Test
     void whatANewerBuildDecidesMayBeUnreadable() {
         World world = new World(GATEWAYS, 26, (terms, rules, roster, seed, life, host) -> new Watched(terms, rules, roster, seed, life, host) {
@@ -242,7 +242,7 @@
                 () -> String.join("\n", world.log));
     }
 
-    /** One that slept through it all and wakes with old facts follows the newer ones, and moves nobody. */
+    /** A gateway that was paused during the evacuation resumes with old facts: it adopts the newer decisions. */
     @Test
     void aSleeperFollowsWhatWasDecided() {
         World world = calm(12);
@@ -252,7 +252,7 @@
         assertTrue(world.net.until(3 * SECOND, () -> world.weight(4, "a") < 0.1) > 0, () -> String.join("\n", world.log));
     }
 
-    /** An order goes to all, beats the machine, survives the restart of whoever took it, and says who has not heard. */
+    /** An order reaches all, overrides decisions, survives its issuer's restart, and members that lack it are listed. */
     @Test
     void anOrderBeatsTheMachineAndOutlivesItsGiver() {
         World world = calm(13);
@@ -265,16 +265,16 @@
         world.net.places.get(2).kill();
         world.net.run(SECOND);
         world.net.places.get(2).start();
-        assertTrue(world.net.until(6 * SECOND, () -> world.weight(2, "b") < 0.1) > 0, "forgotten by who gave it");
+        assertTrue(world.net.until(6 * SECOND, () -> world.weight(2, "b") < 0.1) > 0, "the issuer of the order lost it in its restart");
         world.fate = (g, z, h) -> z == 0 ? null : Seen.GOOD;
         world.net.run(5 * SECOND);
         assertEquals(0, world.net.places.stream().filter(p -> world.weight(p.number, "b") > 0.1 && p.number != 29).count());
         world.fate = (g, z, h) -> Seen.GOOD;
         world.net.places.get(29).start();
-        assertTrue(world.net.until(60 * SECOND, world::allUsual) > 0, () -> "it never ends: " + String.join("\n", world.log));
+        assertTrue(world.net.until(60 * SECOND, world::allUsual) > 0, () -> "not all weights are full again: " + String.join("\n", world.log));
     }
 
-    /** All datagrams lost: each for itself, by its own eyes, and nothing worse than that. */
+    /** All datagrams are lost: each gateway avoids the failing zone by its own observations, and returns to it. */
     @Test
     void withoutDatagramsEachSavesItsOwn() {
         World world = new World(GATEWAYS, 14);
--- a/src/test/java/cinderhollow/evacuation/JudgementTest.java
+++ b/src/test/java/cinderhollow/evacuation/JudgementTest.java
@@ -11,11 +11,11 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** How often hosts that fail for themselves pass for their zone, and how little is enough where the zone does. */
+/** How often single failing servers are mistaken for a failing zone, and how few attempts reveal a zone that does fail. */
 class JudgementTest {
     private static final int HOSTS = 15, GATEWAYS = 9;
 
-    /** Each gateway has tried some hosts of which the first few fail. */
+    /** Assesses a random sample: each gateway tries some servers of a zone, of which the first few fail. */
     private static Judgement drawn(SplittableRandom random, int failing, int triesOfEach) {
         List<Digest> digests = new ArrayList<>();
         for (int g = 0; g < GATEWAYS; g++) {
@@ -33,6 +33,7 @@
         return Judgement.of(1, HOSTS, digests);
     }
 
+    /** Counts the bad verdicts in 20,000 random samples. */
     private static int condemned(int failing, int triesOfEach) {
         SplittableRandom random = new SplittableRandom(failing * 31L + triesOfEach);
         int count = 0;
@@ -42,21 +43,21 @@
         return count;
     }
 
-    /** Seven of fifteen hosts fail: seen by two attempts of each of nine gateways, chance alone would make it the zone's often. */
+    /** Seven of fifteen servers fail: two attempts by each of nine gateways would often blame the zone by chance. */
     @Test
     void hostsThatFailForThemselvesSeldomPassForTheirZone() {
-        assertTrue(condemned(7, 2) < 20, "of 20,000 looks at few attempts: " + condemned(7, 2));
+        assertTrue(condemned(7, 2) < 20, "bad verdicts in 20,000 samples of few attempts: " + condemned(7, 2));
         assertEquals(0, condemned(5, 2));
         assertEquals(0, condemned(7, 8));
     }
 
     @Test
     void aZoneThatFailsIsToldByOneAttemptOfEachGateway() {
-        assertTrue(condemned(HOSTS, 1) > 10_000, "of 20,000: " + condemned(HOSTS, 1));
+        assertTrue(condemned(HOSTS, 1) > 10_000, "bad verdicts in 20,000 samples: " + condemned(HOSTS, 1));
         assertEquals(20_000, condemned(HOSTS, 2));
     }
 
-    /** Where a zone has three hosts no chance can be ruled out: that all of them fail is enough. */
+    /** With three servers chance can't be ruled out, so that most of all servers failing is enough to blame a small zone. */
     @Test
     void smallZonesAreJudgedByAllTheirHosts() {
         assertTrue(Judgement.mostHosts(3, 3, 3));
--- a/src/test/java/cinderhollow/evacuation/Walk.java
+++ b/src/test/java/cinderhollow/evacuation/Walk.java
@@ -12,11 +12,11 @@
 import java.util.regex.Pattern;
 
 /**
- * A fleet to which anything may happen: what happens is drawn from a seed as a list, so that it can be played again with parts
- * of it left out. After each change of a course, and in each twentieth of a second, what must always hold is looked at.
+ * Random walk of a fleet through faults. The events are drawn from a seed as a list, so that they can be replayed with some of
+ * them left out. The invariants are checked after each change of a decision and every 50 ms.
  */
 final class Walk {
-    /** What happens, and when. */
+    /** Event of a walk and its simulated time in nanoseconds. */
     record Happens(long at, What what, int who, int whom) {
         @Override
         public String toString() {
@@ -31,7 +31,7 @@
     private static final What[] ALL = What.values();
     private static final Pattern CHANGE = Pattern.compile(
             "zone=(\\w) seen-from=(\\w) phase=(\\w+) weight=([\\d.]+) epoch=(\\d+) by=(\\d+) flaps=(\\d+) .*");
-    /** What is known of the others is some seconds old, and each is given at least a quarter of a mean part. */
+    /** Tolerated excess of the rates: they are some seconds old, and each gateway gets at least a quarter of the mean part. */
     private static final double MOST_BEARS = 4;
 
     private final World world;
@@ -71,7 +71,7 @@
         };
     }
 
-    /** What happens in so many seconds under this seed. */
+    /** Returns the events of a walk of this many seconds, drawn from the seed. */
     static List<Happens> drawn(long seed, int seconds) {
         SplittableRandom random = new SplittableRandom(seed);
         List<Happens> all = new ArrayList<>();
@@ -83,7 +83,7 @@
         return all;
     }
 
-    /** What broke, or null; the number of steps is added to the first of {@code steps}. */
+    /** Runs the events and returns the broken invariant, or null; adds the number of steps to the first of {@code steps}. */
     static String play(long seed, List<Happens> all, World.Maker maker, long[] steps) {
         Walk walk = new Walk(seed, maker);
         long begin = walk.world.net.now;
@@ -98,13 +98,13 @@
             walk.goOn(walk.world.net.now + STEP);
         }
         if (walk.breach == null && !walk.world.allUsual()) {
-            walk.breach = "not as usual " + HEALS / Net.SECOND + " s after all is well";
+            walk.breach = "not all weights are full " + HEALS / Net.SECOND + " s after all faults have ended";
         }
         steps[0] += walk.world.net.steps;
         return walk.breach;
     }
 
-    /** The same with as little as can be left of what happens, as far as so many plays tell. */
+    /** Returns the shortest failing list of events that is found within this number of replays. */
     static List<Happens> shortest(long seed, List<Happens> all, World.Maker maker, int plays) {
         String play = play(seed, all, maker, new long[1]);
         List<Happens> least = new ArrayList<>(all);
@@ -127,7 +127,7 @@
         return least;
     }
 
-    /** Whether it is the same thing that broke, whenever it did and at whom. */
+    /** Returns whether the same invariant broke, regardless of time and gateway. */
     private static boolean alike(String one, String other) {
         return one != null && one.replaceAll("[0-9]+", "").equals(other.replaceAll("[0-9]+", ""));
     }
@@ -196,7 +196,7 @@
 
     private void look() {
         if (world.tooManyOut > 0) {
-            broke("more zones left at once than are set");
+            broke("more zones left at once than the maximum");
         }
         double sum = 0;
         for (int g = 0; g < SIZE; g++) {
@@ -204,7 +204,7 @@
         }
         double ofOne = SIZE * world.rate / (World.ZONES.size() * 15);
         if (sum > MOST_BEARS * ofOne) {
-            broke("together they send " + Math.round(sum) + " a second to a cold server, of which each was seen to bear " + Math.round(ofOne));
+            broke("together they send " + Math.round(sum) + " requests per second to a cold server, though a warm one can take " + Math.round(ofOne));
         }
     }
 
@@ -218,13 +218,13 @@
         }
         Long had = newest.put(gateway + " " + course, version);
         if (had != null && had > version) {
-            broke("gateway " + gateway + " believes an old epoch on " + course);
+            broke("gateway " + gateway + " adopted an old epoch on " + course);
         }
     }
 
     private void decides(int gateway, Evacuation decider) {
         if (2 * decider.livingOf(world.zoneOf(gateway)) <= SIZE / World.ZONES.size()) {
-            broke("gateway " + gateway + " hears half of its vantage or fewer and decides");
+            broke("gateway " + gateway + " decides though it takes at most half of its vantage for alive");
         }
     }
 }
--- a/src/test/java/cinderhollow/evacuation/WalkTest.java
+++ b/src/test/java/cinderhollow/evacuation/WalkTest.java
@@ -11,13 +11,14 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * Random walks: whatever happens to a fleet, what must always hold does. With {@code -Dwalk.steps=1000000} as many as that.
+ * Random walks: the invariants of the evacuation hold under random faults, and planted faults are detected. The number of steps
+ * can be set with {@code -Dwalk.steps=1000000}.
  */
 class WalkTest {
     private static final long FIRST = 100, STEPS = Long.getLong("walk.steps", 60_000);
     private static final int SECONDS = 25, MOST_SEEDS = 60, PLAYS = 60;
 
-    /** Mistakes that the walks must find. */
+    /** Planted faults that the walks must detect. */
     private enum Mistake { A_MINORITY_DECIDES, EACH_ZONE_FOR_ITSELF, EPOCHS_START_ANEW, ALL_BEAR_ALL }
 
     private static final class Mistaken extends Watched {
@@ -78,7 +79,7 @@
         for (; found == null && seed < FIRST + MOST_SEEDS; seed++) {
             found = Walk.play(seed, Walk.drawn(seed, SECONDS), wrong, new long[1]);
         }
-        assertNotNull(found, "not found in " + MOST_SEEDS + " walks");
+        assertNotNull(found, "planted fault not found in " + MOST_SEEDS + " walks");
         System.out.println(mistake + ": seed " + (seed - 1) + ", " + found);
     }
 }
--- a/src/test/java/cinderhollow/evacuation/Watched.java
+++ b/src/test/java/cinderhollow/evacuation/Watched.java
@@ -5,7 +5,7 @@
 import cinderhollow.policy.Protocol.Rules;
 import java.util.function.BiConsumer;
 
-/** A gateway's part whose decisions are told in the moment in which they are made. */
+/** Evacuation that reports each decision at the moment in which it is made. */
 class Watched extends Evacuation {
     BiConsumer<Watched, Course> watch = (gateway, course) -> { };
 
--- a/src/test/java/cinderhollow/evacuation/World.java
+++ b/src/test/java/cinderhollow/evacuation/World.java
@@ -14,14 +14,14 @@
 import java.util.function.BiConsumer;
 import java.util.function.IntPredicate;
 
-/** A fleet of gateways in made-up time whose attempts end as a test says, over a network that a test cuts. */
+/** Fleet of gateways in simulated time: a test defines how attempts end, and controls the network between the gateways. */
 final class World {
-    /** How an attempt of a gateway at a host of a zone ends, and after how long; null where nothing ever comes. */
+    /** Defines how an attempt of a gateway at a server of a zone ends; null if it never does. */
     interface Fate {
         Seen of(int gateway, int zone, int host);
     }
 
-    /** Makes a gateway, as it is or with a mistake in it. */
+    /** Creates the evacuation of a gateway, unchanged or with a planted fault. */
     interface Maker {
         Evacuation make(Terms terms, Rules rules, Roster roster, long seed, long lifeMillis, Evacuation.Host host);
     }
@@ -34,18 +34,18 @@
     final Net net;
     final Evacuation[] gateways;
     final List<String> log = new ArrayList<>();
-    /** Hears each line in the moment in which a gateway says it. */
+    /** Notified of each log line when a gateway writes it. */
     BiConsumer<Integer, String> watch = (gateway, line) -> { };
-    /** Requests a second and gateway. */
+    /** Requests per second of each gateway. */
     double rate = 10;
     Fate fate = (gateway, zone, host) -> Seen.GOOD;
-    /** Which part of its attempts a gateway sends to its own zone. */
+    /** Part of a gateway's attempts that goes to its own zone. */
     double ownZone = 0.7;
-    /** Seen at any moment: two zones left at once by one gateway, in thinking turns. */
+    /** Number of times that a gateway applied weights below one half for several zones at once. */
     int tooManyOut;
-    /** Of which region each zone is; read when a gateway starts. */
+    /** Region of each zone; read when a gateway starts. */
     List<Integer> regions = Terms.eachItsOwn(ZONES.size());
-    /** What each was last told that a warm server bears from it; 0 where it knows nothing. */
+    /** Rate that a warm server can take, as last set at each gateway; 0 if unknown. */
     final double[] bears;
     private final List<Map<String, Double>> told;
     private final Maker maker;
@@ -119,7 +119,7 @@
         };
     }
 
-    /** All hosts of these zones, started then; 0 for long ago. */
+    /** Returns all servers of these zones, started at this time; 0 for long ago. */
     static List<ServerInfo> hosts(List<String> zones, long startedAt) {
         List<ServerInfo> hosts = new ArrayList<>();
         for (String zone : zones) {
@@ -167,7 +167,7 @@
         return told.get(gateway).getOrDefault(zone, 1.0);
     }
 
-    /** Whether each of these sends less than a tenth of the usual to a zone. */
+    /** Returns whether each of these gateways has a weight below a tenth for a zone. */
     boolean left(String zone, IntPredicate which) {
         for (int i = 0; i < gateways.length; i++) {
             if (which.test(i) && weight(i, zone) > 0.1) {
--- a/src/test/java/cinderhollow/peers/Net.java
+++ b/src/test/java/cinderhollow/peers/Net.java
@@ -8,20 +8,20 @@
 import java.util.SplittableRandom;
 import java.util.function.BiPredicate;
 
-/** A network of members in made-up time: delay, loss, repeats, cuts one way or both, members that stand still. */
+/** Network of members in simulated time, with delays, loss, duplicates, one-way or two-way partitions, and paused members. */
 public final class Net {
     public static final long MS = 1_000_000L, SECOND = 1_000 * MS;
     static final long UNIX = 1_790_000_000_000L;
     static final Kind NOTE = new Kind(9, true, 0);
 
-    /** What runs at a place: does what is due and tells when the next is; takes a datagram. */
+    /** Program that runs in a slot: does the work that is due, returns when the next is due, and receives datagrams. */
     public interface Member {
         long tick(long now, long unixMillis);
 
         void received(long now, long unixMillis, int from, byte[] datagram);
     }
 
-    /** Makes what runs at a place in one of its lives. */
+    /** Creates the program of a slot for one of its runs. */
     public interface Maker {
         Member make(Place place, long unixMillis, long seed);
     }
@@ -33,7 +33,7 @@
         }
     }
 
-    /** One place of the list, through its starts. */
+    /** One entry of the member list, across restarts. */
     public final class Place {
         public final int number;
         private Member member;
@@ -53,7 +53,7 @@
             run(life);
         }
 
-        /** To another place, perhaps in vain. */
+        /** Sends a datagram to another member, without guarantee of delivery. */
         public void carry(int to, byte[] datagram) {
             Net.this.carry(this, places.get(to), datagram);
         }
@@ -122,17 +122,17 @@
     public double loss;
     public double repeats;
     public long mostDelay = 5 * MS;
-    /** Whether what the first sends to the second arrives. */
+    /** Returns whether datagrams from the first member to the second arrive. */
     public BiPredicate<Integer, Integer> open = (from, to) -> true;
     int deaths;
     final Set<Integer> tooLong = new HashSet<>();
 
-    /** Of members that talk and do no more. */
+    /** Creates a network of plain gossip members. */
     Net(int size, long seed) {
         this(size, seed, (place, unixMillis, itsSeed) -> place.peers(unixMillis, itsSeed));
     }
 
-    /** Of whatever is made. */
+    /** Creates a network of the programs that the factory creates. */
     public Net(int size, long seed, Maker maker) {
         this.seed = seed;
         this.maker = maker;
@@ -189,7 +189,7 @@
         now = end;
     }
 
-    /** Runs until it holds, and for so long at the most; when it did, from now on, or -1. */
+    /** Runs until the condition holds, for a limited time; returns the nanoseconds that this took, or -1 if it never held. */
     public long until(long most, java.util.function.BooleanSupplier condition) {
         long begin = now;
         while (now < begin + most) {
@@ -201,7 +201,7 @@
         return -1;
     }
 
-    /** Each that runs takes exactly these for alive. */
+    /** Returns whether each running member takes exactly these for alive. */
     boolean allSee(Set<Integer> living) {
         return places.stream().filter(p -> p.peers != null && living.contains(p.number))
                 .allMatch(p -> p.peers.living() == living.size() && living.stream().allMatch(p.peers::isAlive));
--- a/src/test/java/cinderhollow/peers/PeersTest.java
+++ b/src/test/java/cinderhollow/peers/PeersTest.java
@@ -20,28 +20,28 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The members of a fleet in made-up time. */
+/** Membership and gossip of a fleet in simulated time. */
 class PeersTest {
     private static Fact note(int subject, long version) {
         return new Fact(NOTE.number(), subject, version, new byte[] {(byte) version});
     }
 
-    /** Bytes that a member sends in a second do not grow with the fleet, and what is new reaches all within seconds. */
+    /** The bytes per second of a member do not grow with the fleet, and new facts reach all members within seconds. */
     @ParameterizedTest
     @ValueSource(ints = {10, 100, 300})
     void aFleetThatStartsAtOnceFindsItself(int size) {
         Net net = new Net(size, 1).started();
-        assertTrue(net.until(60 * SECOND, () -> net.allSee(net.all())) > 0, "not all know all");
-        // Until each start is old news: while there is news, what goes out is bounded, but more.
+        assertTrue(net.until(60 * SECOND, () -> net.allSee(net.all())) > 0, "not all members take all others for alive");
+        // Waits until the starts are no longer gossiped: with new facts the traffic is higher, though bounded.
         net.run(15 * SECOND);
         long before = net.places.get(0).peers.figures().sentBytes();
         net.run(10 * SECOND);
         long bytes = (net.places.get(0).peers.figures().sentBytes() - before) / 10;
         net.places.get(0).peers.publish(note(5, 1));
         long took = net.until(10 * SECOND, () -> net.places.stream().allMatch(p -> p.peers.fact(NOTE.number(), 5) != null));
-        System.out.println(size + " members: " + bytes + " bytes a second and member, news to all in " + took / MS + " ms");
-        assertTrue(bytes < 1_500, bytes + " bytes a second");
-        assertTrue(took > 0 && took < 3 * SECOND, "news took " + took / MS + " ms");
+        System.out.println(size + " members: " + bytes + " bytes per second and member, a new fact reaches all in " + took / MS + " ms");
+        assertTrue(bytes < 1_500, bytes + " bytes per second");
+        assertTrue(took > 0 && took < 3 * SECOND, "the new fact took " + took / MS + " ms");
         assertEquals(0, net.deaths);
         assertEquals(Set.of(), net.tooLong);
     }
@@ -57,13 +57,13 @@
         net.deaths = 0;
         net.places.get(7).kill();
         long took = net.until(20 * SECOND, () -> net.allSee(net.allBut(7)));
-        assertTrue(took > 0, "still held for alive");
+        assertTrue(took > 0, "the killed member is still taken for alive");
         net.run(20 * SECOND);
-        assertEquals(49, net.deaths, "each of the others takes one member for dead, once");
+        assertEquals(49, net.deaths, "each of the others takes exactly one member for dead, once");
         assertTrue(net.allSee(net.allBut(7)));
     }
 
-    /** It does not condemn those whom it missed in its sleep, and is not dead for ever itself. */
+    /** A member that was paused must not take others for dead because of its own pause, and must become alive again itself. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     void aMemberThatStoodStillDoubtsItself(long seed) {
@@ -72,11 +72,11 @@
         net.deaths = 0;
         net.places.get(3).pausedUntil = net.now + 8 * SECOND;
         net.run(9 * SECOND);
-        assertTrue(net.until(20 * SECOND, () -> net.allSee(net.all())) > 0, "not all are back");
-        assertTrue(net.deaths <= 29 + 1, net.deaths + " deaths: it blamed others for its own sleep");
+        assertTrue(net.until(20 * SECOND, () -> net.allSee(net.all())) > 0, "not all members are alive again");
+        assertTrue(net.deaths <= 29 + 1, net.deaths + " deaths: the paused member took others for dead");
     }
 
-    /** Both halves go on, and when the cut heals all have one view and the newest of each fact. */
+    /** After a partition into two halves heals, all members agree on who is alive and have the newest version of each fact. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     void halvesThatWereCutApartEndWithOneView(long seed) {
@@ -91,13 +91,13 @@
         }
         net.run(5 * SECOND);
         net.open = (from, to) -> true;
-        assertTrue(net.until(60 * SECOND, () -> net.allSee(net.all())) > 0, "not one view");
+        assertTrue(net.until(60 * SECOND, () -> net.allSee(net.all())) > 0, "members disagree on who is alive");
         assertTrue(net.until(60 * SECOND, () -> net.places.stream().allMatch(p -> IntStream.range(0, 40).allMatch(i ->
                 p.peers.fact(NOTE.number(), i) != null && p.peers.fact(NOTE.number(), i).version() == Math.max(100 + i, 200 - i)))) > 0,
-                "not the newest everywhere");
+                "not all members have the newest versions");
     }
 
-    /** What was told long ago is no rumour any more; whoever comes late compares. */
+    /** Old facts are no longer gossiped: a member that joins late must get them by comparing checksums. */
     @Test
     void aLateJoinerLearnsWhatWasToldLongAgo() {
         Net net = new Net(20, 5);
@@ -109,10 +109,10 @@
         net.run(30 * SECOND);
         net.places.get(19).start();
         assertTrue(net.until(60 * SECOND, () -> IntStream.range(0, 100).allMatch(i ->
-                net.places.get(19).peers.fact(NOTE.number(), i) != null)) > 0, "it lacks some");
+                net.places.get(19).peers.fact(NOTE.number(), i) != null)) > 0, "the late member lacks some facts");
     }
 
-    /** A hears B, but B does not hear A: others can reach both, so that neither dies. */
+    /** A receives from B, but B not from A: others can reach both, so that neither may be taken for dead. */
     @Test
     void aCutOneWayBetweenTwoKillsNeither() {
         Net net = new Net(12, 6).started();
@@ -123,7 +123,7 @@
         assertEquals(0, net.deaths);
     }
 
-    /** Killed and started again with its clock set back an hour: it is taken for a new life all the same. */
+    /** A member restarts with its clock set back an hour, so with an older generation: it must be taken for alive again. */
     @Test
     void aClockThatWasSetBackIsNoEndlessDeath() {
         Net net = new Net(8, 7).started();
@@ -134,10 +134,10 @@
         net.places.get(2).clockAhead = -200_000;
         net.places.get(2).start();
         assertTrue(net.until(60 * SECOND, () -> net.places.get(4).peers.isAlive(2)
-                && net.places.get(2).peers.isAlive(4)) > 0, "it stays dead");
+                && net.places.get(2).peers.isAlive(4)) > 0, "the restarted member is still taken for dead");
     }
 
-    /** Each kind of datagram that must not be believed: counted as what it is, and nothing changes by it. */
+    /** Each kind of invalid datagram is counted under its reason and has no effect. */
     @Test
     void whatCanNotBeBelievedIsCountedAndDropped() {
         byte[][] sent = new byte[1][];
@@ -149,7 +149,7 @@
 
             @Override
             public void told(Fact fact) {
-                throw new AssertionError("believed: " + fact);
+                throw new AssertionError("fact of an invalid datagram accepted: " + fact);
             }
 
             @Override
@@ -204,7 +204,7 @@
         assertEquals(before.values().stream().mapToLong(n -> n).sum() + 1, after.values().stream().mapToLong(n -> n).sum());
     }
 
-    /** Random bytes and bytes of good datagrams that were changed, by the thousand: no exception, and no fact. */
+    /** Thousands of random or corrupted datagrams cause no exception and no fact. */
     @Test
     void noiseChangesNothing() {
         Net net = new Net(4, 8).started();
@@ -222,7 +222,7 @@
         assertTrue(net.allSee(net.all()));
     }
 
-    /** Numbers are each receiver's own: what one acknowledges for itself says nothing of the one that is asked after. */
+    /** Sequence numbers are per receiver: an acknowledgement of a relay for itself must not count for the probed member. */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
     void onlyAnAnswerThatNamesTheSilentMemberSpeaksForIt(boolean named) {
@@ -258,11 +258,11 @@
         long number = Bytes.reading(Arrays.copyOfRange(sent.get(ping), 14, 18)).take(4);
         member.tick(now + 150 * MS, Net.UNIX);
         int relay = 3 - silent;
-        assertTrue(IntStream.range(0, sent.size()).anyMatch(i -> sent.get(i)[1] == 3 && to.get(i) == relay), "the other one is asked");
+        assertTrue(IntStream.range(0, sent.size()).anyMatch(i -> sent.get(i)[1] == 3 && to.get(i) == relay), "the relay is asked for an indirect probe");
         member.received(now + 160 * MS, Net.UNIX, relay, named ? crafted(relay, 2, 8, Bytes.ofSize(6).put(silent, 2).put(number, 4))
                 : crafted(relay, 2, 2, Bytes.ofSize(4).put(number, 4)));
         member.tick(now + 600 * MS, Net.UNIX);
-        assertEquals(named ? 0 : 1, member.fact(0, silent).version() % 4, "alive or suspected");
+        assertEquals(named ? 0 : 1, member.fact(0, silent).version() % 4, "state of the silent member: 0 alive, 1 suspected");
     }
 
     private static byte[] crafted(int sender, int number, int kind, Bytes body) {
