--- a/src/main/java/cinderhollow/evacuation/Evacuation.java
+++ b/src/main/java/cinderhollow/evacuation/Evacuation.java
@@ -42,7 +42,7 @@
         /** Sets how many requests per second of this gateway one warm server can take; 0 if that is unknown. */
         void bears(double perSecond);
 
-        /** Sets whether clients should connect here; false while this gateway is cut off from half of the fleet and all sound zones. */
+        /** Sets whether clients should connect here: not while cut off from half of the fleet and from all sound zones. */
         void welcome(boolean clients);
 
         /** Writes a log line for operators. */
