--- a/src/main/java/cinderhollow/handover/Snapshot.java
+++ b/src/main/java/cinderhollow/handover/Snapshot.java
@@ -11,32 +11,36 @@
 import java.util.zip.CRC32;
 
 /**
- * All that a gateway tells its successor, and its form: a line with a word, a version, the length of what follows and its
- * CRC-32, and then JSON of that length.
+ * State that a gateway hands over to its successor. Encoded as a header line, with a magic word, the version, the length of the
+ * body in bytes and its CRC-32 in hexadecimal, and a body in JSON.
  *
- * @param memory what the decision module has learnt
- * @param index the version of the list
- * @param hosts the list, as discovery tells it
- * @param standby the gateway is being kept empty
+ * @param memory what the decision module has learned
+ * @param index discovery's index of the endpoint list
+ * @param hosts the endpoint list, as received from discovery
+ * @param standby whether the gateway is in standby
  */
 public record Snapshot(Memory memory, long index, List<Host> hosts, boolean standby) {
-    /** A longer one is not read: guards against a far side that is no gateway. */
+    /** Maximum length of the body; a longer one is rejected, so that a peer that is no gateway cannot exhaust memory. */
     public static final int MOST_BYTES = 1 << 20;
-    /** The most that the first line takes. */
+    /** Maximum length of the header line in bytes. */
     public static final int LONGEST_LINE = 64;
     static final int VERSION = 1;
     private static final String WORD = "kestrelpier-handover";
 
-    /** A host of the list, by discovery's names. */
+    /** An entry of the endpoint list, with the fields of discovery. */
     public record Host(String name, String address, String zone, String type, int group, boolean draining, double weight,
                        long sinceMillis) { }
 
-    /** Keeps a copy. */
+    /** Copies the endpoint list. */
     public Snapshot {
         hosts = List.copyOf(hosts);
     }
 
-    /** Its bytes; one that is over the bound has none: an {@link IllegalArgumentException} says so. */
+    /**
+     * Returns the header line and the body as bytes.
+     *
+     * @throws IllegalArgumentException if the body is longer than {@link #MOST_BYTES}
+     */
     public byte[] encode() {
         Map<String, Object> fields = new LinkedHashMap<>();
         fields.put("standby", standby);
@@ -52,7 +56,7 @@
                 "calmest", c.calmestNanos(), "served", c.served())).toList());
         byte[] body = Json.text(fields).getBytes(StandardCharsets.UTF_8);
         if (body.length > MOST_BYTES) {
-            throw new IllegalArgumentException("of " + body.length + " bytes, and " + MOST_BYTES + " are the most");
+            throw new IllegalArgumentException("snapshot too large: " + body.length + " bytes, limit " + MOST_BYTES + " bytes");
         }
         byte[] head = String.format(Locale.ROOT, "%s %d %d %08x%n", WORD, VERSION, body.length, crc(body))
                 .getBytes(StandardCharsets.US_ASCII);
@@ -74,31 +78,36 @@
     }
 
     /**
-     * How many bytes follow the first line, by that line; an {@link IllegalArgumentException} where it is of no snapshot
-     * that this program reads.
+     * Returns the length of the body in bytes, as stated by the header line.
+     *
+     * @throws IllegalArgumentException if the line is not the header of a snapshot, or of one that this program cannot read
      */
     public static int length(String line) {
         String[] words = line.strip().split(" ");
         if (words.length != 4 || !words[0].equals(WORD)) {
-            throw new IllegalArgumentException("it is none of this program's");
+            throw new IllegalArgumentException("not a snapshot: unknown header line");
         }
         if (!words[1].equals(String.valueOf(VERSION))) {
-            throw new IllegalArgumentException("its version is " + words[1] + ", and " + VERSION + " is read");
+            throw new IllegalArgumentException("unsupported snapshot version " + words[1] + ", expected " + VERSION);
         }
         int length = words[2].matches("[0-9]{1,7}") ? Integer.parseInt(words[2]) : Integer.MAX_VALUE;
         if (length > MOST_BYTES) {
-            throw new IllegalArgumentException("its length can't be " + words[2]);
+            throw new IllegalArgumentException("invalid snapshot length " + words[2]);
         }
         return length;
     }
 
-    /** Reads what follows the first line; what is torn, spoilt or short of a field is an {@link IllegalArgumentException}. */
+    /**
+     * Returns the snapshot with this header line and body.
+     *
+     * @throws IllegalArgumentException if the snapshot is truncated or corrupt, or lacks a field
+     */
     public static Snapshot decode(String line, byte[] body) {
         if (body.length != length(line)) {
-            throw new IllegalArgumentException("it has " + body.length + " bytes of " + length(line));
+            throw new IllegalArgumentException("wrong snapshot length: got " + body.length + " bytes of " + length(line));
         }
         if (!line.strip().endsWith(String.format(Locale.ROOT, " %08x", crc(body)))) {
-            throw new IllegalArgumentException("its checksum is another");
+            throw new IllegalArgumentException("snapshot checksum does not match");
         }
         Json json = Json.parse(new String(body, StandardCharsets.UTF_8));
         List<Memory.OfServer> servers = new ArrayList<>();
@@ -121,7 +130,7 @@
                 classes), whole(json, "index"), hosts, json.required("standby").isTrue());
     }
 
-    /** What is no number, as JSON has none for it, comes out as one that no check lets pass. */
+    /** Returns a number field. Where it is no number, as JSON cannot express NaN, returns NaN, which no later check accepts. */
     private static double number(Json json, String name) {
         return json.required(name).number(Double.NaN).doubleValue();
     }
--- a/src/main/java/cinderhollow/handover/package-info.java
+++ b/src/main/java/cinderhollow/handover/package-info.java
@@ -1,2 +1,2 @@
-/** What a gateway passes to its successor: a snapshot, versioned and checked. No I/O, no clock. */
+/** The snapshot that a gateway hands over to its successor, with version and checksum. Does no I/O and reads no clock. */
 package cinderhollow.handover;
--- a/src/main/java/cinderhollow/ledger/Breach.java
+++ b/src/main/java/cinderhollow/ledger/Breach.java
@@ -3,14 +3,14 @@
 import java.util.List;
 
 /**
- * A sum that does not hold.
+ * A ledger sum of one account that does not hold: counts that must be equal differ.
  *
- * @param account whose
- * @param rule which one, in words, with the figures
- * @param last the account's last entries, oldest first
+ * @param account name of the account
+ * @param rule description of the sum, with the counts that differ
+ * @param last the last ledger entries of the account, oldest first
  */
 public record Breach(String account, String rule, List<String> last) {
-    /** Keeps a copy. */
+    /** Copies the list of entries. */
     public Breach {
         last = List.copyOf(last);
     }
--- a/src/main/java/cinderhollow/ledger/End.java
+++ b/src/main/java/cinderhollow/ledger/End.java
@@ -1,13 +1,13 @@
 package cinderhollow.ledger;
 
-/** How a request that was taken ended; each ends once. */
+/** How a request that a gateway has taken ended. Each request ends exactly once. */
 public enum End {
-    /** A node's answer went to the client. */
+    /** A server's answer was forwarded to the client. */
     SERVED,
-    /** The final answer said that trying again is harmless. */
+    /** The final answer said that the request had no effect, so a retry is harmless. */
     REFUSED,
-    /** The final answer said that it may have run. */
+    /** The final answer said that the request failed and may have run on a server. */
     FAILED,
-    /** The client left before any final answer. */
+    /** The client disconnected before it got a final answer. */
     ABANDONED
 }
--- a/src/main/java/cinderhollow/ledger/Figures.java
+++ b/src/main/java/cinderhollow/ledger/Figures.java
@@ -4,31 +4,34 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * All that one ledger had at one moment.
+ * Immutable copy of all metrics of one ledger at one moment.
  *
- * @param lines one for each account and place that anything was counted at
- * @param times one for each account that an answer was measured for
- * @param breaches those not acknowledged
- * @param earlier what the lives before this one come to
- * @param lost entries of the journal that never reached its disk
+ * @param lines counts by account and place, without the pairs for which nothing was counted
+ * @param times latency histograms of the accounts for which a latency was recorded
+ * @param breaches number of breaches found and not acknowledged
+ * @param earlier totals of earlier runs of the process, by account
+ * @param lost number of journal entries that never reached the disk
  */
 public record Figures(List<Line> lines, List<Times> times, long breaches, List<Life> earlier, long lost) {
     /**
-     * One account at one place.
+     * Counts of one account at one place.
      *
-     * @param ended by the place's ends, in their order
+     * @param account name of the account
+     * @param opened number of requests or attempts opened so far
+     * @param ended number ended so far, by the ends of the place in their order
+     * @param open number open now, as found by looking at the place
      */
     public record Line(String account, Place place, long opened, List<Long> ended, long open) {
-        /** Keeps a copy. */
+        /** Copies the list. */
         public Line {
             ended = List.copyOf(ended);
         }
     }
 
-    /** How long requests of an account took until their end, in microseconds. */
+    /** Histogram of the time from arrival to end of an account's requests, in microseconds. */
     public record Times(String account, Histogram micros) { }
 
-    /** Keeps copies. */
+    /** Copies the lists. */
     public Figures {
         lines = List.copyOf(lines);
         times = List.copyOf(times);
--- a/src/main/java/cinderhollow/ledger/Frame.java
+++ b/src/main/java/cinderhollow/ledger/Frame.java
@@ -5,9 +5,9 @@
 import java.util.List;
 
 /**
- * Entries of a ledger's journal as bytes, gathered by the event loop that owns it until another thread writes them as one.
- * Each entry is its kind, and then whole numbers of seven bits a byte (as LEB128 has them) and texts of UTF-8 with their
- * length ahead.
+ * Ledger journal entries encoded as bytes. The event loop that owns the frame adds entries until another thread writes them
+ * to the journal as one unit. An entry is a type byte followed by integers, encoded as unsigned LEB128 (7 value bits per
+ * byte), and texts, encoded as a length in bytes and UTF-8.
  */
 public final class Frame {
     static final int VERSION = 1;
@@ -21,39 +21,39 @@
     private int entries;
     private boolean checkpoint;
 
-    /** An empty one with room for so many bytes at first; it grows. */
+    /** Creates an empty frame with this initial capacity in bytes; it grows as needed. */
     public Frame(int room) {
         bytes = new byte[room];
     }
 
-    /** The bytes, of which {@link #length} count. */
+    /** Returns the internal byte array, of which the first {@link #length} bytes are in use. */
     public byte[] bytes() {
         return bytes;
     }
 
-    /** So many of the bytes are entries. */
+    /** Returns the number of bytes in use. */
     public int length() {
         return length;
     }
 
-    /** So many requests' beginnings and ends are in it. */
+    /** Returns the number of OPENED and ENDED entries in the frame. */
     public int entries() {
         return entries;
     }
 
-    /** Whether it tells all that is known, so that nothing before it is needed. */
+    /** Returns whether the frame contains a checkpoint, so that recovery needs nothing that was written before it. */
     public boolean isCheckpoint() {
         return checkpoint;
     }
 
-    /** Empties it, to be used again. */
+    /** Removes all entries, so that the frame can be reused. */
     public void clear() {
         length = 0;
         entries = 0;
         checkpoint = false;
     }
 
-    /** What a file begins with: which life of the process writes it. */
+    /** Writes the header of a segment file: which run of the process writes it, and the segment's number within that run. */
     public void header(long epochMillis, long epochNumber, long file) {
         kind(HEADER);
         text(MAGIC);
@@ -63,7 +63,7 @@
         number(file);
     }
 
-    /** A request has begun; its number is its own within this life and loop. */
+    /** Writes that a request has begun. Its number is unique within this run of the process and this event loop. */
     public void opened(long request, int account, String id) {
         kind(OPENED);
         number(request);
@@ -72,7 +72,7 @@
         entries++;
     }
 
-    /** A request is over. */
+    /** Writes that a request has ended. */
     public void ended(long request, End end) {
         kind(ENDED);
         number(request);
@@ -80,18 +80,21 @@
         entries++;
     }
 
-    /** So many entries never got here: the disk was too slow, or refused. */
+    /** Writes how many entries were lost because the disk was too slow or writing failed. */
     public void lost(long count) {
         kind(LOST);
         number(count);
     }
 
-    /** The process ends in good order. */
+    /** Writes that the process ends normally. */
     public void closed() {
         kind(CLOSED);
     }
 
-    /** Begins to tell all: the sums of this life and of the earlier ones. What is open must follow, by {@link #held}. */
+    /**
+     * Begins a checkpoint: writes the totals of this run and of earlier runs. The caller must then add each open request with
+     * {@link #held}.
+     */
     public void reset(Ledger ledger, List<Life> earlier) {
         checkpoint = true;
         kind(RESET);
@@ -116,7 +119,7 @@
         }
     }
 
-    /** A request that was open when all was told. */
+    /** Writes a request that is open at the checkpoint. */
     public void held(long request, int account, String id) {
         kind(HELD);
         number(request);
@@ -145,7 +148,7 @@
         bytes[length++] = (byte) rest;
     }
 
-    /** Ids are ASCII and are put in place; only other texts need an array of their own on the way. */
+    /** Writes a text. ASCII texts, such as request ids, are written without allocation; others need a temporary array. */
     private void text(String text) {
         int chars = text.length();
         int start = length;
--- a/src/main/java/cinderhollow/ledger/Ledger.java
+++ b/src/main/java/cinderhollow/ledger/Ledger.java
@@ -9,26 +9,29 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * The double-entry account of one event loop: the same requests counted at the clients' side and at the core, the same
- * attempts at the core and at the nodes' side. Each place has its own {@link Sheet} and also tells, counted anew, what is
- * open there now; {@link #check} compares. To be called between events, when nothing is half done. One owner thread.
+ * Double-entry accounting of one event loop: the same requests are counted at the clients' side and at the core, and the same
+ * attempts at the core and at the servers' side. Each place has its own {@link Sheet}. The number of requests or attempts open
+ * at a place is found independently of these counters, by an {@link OpenNow}, and {@link #check} compares them all. Call it
+ * between events, when no event is half processed. Used by one thread only.
  */
 public final class Ledger {
-    /** No request lives longer; 3 significant digits would take ten times the memory of 2. */
+    /**
+     * One minute, which no request exceeds. The histograms have 2 significant digits, since 3 would take ten times the memory.
+     */
     private static final long LONGEST_MICROS = TimeUnit.MINUTES.toMicros(1);
-    /** Beyond so many accounts a histogram has one digit, and takes 3 KB in place of 20. */
+    /** With more accounts than this a histogram has one significant digit and takes 3 KB instead of 20 KB. */
     private static final int FINE_ACCOUNTS = 100;
 
     private final List<String> accounts;
     private final Sheet[] sheets = new Sheet[Place.values().length];
     private final Ring ring;
-    /** Made with the first answer of an account. */
+    /** Latency histograms by account; null until the first latency of the account is recorded. */
     private final Histogram[] times;
-    /** Sums that were broken at the last look: each is told once, until it holds again or breaks further. */
+    /** Keys of the sums that the last check found broken. Each is reported once, until it holds again or its error changes. */
     private Set<String> known = new HashSet<>();
     private long breaches;
 
-    /** With nothing in it. Each account has a name, and is a number from 0. */
+    /** Creates an empty ledger. An account is identified by its index in this list of names. */
     public Ledger(List<String> accounts) {
         this.accounts = List.copyOf(accounts);
         ring = new Ring(accounts.size());
@@ -38,17 +41,17 @@
         }
     }
 
-    /** Their names, by number. */
+    /** Returns the names of the accounts, by account number. */
     public List<String> accounts() {
         return accounts;
     }
 
-    /** The count that this place alone writes. */
+    /** Returns the counters of a place, which only that place may update. */
     public Sheet sheet(Place place) {
         return sheets[place.ordinal()];
     }
 
-    /** A request of this account took so long until its end. */
+    /** Records the time from arrival to end of a request of this account, in nanoseconds. */
     public void took(int account, long nanos) {
         if (times[account] == null) {
             times[account] = new Histogram(LONGEST_MICROS, accounts.size() > FINE_ACCOUNTS ? 1 : 2);
@@ -56,7 +59,13 @@
         times[account].recordValue(Math.max(0, Math.min(LONGEST_MICROS, TimeUnit.NANOSECONDS.toMicros(nanos))));
     }
 
-    /** All of it as it is now, for others than the owner to read. */
+    /**
+     * Returns a copy of all metrics as they are now, which other threads may read.
+     *
+     * @param open counts what is open now
+     * @param earlier totals of earlier runs of the process
+     * @param lost number of journal entries that never reached the disk
+     */
     public Figures figures(OpenNow open, List<Life> earlier, long lost) {
         List<Figures.Line> lines = new ArrayList<>();
         List<Figures.Times> taken = new ArrayList<>();
@@ -75,20 +84,20 @@
         return new Figures(lines, taken, breaches, earlier, lost);
     }
 
-    /** Breaches found and not acknowledged: zero while all holds. */
+    /** Returns the number of breaches found and not acknowledged. */
     public long breaches() {
         return breaches;
     }
 
-    /** What was found has been seen; what is still broken is not told again. */
+    /** Acknowledges all breaches found so far. A sum that is still broken by the same amount is not reported again. */
     public void acknowledge() {
         breaches = 0;
     }
 
     /**
-     * Compares all sums; the breaches that are new since the last look.
+     * Compares all sums and returns the breaches that the previous check did not find.
      *
-     * @param open how many are open now at a place, by account: found there by looking and not by these counters
+     * @param open counts what is open now at a place, independently of the counters of this ledger
      */
     public List<Breach> check(OpenNow open) {
         List<Breach> found = new ArrayList<>();
@@ -99,7 +108,7 @@
                 long opened = sheet.opened(account);
                 long sum = sheet.ended(account) + open.at(place, account);
                 if (opened != sum) {
-                    note(account, place + ": " + opened + " opened are not the " + sum + " ended and open",
+                    note(account, place + ": " + opened + " opened, but " + sum + " ended or open",
                             place + " " + (opened - sum), found, broken);
                 }
             }
@@ -111,7 +120,7 @@
         return found;
     }
 
-    /** A line for each account that has had a request: the sum in figures. */
+    /** Returns a line for the log with the totals of each account that has had a request. */
     public List<String> sums(OpenNow open) {
         List<String> text = new ArrayList<>();
         for (int account = 0; account < accounts.size(); account++) {
@@ -146,7 +155,7 @@
         }
     }
 
-    /** {@code key} is the same for as long as the sum is wrong by the same. */
+    /** Records a broken sum, as a new breach unless the last check found the same {@code key}, which contains the difference. */
     private void note(int account, String rule, String key, List<Breach> found, Set<String> broken) {
         String named = account + " " + key;
         broken.add(named);
@@ -155,10 +164,10 @@
         }
     }
 
-    /** What is open at a place now. */
+    /** Counts what is open at a place now. */
     @FunctionalInterface
     public interface OpenNow {
-        /** So many of this account. */
+        /** Returns the number of requests or attempts of this account that are open at this place. */
         long at(Place place, int account);
     }
 }
--- a/src/main/java/cinderhollow/ledger/Life.java
+++ b/src/main/java/cinderhollow/ledger/Life.java
@@ -4,24 +4,25 @@
 import java.util.List;
 
 /**
- * What earlier lives of the process come to, for one account.
+ * Totals of one account over earlier runs of the process.
  *
- * @param taken requests in all
- * @param ended by {@link End}, in its order
- * @param orphaned those that were open when a life was cut off
+ * @param account name of the account
+ * @param taken number of requests taken
+ * @param ended number of requests ended, by {@link End} in the order of its constants
+ * @param orphaned number of requests that were open when a run ended, so that their end is not known
  */
 public record Life(String account, long taken, List<Long> ended, long orphaned) {
-    /** Keeps a copy. */
+    /** Copies the list. */
     public Life {
         ended = List.copyOf(ended);
     }
 
-    /** Whether each request is in it once. */
+    /** Returns whether the number of requests taken equals those ended plus those orphaned. */
     public boolean addsUp() {
         return taken == ended.stream().mapToLong(Long::longValue).sum() + orphaned;
     }
 
-    /** This and more of the same account. */
+    /** Returns the sum of these totals and others of the same account. */
     public Life plus(Life other) {
         List<Long> sums = new ArrayList<>();
         for (int end = 0; end < ended.size(); end++) {
--- a/src/main/java/cinderhollow/ledger/OpenMetrics.java
+++ b/src/main/java/cinderhollow/ledger/OpenMetrics.java
@@ -8,9 +8,9 @@
 import java.util.function.ToLongFunction;
 import org.HdrHistogram.Histogram;
 
-/** Figures as text of the OpenMetrics specification, 1.0.0: one family after the other, {@code # EOF} at the end. */
+/** Writes ledger metrics in the text format of OpenMetrics 1.0.0: one metric family after the other, then {@code # EOF}. */
 public final class OpenMetrics {
-    /** What the text is, for its reader's sake. */
+    /** Media type of the text, for the Content-Type header. */
     public static final String CONTENT_TYPE = "application/openmetrics-text; version=1.0.0; charset=utf-8";
     private static final List<Double> BOUNDS = List.of(0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5,
             5.0, 10.0);
@@ -23,7 +23,12 @@
         this.loops = loops;
     }
 
-    /** The figures of each event loop, under the name of this life of the process. */
+    /**
+     * Returns the metrics as text.
+     *
+     * @param loops metrics of each event loop; the index in the list is the value of the label {@code loop}
+     * @param epoch identifies this run of the process, as the label {@code epoch} of {@code cinderhollow_ledger_info}
+     */
     public static String write(List<Figures> loops, String epoch) {
         OpenMetrics writing = new OpenMetrics(loops);
         writing.family("cinderhollow_ledger", "info", "This life of the process.");
@@ -40,7 +45,7 @@
         return writing.text.append("# EOF\n").toString();
     }
 
-    /** How a place is called in labels. */
+    /** Returns the value of the label {@code place}. */
     static String word(Place place) {
         return place.name().toLowerCase(Locale.ROOT);
     }
@@ -129,7 +134,7 @@
         text.append("# HELP ").append(name).append(' ').append(help).append('\n');
     }
 
-    /** Names and values of labels in turn, and the figure last. */
+    /** Writes a sample; {@code labelsAndValue} has alternating names and values of labels, and the sample's value last. */
     private void sample(String name, String... labels) {
         text.append(name).append('{');
         for (int i = 0; i + 1 < labels.length; i += 2) {
--- a/src/main/java/cinderhollow/ledger/Place.java
+++ b/src/main/java/cinderhollow/ledger/Place.java
@@ -5,15 +5,18 @@
 import java.util.List;
 import java.util.Locale;
 
-/** Where something is counted. No two of them share a counter, and none is filled in from another. */
+/**
+ * Place in the gateway at which requests or attempts are counted. Each place has its own counters and updates them
+ * independently of the other places, so that comparing them shows a missed or duplicate update.
+ */
 public enum Place {
-    /** Requests, where clients' connections are. */
+    /** Requests, counted where client connections are handled. */
     CLIENTS("requests at the clients' side", End.values()),
-    /** Requests, where the module's decisions are carried out. */
+    /** Requests, counted where the decisions of the decision module are carried out. */
     CORE("requests at the core", End.values()),
-    /** Attempts, where the module's decisions are carried out. */
+    /** Attempts, counted where the decisions of the decision module are carried out. */
     ATTEMPTS("attempts at the core", Outcome.values()),
-    /** Attempts, where nodes' connections are. */
+    /** Attempts, counted where connections to servers are handled. */
     NODES("attempts at the nodes' side", Outcome.values());
 
     private final String words;
@@ -24,7 +27,7 @@
         this.ends = Arrays.stream(ends).map(end -> end.name().toLowerCase(Locale.ROOT).replace('_', ' ')).toList();
     }
 
-    /** The ways in which what is counted here can end, in the order of their numbers. */
+    /** Returns the names of the ends that a request or attempt can have at this place, in the order of their numbers. */
     public List<String> ends() {
         return ends;
     }
--- a/src/main/java/cinderhollow/ledger/Recovery.java
+++ b/src/main/java/cinderhollow/ledger/Recovery.java
@@ -10,15 +10,15 @@
 import java.util.TreeMap;
 
 /**
- * Reads a journal's frames in their order, and knows at each moment what was open and how the rest had ended. Memory
- * grows with what was open at once and not with the length of the journal. What can't be is an {@link
- * IllegalArgumentException}, and changes nothing that was read before it.
+ * Rebuilds totals and open requests from the frames of a journal, read in order. Memory grows with the number of requests open
+ * at the same time, not with the length of the journal. An invalid entry causes an {@link IllegalArgumentException}; the
+ * entries before it stay applied.
  */
 public final class Recovery {
-    /** A request that nobody knows the end of. */
+    /** A request that was open when the journal ended, so that its end is not known. */
     public record Orphan(String account, String id) { }
 
-    /** One that is read as open. */
+    /** A request that is open according to the entries read so far. */
     private record Open(int account, String id) { }
 
     private static final int SEVEN = 7, MORE = 0x80, LAST_SHIFT = 63, MOST_ACCOUNTS = 20_000;
@@ -38,7 +38,7 @@
     private int at;
     private int end;
 
-    /** Reads one frame. */
+    /** Reads the entries in the first {@code length} bytes of a frame. */
     public void read(byte[] frame, int length) {
         bytes = frame;
         at = 0;
@@ -84,19 +84,19 @@
             case Frame.ENDED -> {
                 Open over = open.remove(number());
                 long how = number();
-                require(over != null && how >= 0 && how < ENDS, "an end without a beginning");
+                require(over != null && how >= 0 && how < ENDS, "journal entry ends an unknown request or has an unknown end");
                 sum(over.account)[1 + (int) how]++;
             }
             case Frame.LOST -> lost += number();
             case Frame.CLOSED -> closed = true;
-            default -> throw new IllegalArgumentException("no entry begins with " + kind);
+            default -> throw new IllegalArgumentException("unknown journal entry type " + kind);
         }
     }
 
     private void header() {
-        require(text().equals(Frame.MAGIC), "no journal of a ledger");
+        require(text().equals(Frame.MAGIC), "not a ledger journal");
         long version = number();
-        require(version == Frame.VERSION, "a journal of version " + version + ", and not " + Frame.VERSION);
+        require(version == Frame.VERSION, "unsupported journal version " + version + ", expected " + Frame.VERSION);
         epochMillis = number();
         epochNumber = number();
         file = number();
@@ -108,38 +108,38 @@
         long request = number();
         int account = account(MOST_ACCOUNTS);
         long[] sum = sum(account);
-        require(open.put(request, new Open(account, text())) == null, "a request that begins twice");
+        require(open.put(request, new Open(account, text())) == null, "journal entry opens a request that is already open");
         sum[0] += counted ? 1 : 0;
     }
 
     private long[] sum(int account) {
         long[] sum = sums.get(account);
-        require(sum != null, "an account without a name");
+        require(sum != null, "journal entry refers to an undefined account");
         return sum;
     }
 
     private int account(int most) {
         long number = number();
-        require(number >= 0 && number < most, "an account that can't be");
+        require(number >= 0 && number < most, "account number out of range");
         return (int) number;
     }
 
     private long number() {
         long value = 0;
         for (int shift = 0; shift <= LAST_SHIFT; shift += SEVEN) {
-            require(at < end, "an entry that is cut off");
+            require(at < end, "truncated journal entry");
             byte next = bytes[at++];
             value |= (long) (next & MORE - 1) << shift;
             if ((next & MORE) == 0) {
                 return value;
             }
         }
-        throw new IllegalArgumentException("a number without an end");
+        throw new IllegalArgumentException("journal entry has a number of more than 10 bytes");
     }
 
     private String text() {
         long length = number();
-        require(length >= 0 && length <= end - at, "a text that is cut off");
+        require(length >= 0 && length <= end - at, "truncated text in a journal entry");
         String text = new String(bytes, at, (int) length, StandardCharsets.UTF_8);
         at += (int) length;
         return text;
@@ -151,42 +151,45 @@
         }
     }
 
-    /** Whether a frame that tells all has been read: without one the sums are not known. */
+    /** Returns whether a checkpoint has been read since the last segment header; without one the totals are not known. */
     public boolean isWhole() {
         return told;
     }
 
-    /** Whether the life ended in good order. */
+    /** Returns whether the journal says that the run of the process ended normally. */
     public boolean isClosed() {
         return closed;
     }
 
-    /** When the life began that wrote this, in milliseconds since 1970. */
+    /** Returns when the run of the process that wrote the journal began, in milliseconds since 1970. */
     public long epochMillis() {
         return epochMillis;
     }
 
-    /** A number that no other life has. */
+    /** Returns the number that distinguishes this run of the process from all others. */
     public long epochNumber() {
         return epochNumber;
     }
 
-    /** The number of the file read last, from 0 within its life. */
+    /** Returns the number of the segment read last, from 0 within its run, or -1 before the first header. */
     public long file() {
         return file;
     }
 
-    /** So many entries of that life were never written: what is open may have ended, and there may be more. */
+    /**
+     * Returns how many entries of the run were never written. If it is not 0, requests that are read as open may have ended,
+     * and more requests may have been open.
+     */
     public long lost() {
         return lost;
     }
 
-    /** What was open when the journal ends, in the order of their beginning. */
+    /** Returns the requests that were open at the end of the journal, in the order in which they began. */
     public List<Orphan> orphans() {
         return open.values().stream().map(o -> new Orphan(accounts.get(o.account), o.id)).toList();
     }
 
-    /** All lives until the end of this one, with what was open booked as orphaned. */
+    /** Returns the totals of all runs including this one, by account, with open requests counted as orphaned. */
     public Collection<Life> lives() {
         Map<String, Life> all = new TreeMap<>(earlier);
         sums.forEach((account, sum) -> {
--- a/src/main/java/cinderhollow/ledger/Ring.java
+++ b/src/main/java/cinderhollow/ledger/Ring.java
@@ -3,7 +3,10 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The last entries of each account, for an alarm to show. Made at the start; an entry allocates nothing. */
+/**
+ * Ring buffer of the last 32 ledger entries of each account, which breach messages include. All memory is allocated by the
+ * constructor; adding an entry allocates nothing.
+ */
 final class Ring {
     static final int OPENED = -1;
     private static final int LENGTH = 32;
@@ -27,7 +30,7 @@
         whats[at] = what;
     }
 
-    /** Oldest first. */
+    /** Returns the entries of an account as text, oldest first. */
     List<String> last(int account) {
         List<String> text = new ArrayList<>();
         for (long i = Math.max(0, counts[account] - LENGTH); i < counts[account]; i++) {
--- a/src/main/java/cinderhollow/ledger/Sheet.java
+++ b/src/main/java/cinderhollow/ledger/Sheet.java
@@ -5,8 +5,8 @@
 import java.util.List;
 
 /**
- * One place's own count, for each account: what was opened there and how each of it ended. Counters are 64 bits wide and
- * may wrap: sums and differences hold all the same, in arithmetic modulo 2^64.
+ * Counters of one place by account: how many requests or attempts were opened there, and how many ended in each way. Counters
+ * have 64 bits and may wrap around; sums and differences remain correct modulo 2^64.
  */
 public final class Sheet {
     private final Place place;
@@ -19,7 +19,7 @@
         this(place, ring, new long[accounts], new long[accounts * place.ends().size()]);
     }
 
-    /** Goes on from these figures: by account, and by account and end. */
+    /** Creates counters with these initial values, {@code openedCounts} by account, {@code endedCounts} by account and end. */
     Sheet(Place place, Ring ring, long[] opened, long[] ended) {
         this.place = place;
         this.ring = ring;
@@ -28,44 +28,44 @@
         ends = place.ends().size();
     }
 
-    /** Counts one more that is open; {@code id} names the request. */
+    /** Counts a request or attempt that has begun; {@code id} is the id of the request. */
     public void open(int account, String id) {
         opened[account]++;
         ring.add(account, place, Ring.OPENED, id);
     }
 
-    /** Counts the end of a request that was open. */
+    /** Counts a request that has ended. */
     public void end(int account, End end, String id) {
         end(account, end.ordinal(), id);
     }
 
-    /** Counts the end of an attempt that was open. */
+    /** Counts an attempt that has ended. */
     public void end(int account, Outcome end, String id) {
         end(account, end.ordinal(), id);
     }
 
-    /** Counts an end by its number among the place's ends. */
+    /** Counts a request or attempt that has ended, with its end given by its number among the ends of the place. */
     void end(int account, int end, String id) {
         ended[account * ends + end]++;
         ring.add(account, place, end, id);
     }
 
-    /** So many were opened so far. */
+    /** Returns how many requests or attempts of the account were opened so far. */
     public long opened(int account) {
         return opened[account];
     }
 
-    /** So many ended so. */
+    /** Returns how many requests or attempts of the account ended in this way so far. */
     public long ended(int account, int end) {
         return ended[account * ends + end];
     }
 
-    /** So many ended in each way. */
+    /** Returns how many requests or attempts of the account ended so far, by end. */
     List<Long> ends(int account) {
         return Arrays.stream(ended, account * ends, (account + 1) * ends).boxed().toList();
     }
 
-    /** So many ended in any way. */
+    /** Returns how many requests or attempts of the account ended so far in any way. */
     public long ended(int account) {
         long sum = 0;
         for (int end = 0; end < ends; end++) {
--- a/src/main/java/cinderhollow/ledger/Totals.java
+++ b/src/main/java/cinderhollow/ledger/Totals.java
@@ -9,12 +9,12 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** What several instances tell of their ledgers, added up and checked once more, outside of them. */
+/** Adds up the ledgers of several gateways from their metrics texts, and checks the sums independently of the gateways. */
 public final class Totals {
     private static final Pattern SAMPLE = Pattern.compile("([a-z_]+)\\{(.*)} ([0-9.eE+-]+|NaN)");
     private static final Pattern LABEL = Pattern.compile("([a-z]+)=\"((?:[^\"\\\\]|\\\\.)*)\"");
 
-    /** One account at one place. */
+    /** Totals of one account at one place, over all gateways added. */
     private static final class Row {
         private final Place place;
         private final long[] ended;
@@ -39,13 +39,17 @@
     private int instances;
     private long breaches;
     private long orphaned;
-    /** Of earlier lives: taken less all ends. */
+    /** Requests taken in earlier runs minus those ended or orphaned there; 0 if the counts are balanced. */
     private long earlierOpen;
 
-    /** Adds what one instance told; a text that is none of ours is an {@link IllegalArgumentException}. */
+    /**
+     * Adds the metrics text of one gateway.
+     *
+     * @throws IllegalArgumentException if the text is truncated or is not the metrics text of a gateway
+     */
     public void add(String text) {
         if (!text.endsWith("# EOF\n")) {
-            throw new IllegalArgumentException("the figures are cut off, or are none");
+            throw new IllegalArgumentException("metrics text is truncated or not in OpenMetrics format");
         }
         instances++;
         for (String line : text.split("\n")) {
@@ -89,7 +93,7 @@
         }
     }
 
-    /** Whether each sum holds, places agree, and no instance has found a breach. */
+    /** Returns whether all sums hold, the places agree, and no gateway reports an unacknowledged breach. */
     public boolean addUp() {
         return breaches == 0 && faults().isEmpty();
     }
@@ -113,7 +117,7 @@
         return faults;
     }
 
-    /** A table for people, with the verdict in its last line. */
+    /** Returns a table for operators, with the overall result in its last line. */
     public String table() {
         StringBuilder text = new StringBuilder(String.format(Locale.ROOT, "%-36s %10s %10s %9s %9s %9s %7s %10s%n", "account",
                 "taken", "served", "refused", "failed", "abandoned", "open", "attempts"));
--- a/src/main/java/cinderhollow/ledger/package-info.java
+++ b/src/main/java/cinderhollow/ledger/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The account of requests and attempts: counted at several places that don't know of each other, and compared. No I/O, no
- * clock, one owner thread.
+ * Double-entry accounting of requests and attempts: they are counted independently at several places, and the counts are
+ * compared. The classes do no I/O, read no clock, and are used by one thread only.
  */
 package cinderhollow.ledger;
--- a/src/main/java/cinderhollow/ops/Desk.java
+++ b/src/main/java/cinderhollow/ops/Desk.java
@@ -2,14 +2,17 @@
 
 import java.util.concurrent.CompletableFuture;
 
-/** What the door asks of a gateway. From any thread; each answer is of one instant of the gateway's own. */
+/**
+ * Commands that the operators' socket sends to a gateway. The methods may be called from any thread; each result reflects the
+ * state of the gateway at one moment.
+ */
 public interface Desk {
-    /** Whether this process can serve. */
+    /** Returns whether this process takes client requests. */
     CompletableFuture<Boolean> serves();
 
-    /** The figures now. */
+    /** Returns the current figures of the gateway. */
     CompletableFuture<Standing> standing();
 
-    /** Empties the gateway of clients, or takes clients again. */
+    /** Turns standby on, which makes clients leave this gateway, or off, so that it takes clients again. */
     CompletableFuture<Void> standby(boolean empty);
 }
--- a/src/main/java/cinderhollow/ops/Door.java
+++ b/src/main/java/cinderhollow/ops/Door.java
@@ -21,30 +21,32 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The address at which operators call: one line to a connection, one answer, and the connection ends. All of it runs on
- * one event loop.
+ * The operators' socket: a connection carries one command line and one reply, and is then closed. Runs on one event loop.
  */
 public final class Door {
     private static final int LONGEST_LINE = 256;
-    /** Longer than anyone takes to type a call to a door that is reached by programs. */
+    /**
+     * A connection without a complete command is closed after 10 s, which is ample, since commands come from programs. After a
+     * reply the connection is closed with a delay of 500 ms.
+     */
     private static final long SILENT_MILLIS = 10_000, LINGER_MILLIS = 500;
 
     private final EventLoop loop;
     private final Desk desk;
     private final int mostCallers;
-    /** Those whose call has not come whole, the longest silent first. */
+    /** Connections that have not sent a complete command, oldest first. */
     private final Set<Caller> silent = new LinkedHashSet<>();
     private int callers;
     private Channel listener;
 
-    /** A door of this desk, for so many callers at a time. */
+    /** Creates a socket that sends commands to this gateway and allows this number of connections at a time. */
     public Door(EventLoop loop, Desk desk, int mostCallers) {
         this.mostCallers = mostCallers;
         this.loop = loop;
         this.desk = desk;
     }
 
-    /** Opens it; the future fails where the address can't be had. */
+    /** Binds the address and listens; the future fails if the address is not available. */
     public ChannelFuture open(SocketAddress address) {
         ChannelFuture bound = new ServerBootstrap().group(loop).channel(NioServerSocketChannel.class)
                 .handler(new AcceptErrorHandler()).childHandler(new ChannelInitializer<Channel>() {
@@ -57,12 +59,12 @@
         return bound;
     }
 
-    /** Where it listens. */
+    /** Returns the address on which the socket listens. */
     public SocketAddress address() {
         return listener.localAddress();
     }
 
-    /** Takes no more calls; those that are under way have their answer. From any thread. */
+    /** Closes the listening socket. Commands already received are still answered. May be called from any thread. */
     public void close() {
         listener.close();
     }
@@ -77,6 +79,7 @@
         };
     }
 
+    /** Handles one connection: reads a command, sends the reply and closes the connection. */
     private final class Caller extends SimpleChannelInboundHandler<ByteBuf> {
         private final Channel channel;
         private boolean called;
@@ -85,13 +88,16 @@
             this.channel = channel;
         }
 
-        /** Guards against callers that hold all places and say nothing: the longest silent makes room. */
+        /**
+         * Registers the connection. Above the limit, closes the connection that has waited longest without sending a command,
+         * so that idle connections cannot block the socket.
+         */
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
             callers++;
             silent.add(this);
             if (callers > mostCallers) {
-                // The newest itself where all others have called: its turn comes when it calls again.
+                // If all others have sent their command, this is the new connection itself; its client has to connect again.
                 silent.iterator().next().channel.close();
             }
             loop.schedule(() -> {
@@ -113,7 +119,7 @@
             called = true;
             silent.remove(this);
             answer.thenAccept(text -> {
-                // Output first: closing with a second line unread would be a reset, which takes the answer away.
+                // Ends the output before the close: a close with unread input sends a TCP reset, which can discard the reply.
                 channel.writeAndFlush(Unpooled.copiedBuffer(text, StandardCharsets.UTF_8))
                         .addListener(written -> ((DuplexChannel) channel).shutdownOutput());
                 loop.schedule(() -> channel.close(), LINGER_MILLIS, TimeUnit.MILLISECONDS);
@@ -126,7 +132,9 @@
             silent.remove(this);
         }
 
-        /** A line that is too long, or a connection that broke. */
+        /**
+         * Replies 400 to a line that is too long. Closes the connection if it is broken or its command was already received.
+         */
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
             if (called || !channel.isActive()) {
--- a/src/main/java/cinderhollow/ops/Standing.java
+++ b/src/main/java/cinderhollow/ops/Standing.java
@@ -6,17 +6,20 @@
 import java.util.stream.Collectors;
 
 /**
- * A gateway's figures at one instant.
+ * Figures of a gateway at one moment, for the operators' socket.
  *
- * @param operations what became of requests, by class; a class that was dropped keeps its counts
- * @param open requests taken and not ended
- * @param listed hosts in the list
- * @param avoided of those, hosts that get nothing now
- * @param accepted files taken at SIGHUP
- * @param invalid files turned down at SIGHUP
+ * @param operations request counts by class; a class that was removed from the configuration keeps its counts
+ * @param open number of requests taken and not ended
+ * @param listed number of endpoints in discovery's list
+ * @param avoided number of those endpoints that currently get no requests
+ * @param accepted number of configuration files applied at SIGHUP
+ * @param invalid number of configuration files rejected at SIGHUP
  */
 public record Standing(Map<String, Counts> operations, long open, long listed, long avoided, long accepted, long invalid) {
-    /** Of two event loops of one process: requests add up, the list and the files are the same ones. */
+    /**
+     * Returns the figures of two event loops of one process together. Requests are added up; for endpoints and configuration
+     * files the maximum is taken, since both loops have the same ones.
+     */
     public Standing plus(Standing other) {
         Map<String, Counts> both = new TreeMap<>(operations);
         other.operations.forEach((name, counts) -> both.merge(name, counts, Counts::plus));
@@ -24,7 +27,7 @@
                 Math.max(accepted, other.accepted), Math.max(invalid, other.invalid));
     }
 
-    /** One line of JSON with the platform's names. */
+    /** Returns the figures as one line of JSON, with the field names that the platform's tools expect. */
     public String json() {
         String classes = new TreeMap<>(operations).entrySet().stream().map(e -> quoted(e.getKey()) + ":{\"fulfilled\":"
                 + e.getValue().fulfilled() + ",\"throttled\":" + e.getValue().throttled() + ",\"faulted\":"
@@ -35,7 +38,7 @@
                 + ",\"cfg_invalid\":" + invalid + "}";
     }
 
-    /** As RFC 8259, section 7, has it; the names of classes come from a file that anyone may have written. */
+    /** Returns a JSON string (RFC 8259, section 7). Class names come from a configuration file and may have any character. */
     private static String quoted(String name) {
         StringBuilder text = new StringBuilder("\"");
         for (char c : name.toCharArray()) {
--- a/src/main/java/cinderhollow/ops/package-info.java
+++ b/src/main/java/cinderhollow/ops/package-info.java
@@ -1,2 +1,2 @@
-/** The operators' door: lines in, one answer each; asks the gateway and keeps no state of it. */
+/** The operators' socket: takes one command line per connection, asks the gateway and replies; keeps no gateway state. */
 package cinderhollow.ops;
--- a/src/main/java/cinderhollow/routes/Budget.java
+++ b/src/main/java/cinderhollow/routes/Budget.java
@@ -3,14 +3,15 @@
 import cinderhollow.routes.Terms.Allowance;
 
 /**
- * A budget of extra sends (retries, or second copies): a part of the requests that arrive, and a floor a second. What
- * is not used is not saved up: guards against a storm that a long calm has paid for.
+ * Token bucket for retries or hedges of a route. Each request that arrives adds a fraction of a token, and each second adds a
+ * minimum number of tokens. The capacity is one second's minimum, and at least one token, so that a long quiet period does
+ * not save up tokens for a retry storm.
  */
 final class Budget {
     private static final double SECOND_NANOS = 1e9;
-    /** One may always be saved, or a small share of few requests would never come to one. */
+    /** The capacity is at least one token; otherwise fractions of few requests would never add up to one. */
     private static final double LEAST_SAVED = 1;
-    /** Ten tenths add up to a little less than one. */
+    /** Tolerance for rounding: in floating point, ten times 0.1 adds up to slightly less than 1. */
     private static final double ROUNDING = 1e-9;
 
     private final Allowance allowance;
@@ -25,13 +26,13 @@
         tokens = allowance.floorPerSecond() > 0 ? LEAST_SAVED : 0;
     }
 
-    /** A request has arrived. */
+    /** Adds the fraction of a token for a request that has arrived at {@code now}, in nanoseconds. */
     void arrived(long now) {
         refill(now);
         tokens = Math.min(most, tokens + allowance.share());
     }
 
-    /** Takes one extra send if there is one. */
+    /** Withdraws one token and returns true, or returns false if there is none at {@code now}, in nanoseconds. */
     boolean take(long now) {
         refill(now);
         if (tokens < 1 - ROUNDING) {
--- a/src/main/java/cinderhollow/routes/PathPattern.java
+++ b/src/main/java/cinderhollow/routes/PathPattern.java
@@ -4,28 +4,34 @@
 import java.util.List;
 
 /**
- * A path with places for what varies: {@code /accounts/{id}/days} and, for all below, {@code /files/**}.
+ * Pattern of request paths, with variable segments as in {@code /accounts/{id}/days}, or with any suffix as in
+ * {@code /files/**}.
  *
- * @param segments in order; a variable one is {@link #ONE}, the rest of all is {@link #REST}
+ * @param text the pattern as written by the operator
+ * @param segments the segments in order; a variable one is {@link #ONE}, any suffix is {@link #REST}
  */
 public record PathPattern(String text, List<String> segments) {
-    /** Any one segment that is not empty. */
+    /** Matches any single segment that is not empty. */
     static final String ONE = "{}";
-    /** One segment or more; only at the end. */
+    /** Matches one or more segments; allowed only at the end of a pattern. */
     static final String REST = "**";
 
-    /** Keeps a copy. */
+    /** Copies the list. */
     public PathPattern {
         segments = List.copyOf(segments);
     }
 
-    /** Reads one; what can't be read ends as an {@link IllegalArgumentException} that says why. */
+    /**
+     * Parses a pattern.
+     *
+     * @throws IllegalArgumentException if the pattern is invalid; the message says why
+     */
     public static PathPattern parse(String text) {
         if (!text.startsWith("/") || text.length() < 2) {
-            throw new IllegalArgumentException("a path begins with '/' and has a first part");
+            throw new IllegalArgumentException("a path must begin with '/' and have a first segment");
         }
         if (text.indexOf('?') >= 0) {
-            throw new IllegalArgumentException("a path has no query");
+            throw new IllegalArgumentException("a path must not have a query");
         }
         List<String> segments = new ArrayList<>();
         StringBuilder plain = new StringBuilder();
@@ -35,7 +41,7 @@
             boolean last = i == parts.length - 1;
             if (part.equals(REST)) {
                 if (!last) {
-                    throw new IllegalArgumentException("** stands at the end alone");
+                    throw new IllegalArgumentException("** is allowed only as the last segment");
                 }
                 segments.add(REST);
                 plain.append("/x");
@@ -43,14 +49,14 @@
                 segments.add(ONE);
                 plain.append("/x");
             } else if (part.contains("{") || part.contains("}") || part.contains("*")) {
-                throw new IllegalArgumentException("'" + part + "' is neither a name, nor {name}, nor **");
+                throw new IllegalArgumentException("'" + part + "' is neither a literal segment, nor {name}, nor **");
             } else {
                 segments.add(part);
                 plain.append('/').append(part);
             }
         }
         if (segments.get(0).equals(ONE) || segments.get(0).equals(REST)) {
-            throw new IllegalArgumentException("the first part can't vary: it would take every class's requests");
+            throw new IllegalArgumentException("first segment must be literal, or it would match the requests of every class");
         }
         String wrong = Paths.fault(plain.toString());
         if (wrong != null) {
@@ -59,7 +65,7 @@
         return new PathPattern(text, segments);
     }
 
-    /** Whether some path matches both. */
+    /** Returns whether some path matches both patterns. */
     public boolean overlaps(PathPattern other) {
         for (int i = 0; ; i++) {
             boolean here = i < segments.size();
@@ -78,7 +84,10 @@
         }
     }
 
-    /** Whether this one is tried first wherever both match: at each place it is the more exact one, or equal. */
+    /**
+     * Returns whether this pattern takes precedence over the other wherever both match: none of its segments is less specific
+     * than the other's at the same position, and at least one is more specific.
+     */
     public boolean isMoreExactThan(PathPattern other) {
         boolean more = false;
         for (int i = 0; i < Math.min(segments.size(), other.segments.size()); i++) {
--- a/src/main/java/cinderhollow/routes/Paths.java
+++ b/src/main/java/cinderhollow/routes/Paths.java
@@ -1,15 +1,15 @@
 package cinderhollow.routes;
 
 /**
- * Paths that mean one thing. A gateway that routes on one reading of a path and passes on the bytes lets a node that
- * normalises them read another: {@code /status/../submit} would be repeated as a status and run as a submit. What has
- * two readings is turned away (RFC 3986, sections 3.3, 5.2.4 and 6.2.2), and routes are found on exactly what the node
- * will see.
+ * Rejects ambiguous request paths. If a gateway chooses the route by the path as received and forwards it unchanged, a server
+ * that normalizes paths may see another one: {@code /status/../submit} would be retried like a status request and run as a
+ * submit. Therefore paths that can be read in two ways are rejected (RFC 3986, sections 3.3, 5.2.4 and 6.2.2), and routes are
+ * chosen by exactly the path that the server sees.
  */
 public final class Paths {
     private Paths() { }
 
-    /** The first part of a path that has passed {@link #fault}: without routes the class of a request. */
+    /** Returns the first segment of a path that {@link #fault} accepts. Where no route matches, it names the request's class. */
     public static String firstPart(String target) {
         int end = end(target);
         int slash = target.indexOf('/', 1);
@@ -17,8 +17,8 @@
     }
 
     /**
-     * What is wrong with the path of a request's target, as one plain line, or null if it has one meaning. The query,
-     * from the first question mark on, is the node's own matter.
+     * Returns one line that says why the path of a request target is ambiguous or invalid, or null if the path is accepted.
+     * The query, from the first question mark on, is not checked; only the server interprets it.
      */
     public static String fault(String target) {
         int end = end(target);
@@ -46,11 +46,11 @@
                 return "the path has a '" + c + "', which nodes read in more than one way";
             }
         }
-        // One slash at the end is a path of its own; nodes that drop it reach the same class.
+        // One trailing slash is allowed: a server that drops it still sees a path of the same class.
         return segment == end ? null : segmentFault(target, segment, end);
     }
 
-    /** Where the path ends. */
+    /** Returns the index at which the path ends and the query, if any, begins. */
     static int end(String target) {
         int query = target.indexOf('?');
         return query < 0 ? target.length() : query;
@@ -65,7 +65,7 @@
         return dots ? "the path has a dot segment" : null;
     }
 
-    /** An escape must be needed, and must not hide what parts a path; else the same path has two spellings. */
+    /** An escape must be necessary and must not encode a separator; otherwise the same path could be written in two ways. */
     private static String escapeFault(String target, int at, int end) {
         int high = at + 2 < end ? Character.digit(target.charAt(at + 1), 16) : -1;
         int low = at + 2 < end ? Character.digit(target.charAt(at + 2), 16) : -1;
@@ -79,7 +79,7 @@
         return isUnreserved(value) ? "the path escapes what needs no escape" : null;
     }
 
-    /** RFC 3986, section 2.3. */
+    /** Returns whether the character is unreserved (RFC 3986, section 2.3). */
     private static boolean isUnreserved(int c) {
         return c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9' || c == '-' || c == '.' || c == '_'
                 || c == '~';
--- a/src/main/java/cinderhollow/routes/Quantile.java
+++ b/src/main/java/cinderhollow/routes/Quantile.java
@@ -1,9 +1,9 @@
 package cinderhollow.routes;
 
 /**
- * A percentile of the last so many answers' times. It counts in buckets that grow by an eighth (an error of at most
- * that), so that an answer costs a few steps; the oldest answer leaves as the newest comes, so that a percentile that
- * moves tenfold is followed within as many answers as are remembered.
+ * Percentile of the latencies of a fixed number of recent answers. Latencies are counted in logarithmic buckets, eight for each
+ * doubling, which bounds the error by the width of a bucket, so that adding a latency takes only a few steps. Each new latency
+ * replaces the oldest one, so that after a tenfold change the percentile is right once all remembered latencies are new.
  */
 final class Quantile {
     private static final int BUCKETS_A_DOUBLING = 8;
@@ -15,11 +15,11 @@
     private final int[] counts = new int[BUCKETS];
     private int next;
     private int held;
-    /** The bucket that holds the percentile, and how many answers lie below it: moved step by step. */
+    /** The bucket that holds the percentile, and the number of latencies in lower buckets; both are updated incrementally. */
     private int at;
     private int below;
 
-    /** {@code percentile} from 0 to 100, of so many answers. */
+    /** Creates a percentile, from 0 to 100, over this number of recent latencies. */
     Quantile(double percentile, int samples) {
         part = percentile / 100;
         last = new short[samples];
@@ -51,7 +51,10 @@
         }
     }
 
-    /** The upper end of the percentile's bucket, or 0 until as many answers have come as are to be remembered. */
+    /**
+     * Returns the upper bound of the percentile's bucket in nanoseconds, or 0 until as many latencies were added as are
+     * remembered.
+     */
     long nanos() {
         return held < last.length ? 0 : Math.round(Math.exp((at + 1) * LOG));
     }
--- a/src/main/java/cinderhollow/routes/Route.java
+++ b/src/main/java/cinderhollow/routes/Route.java
@@ -1,12 +1,15 @@
 package cinderhollow.routes;
 
 /**
- * A kind of requests and what may be done for them.
+ * A route: which requests it matches, and the settings that apply to them.
  *
- * @param pattern null for a class's own route, which takes what no pattern does
+ * @param method HTTP method of the requests
+ * @param pattern pattern of their paths, or null for the route of a class, which takes requests that no pattern matches
+ * @param requestClass name of the class that the requests belong to
+ * @param terms time-outs, attempts and budgets
  */
 public record Route(String method, PathPattern pattern, String requestClass, Terms terms) {
-    /** How findings and tables name it. */
+    /** Returns the name of the route in messages and tables. */
     @Override
     public String toString() {
         return pattern == null ? "class " + requestClass : method + " " + pattern.text();
--- a/src/main/java/cinderhollow/routes/RouteCourse.java
+++ b/src/main/java/cinderhollow/routes/RouteCourse.java
@@ -4,7 +4,10 @@
 import cinderhollow.policy.Protocol.Outcome;
 import cinderhollow.routes.Terms.Copy;
 
-/** A route's {@link Terms} with what its requests have used and shown so far. One owner thread. */
+/**
+ * Route policy that applies the {@link Terms} of a route, with the state of its budgets and its latency percentile. Used by one
+ * thread only.
+ */
 public final class RouteCourse implements Course {
     private final int number;
     private final Terms terms;
@@ -12,7 +15,7 @@
     private final Budget copies;
     private final Quantile times;
 
-    /** A route that nobody has asked for yet, by its number among the routes. */
+    /** Creates the policy of a route that has had no requests yet; {@code index} is its index among the routes. */
     public RouteCourse(int number, Terms terms) {
         this.number = number;
         this.terms = terms;
@@ -22,7 +25,7 @@
         times = copy == null || copy.percentile() == 0 ? null : new Quantile(copy.percentile(), copy.samples());
     }
 
-    /** Its place among the operator's routes, from 0. */
+    /** Returns the index of the route among the operator's routes, from 0. */
     public int number() {
         return number;
     }
--- a/src/main/java/cinderhollow/routes/RouteTable.java
+++ b/src/main/java/cinderhollow/routes/RouteTable.java
@@ -5,11 +5,12 @@
 import java.util.Map;
 
 /**
- * Finds the route of a request by its method and path: a tree by segments, in which a plain name goes before
- * {@code {name}} and this before {@code **}. The cost grows with the path and not with the number of routes. A
- * request that no route takes belongs to the class that its path's first part names, as without a table.
+ * Finds the route of a request by its method and path, with a trie of path segments. A literal segment takes precedence over
+ * {@code {name}}, and this over {@code **}. The cost depends on the length of the path and not on the number of routes. A
+ * request that no pattern matches belongs to the class that is named by the first segment of its path, as without a table.
  */
 public final class RouteTable {
+    /** Position in the trie, reached by the path segments so far. */
     private static final class Place {
         private final Map<String, Place> names = new HashMap<>();
         private Place any;
@@ -20,7 +21,12 @@
     private final Place root = new Place();
     private final Map<String, Route> byClass;
 
-    /** No two of the routes may match the same request; {@code byClass} has a class's own route by its name. */
+    /**
+     * Creates a table.
+     *
+     * @param routes routes with a pattern; where two of them match the same request, one must be more specific than the other
+     * @param byClass the route of each class without a pattern, by the name of the class
+     */
     public RouteTable(List<Route> routes, Map<String, Route> byClass) {
         this.byClass = Map.copyOf(byClass);
         routes.forEach(this::add);
@@ -43,13 +49,13 @@
         place.here.put(route.method(), route);
     }
 
-    /** The route, or null where neither a pattern nor a class takes it. The path must have passed {@link Paths}. */
+    /** Returns the route, or null if no pattern matches and no class has that name. {@link Paths} must accept the path. */
     public Route find(String method, String target) {
         Route found = find(root, method, target, 1, Paths.end(target));
         return found != null ? found : byClass.get(Paths.firstPart(target));
     }
 
-    /** The deepest walk is as long as the path has segments; each step has at most two ways on. */
+    /** Recurses at most once for each segment of the path; at each position there are at most two children to try. */
     private static Route find(Place place, String method, String target, int from, int end) {
         if (from > end) {
             return place.here.get(method);
--- a/src/main/java/cinderhollow/routes/Routing.java
+++ b/src/main/java/cinderhollow/routes/Routing.java
@@ -5,15 +5,15 @@
 import java.util.List;
 import java.util.Map;
 
-/** The routes of one gateway, each with its course. One owner thread. */
+/** The routes of one gateway, each with its policy and the state of that policy. Used by one thread only. */
 public final class Routing {
-    /** The class that a request belongs to, and what its route lets the module do. */
+    /** The class that a request belongs to, and the policy of its route, which limits what the decision module may do. */
     public record Match(String requestClass, RouteCourse course) { }
 
     private final RouteTable table;
     private final Map<Route, Match> matches = new IdentityHashMap<>();
 
-    /** The routes with a pattern, and those of the classes, which take what no pattern does. */
+    /** Creates the routing from the routes with a pattern and the routes of classes, which take requests that none matches. */
     public Routing(List<Route> routes) {
         Map<String, Route> byClass = new HashMap<>();
         for (Route route : routes) {
@@ -25,7 +25,7 @@
         table = new RouteTable(routes.stream().filter(route -> route.pattern() != null).toList(), byClass);
     }
 
-    /** Null where nothing takes the request. */
+    /** Returns the class and policy of a request, or null if no route matches. {@link Paths} must accept the path. */
     public Match find(String method, String target) {
         Route route = table.find(method, target);
         return route == null ? null : matches.get(route);
--- a/src/test/java/cinderhollow/handover/SnapshotTest.java
+++ b/src/test/java/cinderhollow/handover/SnapshotTest.java
@@ -11,7 +11,7 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** The form of what one process tells the next. */
+/** Encoding and decoding of snapshots. */
 class SnapshotTest {
     private static final Snapshot SOME = new Snapshot(new Memory(0.5, 0.25, 12.5,
             List.of(new Memory.OfServer("s-1", 1_700_000_000_123_000_000L, 0.25, 3.5, 1.5, 0.125, true)),
@@ -35,14 +35,14 @@
         assertEquals(empty, decode(empty.encode()));
     }
 
-    /** Each byte of it is changed, and each part of it is left out: none passes, and none does harm. */
+    /** Changes each byte, and truncates at each length; guards against accepting a corrupt snapshot and other exceptions. */
     @Test
     void noTornOrChangedOneIsRead() {
         byte[] good = SOME.encode();
         SplittableRandom random = new SplittableRandom(11);
         for (int i = 0; i < good.length; i++) {
             byte[] changed = good.clone();
-            // The last white space of the first line is none of its words.
+            // The line feed that ends the header line is not part of its fields, so changing it is not an error.
             if (i != bodyAt(good) - 1) {
                 changed[i] ^= (byte) (1 + random.nextInt(127));
                 assertThrows(IllegalArgumentException.class, () -> decode(changed), "seed 11, byte " + i);
@@ -55,7 +55,7 @@
     @Test
     void anotherProgramsAndAnotherVersionsIsSaidToBeSo() {
         String line = new String(SOME.encode(), 0, bodyAt(SOME.encode()), StandardCharsets.US_ASCII);
-        assertEquals("its version is 2, and 1 is read", assertThrows(IllegalArgumentException.class,
+        assertEquals("unsupported snapshot version 2, expected 1", assertThrows(IllegalArgumentException.class,
                 () -> Snapshot.length(line.replace(" 1 ", " 2 "))).getMessage());
         for (String other : List.of("", "\n", "HTTP/1.1 400 Bad Request\r\n", "kestrelpier-handover 1 99999999 00000000\n",
                 "kestrelpier-handover 1 -5 00000000\n", "kestrelpier-handover 1 5\n")) {
@@ -63,7 +63,10 @@
         }
     }
 
-    /** Under its bound with the most hosts that this site's descriptors let one gateway meet, and refused beyond. */
+    /**
+     * The descriptor limits of the site let one gateway connect to at most 2,000 endpoints: their snapshot is within the size
+     * limit, and one that exceeds the limit is rejected.
+     */
     @Test
     void itsSizeIsBounded() {
         assertEquals(2_000, decode(withHosts(2_000).encode()).hosts().size());
