--- a/src/test/java/cinderhollow/ledger/LedgerTest.java
+++ b/src/test/java/cinderhollow/ledger/LedgerTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The sums hold however requests and attempts end, and a single update that goes missing shows. */
+/** The sums of the ledger hold however requests and attempts end, and a single missing or duplicate update is found. */
 class LedgerTest {
     private static final int ACCOUNTS = 3;
 
@@ -34,7 +34,7 @@
         return ledger.check((place, account) -> open[place.ordinal()][account]);
     }
 
-    /** Requests with up to three attempts, in any order and with any end. */
+    /** Opens and ends requests with up to three attempts each, in random order and with random ends. */
     private void play(SplittableRandom random, int requests) {
         List<Runnable> due = new ArrayList<>();
         for (int i = 0; i < requests; i++) {
@@ -73,7 +73,7 @@
         assertEquals(0, Arrays.stream(open).flatMapToLong(Arrays::stream).sum());
     }
 
-    /** One lost close: the account is named, with the sum and its last entries, and no other account is. */
+    /** Guards against a missing end that is not found, or is reported for the wrong account, place or entries. */
     @ParameterizedTest
     @EnumSource(Place.class)
     void aLostCloseAtAnyPlaceIsABreachOfItsAccountAlone(Place place) {
@@ -99,7 +99,7 @@
         found.forEach(breach -> assertEquals("GET /status/{account}/days", breach.account()));
     }
 
-    /** Two places that agree on how many, and not on how: what the client was told is not what the core decided. */
+    /** Guards against an end that differs between places: the client got another answer than the core decided. */
     @Test
     void placesThatDisagreeOnTheEndAreABreach() {
         open(Place.CORE, 0, "r");
@@ -123,7 +123,7 @@
         assertEquals(2, ledger.breaches());
     }
 
-    /** After 2^64 of anything the counters begin anew, and nothing is broken by it. */
+    /** Guards against false breaches when a 64-bit counter wraps around. */
     @Test
     void countersThatWrapStillAddUp() {
         Sheet sheet = new Sheet(Place.CORE, new Ring(1), new long[] {-3}, new long[] {-5, 0, 0, 0});
--- a/src/test/java/cinderhollow/ledger/OpenMetricsTest.java
+++ b/src/test/java/cinderhollow/ledger/OpenMetricsTest.java
@@ -15,7 +15,7 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
-/** The text by the specification's grammar (OpenMetrics 1.0.0, "ABNF" and "Overall Structure"), and its reading back. */
+/** Checks the metrics text against the grammar of OpenMetrics 1.0.0 ("ABNF" and "Overall Structure"), and reads it back. */
 class OpenMetricsTest {
     private static final String NAME = "[a-zA-Z_:][a-zA-Z0-9_:]*", NUMBER = "[+-]?(?:[0-9]+(?:\\.[0-9]*)?|\\.[0-9]+)(?:[eE][+-]?[0-9]+)?|[+-]Inf|NaN";
     private static final Pattern LABEL = Pattern.compile("[a-zA-Z_][a-zA-Z0-9_]*=\"(?:[^\"\\\\\n]|\\\\[\\\\n\"])*\"");
@@ -47,9 +47,12 @@
         return OpenMetrics.write(figures, "1-a");
     }
 
-    /** Lines by the grammar; families in one piece, described before their samples, with their type's suffixes alone. */
+    /**
+     * Checks that each line follows the grammar, and that the lines of a metric family are contiguous, its metadata comes first
+     * and its samples have only the suffixes of its type.
+     */
     private static int check(String text) {
-        assertTrue(text.endsWith("# EOF\n"), "the end");
+        assertTrue(text.endsWith("# EOF\n"), "no # EOF at the end");
         Set<String> families = new HashSet<>();
         Set<String> samples = new HashSet<>();
         String family = "";
@@ -60,7 +63,7 @@
             if (meta.matches()) {
                 if (!meta.group(2).equals(family)) {
                     assertEquals("TYPE", meta.group(1), line);
-                    assertTrue(families.add(meta.group(2)), "a family in two pieces: " + line);
+                    assertTrue(families.add(meta.group(2)), "family is not contiguous: " + line);
                     family = meta.group(2);
                     type = meta.group(3);
                 }
@@ -68,7 +71,7 @@
                 continue;
             }
             Matcher sample = SAMPLE.matcher(line);
-            assertTrue(sample.matches(), "no sample: " + line);
+            assertTrue(sample.matches(), "not a sample: " + line);
             assertTrue(sample.group(1).startsWith(family), line);
             Set<String> suffixes = switch (type) {
                 case "counter" -> Set.of("_total", "_created");
@@ -77,7 +80,7 @@
                 default -> Set.of("");
             };
             assertTrue(suffixes.contains(sample.group(1).substring(family.length())), line);
-            assertTrue(samples.add(line.substring(0, line.lastIndexOf(' '))), "told twice: " + line);
+            assertTrue(samples.add(line.substring(0, line.lastIndexOf(' '))), "duplicate sample: " + line);
             count++;
         }
         return count;
@@ -89,7 +92,7 @@
         assertEquals(9, check(text(ledger(List.of("x"), 0))));
     }
 
-    /** Buckets are cumulative, and the last one is the count. */
+    /** Guards against histogram buckets that are not cumulative, or whose last one differs from the count. */
     @Test
     void bucketsAddUp() {
         String text = text(ledger(List.of("x"), 100));
@@ -118,7 +121,7 @@
         assertTrue(totals.table().endsWith("2 instances, 0 breaches not acknowledged: all adds up"));
     }
 
-    /** The reader outside finds by itself what an instance does not say. */
+    /** Guards against trusting the breach count of a gateway: the totals find an imbalance that the gateway does not report. */
     @Test
     void whatDoesNotAddUpShowsInTheTotals() {
         Ledger broken = ledger(List.of("x", "y"), 10);
@@ -132,7 +135,7 @@
         assertThrows(IllegalArgumentException.class, () -> totals.add("# TYPE x gauge\nx 1\n"));
     }
 
-    /** A bound on names: accounts are those of the file, however many, and nothing grows with what clients send. */
+    /** The number of accounts is bounded by the configuration, not by what clients send; 10,000 of them are written. */
     @Test
     void tenThousandAccountsAreTold() {
         List<String> accounts = IntStream.range(0, 10_000).mapToObj(i -> "GET /r" + i).toList();
--- a/src/test/java/cinderhollow/ledger/RecoveryTest.java
+++ b/src/test/java/cinderhollow/ledger/RecoveryTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What is read back is what was written, at every entry; what can't be is said and changes nothing else. */
+/** Recovery yields what was written, at every frame, and rejects invalid entries without losing the ones before. */
 class RecoveryTest {
     private static final List<String> ACCOUNTS = List.of("class status", "class submit", "POST /günü");
 
@@ -29,7 +29,7 @@
         return frame;
     }
 
-    /** Some requests begin and some end, in the ledger and in the frame alike. */
+    /** Begins and ends random requests, both in the ledger and in the frame. */
     private void play(SplittableRandom random, Frame frame, int steps) {
         for (int i = 0; i < steps; i++) {
             if (open.isEmpty() || random.nextInt(5) < 3) {
@@ -93,7 +93,7 @@
         assertEquals(1, recovery.epochMillis());
     }
 
-    /** A kill, and a next life that is killed too: requests of both lives are in the sums once. */
+    /** The process is killed several times in a row; guards against losing or double-counting requests of an earlier run. */
     @Test
     void sumsOverLivesAddUp() {
         List<Life> earlier = List.of();
@@ -141,7 +141,7 @@
                 .contains("version 2"));
     }
 
-    /** Whatever is in a frame: a fault that is said, or entries; no other exception and no endless reading. */
+    /** A corrupt frame is read or rejected with IllegalArgumentException; guards against other exceptions and endless loops. */
     @ParameterizedTest
     @ValueSource(longs = {11, 12, 13})
     void noiseIsNeverAnotherFault(long seed) {
@@ -160,7 +160,7 @@
                 refused++;
             }
         }
-        assertTrue(refused > 1_000, "refused " + refused);
+        assertTrue(refused > 1_000, "rejected " + refused);
     }
 
     @Test
--- a/src/test/java/cinderhollow/ops/DoorTest.java
+++ b/src/test/java/cinderhollow/ops/DoorTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** The operators' door with callers good and bad, before a desk that is told what to say. */
+/** The operators' socket with valid, invalid and idle connections, and a gateway whose replies the test sets. */
 class DoorTest {
     private static final int PATIENCE_MILLIS = 20_000, MOST_CALLERS = 16;
 
@@ -74,7 +74,7 @@
         socket.getOutputStream().flush();
     }
 
-    /** All that comes until the door ends the connection. */
+    /** Reads until the operators' socket ends the connection. */
     private static String answer(Socket socket) throws IOException {
         return new String(socket.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
     }
@@ -103,7 +103,7 @@
         Socket slow = caller();
         for (String piece : List.of("s", "ta", "tus", "\r")) {
             write(slow, piece);
-            assertEquals("200 serving\n", call("status\n"), "beside one that is half there");
+            assertEquals("200 serving\n", call("status\n"), "while another connection has sent part of a command");
         }
         write(slow, "\nstandby\n");
         assertEquals("200 serving\n", answer(slow));
@@ -117,7 +117,7 @@
         }
     }
 
-    /** Far more than the door has places for, all silent or half silent, do not keep one good caller out. */
+    /** Guards against idle connections, without a command or with part of one, that use up the limit and block valid ones. */
     @Test
     void silentCallersMakeRoomForTheNextGoodOne() throws Exception {
         for (int i = 0; i < 3 * MOST_CALLERS; i++) {
--- a/src/test/java/cinderhollow/routes/BudgetTest.java
+++ b/src/test/java/cinderhollow/routes/BudgetTest.java
@@ -9,11 +9,11 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** Budgets and percentiles in made-up time. */
+/** Retry budgets and latency percentiles, in simulated time. */
 class BudgetTest {
     private static final long MS = 1_000_000L, SECOND = 1000 * MS;
 
-    /** A long calm saves nothing up: in each second of a storm only that second's share goes out. */
+    /** Guards against tokens saved up in a quiet period: in each second of a retry storm only that second's share is allowed. */
     @Test
     void inEverySecondOfAStormExtrasStayWithinTheShare() {
         Budget budget = new Budget(new Allowance(0.1, 0));
@@ -27,7 +27,7 @@
                 budget.arrived(now);
                 taken += budget.take(now) ? 1 : 0;
             }
-            assertTrue(taken >= 99 && taken <= 101, taken + " in second " + second);
+            assertTrue(taken >= 99 && taken <= 101, taken + " withdrawn in second " + second);
         }
     }
 
@@ -39,7 +39,7 @@
             budget.arrived(i * 100 * MS);
             taken += budget.take(i * 100 * MS) ? 1 : 0;
         }
-        assertTrue(taken >= 19 && taken <= 21, "taken " + taken);
+        assertTrue(taken >= 19 && taken <= 21, "withdrawn " + taken);
     }
 
     @Test
@@ -84,7 +84,7 @@
         }
     }
 
-    /** It is followed within as many answers as are remembered, in both directions. */
+    /** Guards against a percentile that does not follow a tenfold change, up or down, within the remembered samples. */
     @Test
     void aPercentileThatMovesTenfoldIsFollowed() {
         Quantile quantile = new Quantile(95, 200);
--- a/src/test/java/cinderhollow/routes/PathsTest.java
+++ b/src/test/java/cinderhollow/routes/PathsTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Which paths have one meaning. */
+/** Which request paths are accepted, and which are rejected as ambiguous. */
 class PathsTest {
     @ParameterizedTest
     @ValueSource(strings = {"/", "/status", "/status/", "/status/7?q=1", "/status/a%20b", "/a/b/c", "/a..b/.c/...",
@@ -30,7 +30,7 @@
         assertNotNull(Paths.fault(target));
     }
 
-    /** What is let through is the same path to a node that normalises as to one that does not. */
+    /** Guards against accepting a path that a server which normalizes paths reads differently. */
     @Test
     void whatIsLetThroughIsNormalAlready() {
         String letters = "/../%2e2fa;\\.b";
@@ -48,6 +48,6 @@
                 assertEquals(path, URI.create("http://h" + path).normalize().getRawPath(), "seed " + seed);
             }
         }
-        assertTrue(passed > 1000, "too few passed: " + passed);
+        assertTrue(passed > 1000, "too few paths accepted: " + passed);
     }
 }
--- a/src/test/java/cinderhollow/routes/RouteTableTest.java
+++ b/src/test/java/cinderhollow/routes/RouteTableTest.java
@@ -12,6 +12,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
+/** Which route a request takes, and which path patterns are rejected. */
 class RouteTableTest {
     private static Route route(String method, String path) {
         return new Route(method, path == null ? null : PathPattern.parse(path), "c", null);
@@ -34,9 +35,9 @@
         assertEquals(deep, table.find("GET", "/a/b/d"));
         assertEquals(all, table.find("GET", "/a/b/e"));
         assertEquals(all, table.find("GET", "/a/b/d/e"));
-        assertNull(table.find("POST", "/a/b"), "another method");
-        assertNull(table.find("GET", "/a"), "** is one segment at least");
-        assertNull(table.find("GET", "/a/"), "an empty segment is none");
+        assertNull(table.find("POST", "/a/b"), "other method");
+        assertNull(table.find("GET", "/a"), "** matches at least one segment");
+        assertNull(table.find("GET", "/a/"), "** does not match an empty segment");
         assertNull(table.find("GET", "/b"));
     }
 
@@ -57,7 +58,7 @@
         assertThrows(IllegalArgumentException.class, () -> PathPattern.parse(text));
     }
 
-    /** The tree against a walk over all routes, on random tables without overlaps. */
+    /** Compares the trie with a linear search over all routes, on random tables without conflicting routes. */
     @Test
     void theTreeFindsWhatAWalkFinds() {
         long seed = 11;
