--- a/src/test/java/cinderhollow/cli/SignalsTest.java
+++ b/src/test/java/cinderhollow/cli/SignalsTest.java
@@ -23,7 +23,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Signals that come while an earlier one is under way, to a real process with a request in flight. */
+/** Sends signals to a gateway process that has a request in flight. */
 class SignalsTest {
     private static final int PATIENCE_MILLIS = 60_000, ENDED_BY_TERM = 143, PART = 100_000;
     private static final String CONFIG = """
@@ -53,7 +53,7 @@
         }
     }
 
-    /** Two words to end and one to read the configuration anew: the request has its answer, and the process its usual end. */
+    /** A second SIGTERM and a SIGHUP during a shutdown must neither cut off the request in flight nor change the exit code. */
     @Test
     void aSecondWordToEndAndANewConfigurationTakeNothingFromTheFirst(@TempDir Path folder) throws Exception {
         int port = Loopback.freePort();
@@ -67,12 +67,12 @@
                 try (Socket asked = patient(host.accept())) {
                     assertNotNull(firstLine(asked));
                     process.destroy();
-                    Await.until("the end's begin", () -> !isReady(port, " 200 "));
+                    Await.until("start of the shutdown", () -> !isReady(port, " 200 "));
                     process.destroy();
                     assertEquals(0, new ProcessBuilder("kill", "-HUP", String.valueOf(process.pid())).start().waitFor());
                     asked.getOutputStream().write("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok".getBytes(StandardCharsets.US_ASCII));
                     String answer = firstLine(client);
-                    // On a machine so slow that the end's time is over by now the answer is the gateway's own.
+                    // On a machine so slow that the shutdown's time limit has passed, the gateway itself answers 502.
                     assertTrue(answer != null && (answer.contains(" 200 ") || answer.contains(" 502 ")), answer + Files.readString(out));
                 }
                 assertTrue(process.waitFor(PATIENCE_MILLIS, TimeUnit.MILLISECONDS));
@@ -84,7 +84,7 @@
         }
     }
 
-    /** A client of old has an answer's end by the connection's, so that a kill's must not look like one. */
+    /** HTTP/1.0 clients take the close of the connection as the end of the answer, so a killed process must cause a reset. */
     @Test
     void aPartOfAnAnswerDoesNotPassForTheWholeWhenTheProcessIsKilled(@TempDir Path folder) throws Exception {
         int port = Loopback.freePort();
--- a/src/test/java/cinderhollow/cli/StartTest.java
+++ b/src/test/java/cinderhollow/cli/StartTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What the platform starts loads nothing of the other commands. */
+/** Checks the start of {@code serve}: it must load no class of the other commands, which would make the start slower. */
 class StartTest {
     private static final String CONFIG = """
             {"seed":"1","limits":{"sockets":1024},"settings":{"group_size":1,"my_number":0,"discovery":"subscribe",
@@ -26,7 +26,7 @@
             "deadline_ns":300000000}],"allowed":{"dial_timeout_ns":50000000,"conn_idle_ns":15000000000},
             "obligations":{"drain_grace_ns":1000000000}}}""";
 
-    /** Runs {@code serve} until it is ready, and then ends it; what it printed. */
+    /** Runs {@code serve} until it is ready, ends it, and returns its output. */
     private static String serve(Path folder, List<String> before, List<String> options) throws Exception {
         Path config = Files.writeString(folder.resolve("config.json"), CONFIG);
         Path out = folder.resolve("out.log");
--- a/src/test/java/cinderhollow/cli/UpgradeTest.java
+++ b/src/test/java/cinderhollow/cli/UpgradeTest.java
@@ -29,8 +29,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Real processes that follow one another on a listener that their parent holds. The runtime lets no child of its own have
- * a socket for descriptor 0, so the parent is a few lines of Perl, which hold the listener and start what they are told.
+ * Upgrades real gateway processes that inherit one listener from their parent. Java can't start a child with a socket as its
+ * descriptor 0, so the parent is a short Perl script that holds the listener and starts the commands that it reads.
  */
 class UpgradeTest {
     private static final String PARENT = """
@@ -72,7 +72,7 @@
 
     @BeforeEach
     void holdListener() throws Exception {
-        // A short path: one of over a hundred characters is none for a Unix socket.
+        // The path must be short: a Unix socket's path can't have more than about a hundred characters.
         shared = Files.createTempDirectory("up");
         host = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
         thread(this::serveHost);
@@ -93,7 +93,7 @@
         }
         parent.destroy();
         host.close();
-        // What a killed process leaves behind is there too.
+        // The directory also has the files that a killed process has left.
         try (var files = Files.walk(shared)) {
             for (Path file : files.sorted(Comparator.reverseOrder()).toList()) {
                 Files.delete(file);
@@ -107,7 +107,7 @@
         thread.start();
     }
 
-    /** Answers each request by its id. */
+    /** Answers each request with its id as the body. */
     private void serveHost() {
         while (!host.isClosed()) {
             try {
@@ -120,7 +120,7 @@
                             write(socket, "HTTP/1.1 200 OK\r\nContent-Length: " + id.length() + "\r\n\r\n" + id);
                         }
                     } catch (IOException e) {
-                        // The gateway closed it, or the test.
+                        // The gateway or the test has closed the connection.
                     }
                 });
             } catch (IOException e) {
@@ -133,7 +133,7 @@
         socket.getOutputStream().write(text.getBytes(StandardCharsets.UTF_8));
     }
 
-    /** Up to the empty line, or null at the stream's end. */
+    /** Reads up to and including the empty line after a head; returns null at the end of the stream. */
     private static String head(InputStream in) throws IOException {
         StringBuilder head = new StringBuilder();
         while (head.indexOf("\r\n\r\n") < 0) {
@@ -171,13 +171,13 @@
         }
     }
 
-    /** What it has printed; nothing while its parent has not opened the file yet. */
+    /** Returns the output of the process so far; empty while the parent has not yet opened the file. */
     private static String said(Started process) throws IOException {
         return Files.exists(process.log) ? Files.readString(process.log) : "";
     }
 
     private static void awaitYes(Started process) throws Exception {
-        Await.until("the yes", () -> {
+        Await.until("gateway serves", () -> {
             assertTrue(ProcessHandle.of(process.pid).isPresent() && !isOver(process), said(process));
             try {
                 return call(process, "status").startsWith("200");
@@ -192,15 +192,15 @@
     }
 
     private static void awaitEnd(Started process) throws Exception {
-        Await.until("the end", () -> isOver(process));
+        Await.until("process has exited", () -> isOver(process));
     }
 
-    /** Its parent never asks how it ended. */
+    /** Returns whether the process is a zombie: it has exited, and the parent never waits for its children. */
     private static boolean isOver(Started process) throws IOException {
         return Files.readString(Path.of("/proc/" + process.pid + "/stat")).matches("(?s).*\\) Z .*");
     }
 
-    /** A client that keeps its connection while it may, counts what it is owed, and what it is refused or loses. */
+    /** A client that reuses its connection while the gateway allows it, and counts requests served, and those refused or lost. */
     private final class Client implements Runnable {
         private final int number;
         private final AtomicBoolean stop;
@@ -243,7 +243,7 @@
         }
     }
 
-    /** Two upgrades in a row under load: nothing is refused, reset or lost, and each process ends by itself. */
+    /** Two upgrades in a row under load must refuse, reset or lose no request, and each old process must exit by itself. */
     @Test
     void clientsNoticeNothingOfUpgrades() throws Exception {
         Started first = startGateway();
@@ -263,7 +263,7 @@
             awaitYes(next);
             signal(now, "TERM");
             awaitEnd(now);
-            Await.until("answers of the next", () -> served.get() > before + 50);
+            Await.until("answers of the successor", () -> served.get() > before + 50);
             assertTrue(said(next).contains("took over from the process before"), said(next));
             assertTrue(said(now).contains("a successor serves"), said(now));
             now = next;
@@ -275,13 +275,13 @@
         assertEquals(0, lost.get(), "of " + served + " served");
     }
 
-    /** The new process is killed half way, and the old one serves on; so does the next try. */
+    /** A successor is killed during the handover: the old process must keep serving, and a later successor must start. */
     @Test
     void aSuccessorThatDiesHalfWayIsNotNoticed() throws Exception {
         Started first = startGateway();
         awaitYes(first);
         Started dies = startGateway();
-        Await.until("its door", () -> {
+        Await.until("operators' socket of the successor", () -> {
             try {
                 return !call(dies, "status").isEmpty();
             } catch (IOException e) {
@@ -296,7 +296,7 @@
         AtomicBoolean stop = new AtomicBoolean();
         Thread client = new Thread(new Client(9, stop, served, lost));
         client.start();
-        Await.until("answers", () -> served.get() > 20);
+        Await.until("answers of the old process", () -> served.get() > 20);
         stop.set(true);
         client.join(PATIENCE_MILLIS);
         assertEquals(0, lost.get());
--- a/src/test/java/cinderhollow/cli/ZoneProcessesTest.java
+++ b/src/test/java/cinderhollow/cli/ZoneProcessesTest.java
@@ -21,7 +21,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Three gateways, each a process, that talk with each other, and what happens to an order when some of them fail. */
+/** Runs three gateway processes that exchange gossip, and checks that orders survive the failure of some of them. */
 class ZoneProcessesTest {
     private static final String CONFIG = """
             {"seed":"1","limits":{"sockets":1024},"settings":{"group_size":3,"my_number":NUMBER,"zone":"ZONE","discovery":"subscribe",
@@ -54,7 +54,7 @@
     @AfterEach
     void endAll() throws Exception {
         for (Process process : processes) {
-            // One that was stopped does not hear of an end in good order.
+            // A process paused by SIGSTOP does not react to SIGTERM, so it is killed.
             process.destroyForcibly();
             assertTrue(process.waitFor(60, TimeUnit.SECONDS));
         }
@@ -110,7 +110,10 @@
         assertTrue(new ProcessBuilder("/bin/sh", "-c", "kill -" + name + " " + processes[number].pid()).start().waitFor() == 0);
     }
 
-    /** Killed, started with nothing, stopped and woken: each ends with the newest order, and the others say who lacks it. */
+    /**
+     * A gateway that is killed and restarted without state, or paused and resumed, must get the newest order from the others,
+     * and they must report which member lacks it.
+     */
     @Test
     void anOrderOutlivesKillsAndSleep() throws Exception {
         AdminClient.order(admin(0), "leave", "a", Long.parseLong(LONG));
@@ -135,7 +138,7 @@
         shows(1, "all members know the newest orders");
     }
 
-    /** From a stranger, and from a member's own address but without the fleet's secret: counted, and nothing comes of it. */
+    /** Datagrams from a stranger, even on a member's IP address, without the fleet's secret must be counted and change nothing. */
     @Test
     void strangersAreCountedAndNotBelieved() throws Exception {
         byte[] noise = new byte[100];
@@ -147,7 +150,7 @@
             socket.send(new DatagramPacket(noise, 5, to));
         }
         for (String why : List.of("version", "fleet", "length")) {
-            Await.until("counted: " + why, () -> AdminClient.metrics(admin(0)).contains("dropped_total{why=\"" + why + "\"} 1"));
+            Await.until("dropped datagram counted: " + why, () -> AdminClient.metrics(admin(0)).contains("dropped_total{why=\"" + why + "\"} 1"));
         }
         shows(0, "3 of 3 alive");
     }
--- a/src/test/java/cinderhollow/sim/WireTest.java
+++ b/src/test/java/cinderhollow/sim/WireTest.java
@@ -11,6 +11,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
+/** Checks the simulator's line protocol: answers to batches, errors of malformed input, and independence of gateways. */
 class WireTest {
     private static final String BEGIN = "BEGIN\tgateway=3\tprng=7\taccounts=\tallowed.max_attempts=3"
             + "\tdiscovery=automatic\tgrades.count=1\tgrades.0.aim_ns=600000000\tgrades.0.deadline_ns=3000000000"
@@ -115,7 +116,7 @@
         String begin = BEGIN.replace("automatic", "subscribe");
         assertEquals(1, lines(answer(batch(1, begin + ONE_SERVER)), "SUBSCRIBE").size());
         String failed = "FLEET\tgateway=3\tscope=0\tepoch=1\tslot=0\n";
-        assertTrue(answer(batch(1, begin + ONE_SERVER + failed)).contains("nonce=3"), "a timer to ask again");
+        assertTrue(answer(batch(1, begin + ONE_SERVER + failed)).contains("nonce=3"), "a timer for the next request of the list");
     }
 
     @Test
