--- a/src/main/java/cinderhollow/operator/OperatorFile.java
+++ b/src/main/java/cinderhollow/operator/OperatorFile.java
@@ -302,7 +302,7 @@
             subset.only(List.of("nodes", "gateways", "number"));
             Integer nodes = subset.whole("nodes", 1, MOST_NODES);
             if (!subset.has("nodes")) {
-                root.fault("subset", Rule.SUBSET_PLACE, "it lacks nodes");
+                root.fault("subset", Rule.SUBSET_PLACE, "nodes is missing");
             }
             size = nodes == null ? 0 : nodes;
             if (subset.has("gateways") != subset.has("number")) {
--- a/src/main/java/cinderhollow/operator/Table.java
+++ b/src/main/java/cinderhollow/operator/Table.java
@@ -166,7 +166,10 @@
         return value == null ? null : value.intValue();
     }
 
-    /** Returns a number with or without a fraction, or null. NaN and infinity are outside every range; {@code rule} reports that. */
+    /**
+     * Returns a number with or without a fraction, or null. A number outside the range is a finding under the given rule; NaN
+     * and infinity are outside every range.
+     */
     Double number(String key, double least, double most, Rule rule) {
         Object value = has(key) ? toml.get(List.of(key)) : null;
         if (value == null) {
--- a/src/test/java/cinderhollow/cli/ZoneProcessesTest.java
+++ b/src/test/java/cinderhollow/cli/ZoneProcessesTest.java
@@ -138,7 +138,7 @@
         shows(1, "all members know the newest orders");
     }
 
-    /** Datagrams from a stranger, even on a member's IP address, without the fleet's secret must be counted and change nothing. */
+    /** Datagrams without the fleet's secret, even from a member's IP address, must be counted and must change nothing. */
     @Test
     void strangersAreCountedAndNotBelieved() throws Exception {
         byte[] noise = new byte[100];
