--- a/src/main/java/cinderhollow/emulator/EmulatedGateway.java
+++ b/src/main/java/cinderhollow/emulator/EmulatedGateway.java
@@ -32,36 +32,44 @@
 import java.util.function.ToLongBiFunction;
 import java.util.stream.IntStream;
 
-/** The real module with a host of made-up time: its timers, its connections, which are kept while idle, and its attempts. */
+/**
+ * A gateway of an emulated fleet: the real decision module in virtual time. This class provides the module's timers, its
+ * attempts, and its connections to nodes, which are kept for reuse while idle.
+ */
 final class EmulatedGateway implements Actions {
-    /** What the rest of the fleet is to it. */
+    /** What the gateway needs of its surroundings: the network, the other gateways, the nodes and the clients. */
     interface World {
-        /** Carries a datagram to another gateway, perhaps in vain. */
+        /** Sends a datagram to another gateway; it may be lost. */
         void carry(EmulatedGateway from, int to, byte[] datagram);
 
-        /** Whether what this gateway writes reaches this node, and what the node writes comes back. */
+        /** Returns whether traffic between this gateway and this node passes in both directions. */
         boolean reaches(EmulatedGateway from, Node node);
 
-        /** A line for the operators. */
+        /** Receives a log line of the gateway's evacuation module, meant for operators. */
         void said(EmulatedGateway gateway, String line);
 
-        /** What the gateway sends to each zone from now on. */
+        /** Receives the weights of the zones by which the gateway distributes requests from now on. */
         void weighed(EmulatedGateway gateway, Map<String, Double> byZone);
 
+        /** Returns the node with this id. */
         Node node(String id);
 
-        /** Work of this attempt in nanoseconds of a machine of speed 1. */
+        /** Returns the work of this attempt in nanoseconds on a machine of speed 1. */
         double work(String request, int attempt);
 
-        /** The final answer: served or not, and whether it is a refusal. */
+        /** Receives the final answer to a request: whether it was served, and if not, whether it was refused. */
         void answered(String request, boolean served, boolean refused);
     }
 
+    /** Fraction of the nodes' idle timeout after which the gateway closes an idle connection. */
     private static final double IDLE_PART = 2.0 / 3;
+    /** Longest time in nanoseconds between two ticks of the evacuation module. */
     private static final long LONGEST_WAIT = 25_000_000L;
 
+    /** An idle connection: since when it is idle, and the generation of the node that it belongs to. */
     private record Idle(long since, int generation) { }
 
+    /** One attempt of a request at a node. */
     private final class Attempt {
         private final String request;
         private final int number;
@@ -78,6 +86,7 @@
             this.node = node;
         }
 
+        /** Ends the attempt once: keeps or closes its connection, answers the client if served first, notifies the module. */
         void end(Outcome outcome, LoadReport load) {
             if (over) {
                 return;
@@ -117,11 +126,12 @@
     final String zone;
     private final Map<String, ArrayDeque<Idle>> idle = new HashMap<>();
     private final Map<String, List<Attempt>> open = new HashMap<>();
-    /** Where gateways talk. */
+    /** The evacuation module's observer of each open request; empty unless gateways evacuate zones together. */
     private final Map<String, Traffic.OfRequest> zones = new HashMap<>();
-    /** Null where gateways do not talk. */
+    /** Null unless gateways evacuate zones together. */
     private final Evacuation evacuation;
 
+    /** Requests that are answered or whose client left, and whose attempts have not all ended. */
     private final Set<String> answered = new HashSet<>();
     private final ArrayDeque<Event> events = new ArrayDeque<>();
     private boolean deciding;
@@ -144,6 +154,7 @@
         evacuation = scenario.talks() ? talk(settings, seed) : null;
     }
 
+    /** Makes the evacuation module and the callbacks that connect it with the environment. */
     private Evacuation talk(Settings settings, long seed) {
         List<String> names = IntStream.range(0, scenario.zones()).mapToObj(i -> Emulation.zone(i, scenario.zones())).toList();
         Roster roster = new Roster(settings.gatewayNumber(), settings.gateways(), "emulated", new byte[0]);
@@ -184,7 +195,7 @@
         return time.now() / 1_000_000;
     }
 
-    /** Begins to talk with the others. */
+    /** Runs one tick of the evacuation module, if there is one, and schedules the next. */
     void talks() {
         if (evacuation == null || dead) {
             return;
@@ -193,14 +204,14 @@
         time.at(Math.max(time.now() + 1_000_000, Math.min(next, time.now() + LONGEST_WAIT)), this::talks);
     }
 
-    /** A datagram from another one has come. */
+    /** Passes a datagram of another gateway to the evacuation module. */
     void heard(int from, byte[] datagram) {
         if (evacuation != null && !dead) {
             evacuation.received(time.now(), unixMillis(), from, datagram);
         }
     }
 
-    /** Events wait while the module is at work, as they do in the gateway. */
+    /** Delivers an event to the decision module; events that come while it handles another are queued, as in the real gateway. */
     void tell(Event event) {
         if (dead) {
             return;
@@ -225,6 +236,7 @@
         }
     }
 
+    /** Removes a request that is answered or abandoned once all its attempts have ended. */
     private void forget(String request) {
         List<Attempt> all = open.get(request);
         if (all != null && answered.contains(request) && all.stream().allMatch(a -> a.over)) {
@@ -235,10 +247,10 @@
         }
     }
 
-    /** A request whose client waits for so long. */
+    /** Delivers a request to the gateway; it has this time in nanoseconds until its deadline. */
     void ask(String request, RequestClass kind, long expiresIn) {
         if (dead) {
-            return; // it comes to a process that is no more, and its client's patience ends it
+            return; // the process was killed: the request is lost, and its client's timeout ends it
         }
         open.put(request, new ArrayList<>(1));
         if (evacuation != null) {
@@ -248,7 +260,11 @@
         tell(new RequestArrived(request, kind.name(), null, null, expiresIn, 0, false));
     }
 
-    /** Its process is killed: its connections break, and whoever waits is told of no answer. Which requests that were. */
+    /**
+     * Kills the process: its connections are closed and its attempts dropped, and no request is answered any more.
+     *
+     * @return the requests without an answer, whose clients see their connection break
+     */
     List<String> kill() {
         dead = true;
         idle.forEach((id, kept) -> kept.forEach(one -> world.node(id).disconnect(one.generation)));
@@ -266,7 +282,7 @@
         return waiting;
     }
 
-    /** Its client has gone: no answer is owed any more. */
+    /** Notifies the gateway that the client of a request left, so that no answer is due any more. */
     void left(String request) {
         if (open.containsKey(request) && answered.add(request)) {
             invariants.left(request);
@@ -275,13 +291,14 @@
         }
     }
 
+    /** Keeps a connection for reuse until its idle timeout. */
     private void keep(Node node, int generation) {
         ArrayDeque<Idle> kept = idle.computeIfAbsent(node.info.id(), id -> new ArrayDeque<>());
         long idleFor = (long) (scenario.shapes().idleMillis() * IDLE_PART * 1e6);
         Idle one = new Idle(time.now(), generation);
         kept.addLast(one);
         time.after(idleFor, () -> {
-            // Identity: equal ones of one instant are as good as each other.
+            // Compared by value: equal entries became idle at the same instant, so either may be closed.
             if (kept.remove(one)) {
                 node.disconnect(generation);
             }
@@ -307,7 +324,7 @@
             }
         });
         if (!world.reaches(this, node)) {
-            // Nothing is said: what is written on a kept connection is lost, and a new one never comes up.
+            // No error is reported: a request on an idle connection is lost, and a new connection is never established.
             attempt.written = idle.containsKey(server) && !idle.get(server).isEmpty();
             return;
         }
@@ -336,6 +353,7 @@
         });
     }
 
+    /** Delivers the attempt's request to the node, with the work of the handshake in nanoseconds (0 on a reused connection). */
     private void come(Attempt attempt, double handshake, long oneWay) {
         if (attempt.over) {
             return;
@@ -352,6 +370,7 @@
         });
     }
 
+    /** Lets the node drop the attempt's job, if it has reached the node. */
     private void drop(Attempt attempt) {
         if (attempt.job != null) {
             attempt.node.drop(attempt.job);
@@ -368,6 +387,7 @@
         conclude(request, false);
     }
 
+    /** Answers a request that was not served. */
     private void conclude(String request, boolean refused) {
         invariants.answered(time.now(), request, refused);
         if (open.containsKey(request) && answered.add(request)) {
--- a/src/main/java/cinderhollow/emulator/Emulation.java
+++ b/src/main/java/cinderhollow/emulator/Emulation.java
@@ -16,32 +16,35 @@
 import java.util.SplittableRandom;
 import java.util.stream.IntStream;
 
-/** One day of a fleet in made-up time. The same scenario and seed give the same figures. */
+/** One run of an emulated fleet in virtual time. The same scenario and seed give the same result. */
 public final class Emulation {
     /**
-     * What came of a day, in parts of 1.
+     * The result of a run. Ratios are fractions of 1. A submission is one sending of a request by its client to a gateway.
      *
-     * @param inTime worth answered within its aim of the worth asked for
-     * @param worst the same in the worst second-by-second window of 5 s
-     * @param worstClass the same of the class that fares worst
-     * @param refused tries refused of all tries
-     * @param tries tries a request
-     * @param handshakes new connections a request
-     * @param connections open at the nodes at the end, of all that they hold
-     * @param silentMarks times that a module took a node for silent, a request
-     * @param fallen nodes that were pushed over while cold
-     * @param broken how often a rule was broken by a gateway, and {@code breach} the first of these, or null
-     * @param open requests that gateways still hold when all should be over
+     * @param requests number of requests of the clients
+     * @param inTime worth answered within the aim, relative to the worth requested
+     * @param worst the same ratio in the worst window of 5 s; windows start at each full second
+     * @param worstClass the same ratio of the class for which it is lowest
+     * @param refused refused submissions, relative to all submissions
+     * @param tries submissions per request
+     * @param handshakes new connections per request
+     * @param connections open connections at the nodes at the end of the traffic, relative to the nodes' limits
+     * @param silentMarks times that a decision module took a node for silent, per request
+     * @param fallen number of nodes that crashed by overload while cold
+     * @param broken number of times that a gateway broke a rule
+     * @param breach the earliest of these breaches, or null if there was none
+     * @param open number of requests that gateways still hold at the end, when all should have ended
+     * @param events number of tasks run in virtual time
      */
     public record Result(long requests, double inTime, double worst, double worstClass, double refused, double tries,
                          double handshakes, double connections, double silentMarks, int fallen, long broken, String breach, int open,
                          long events) {
-        /** Whether no rule was broken and nothing was left open. */
+        /** Returns whether no rule was broken, no cold node crashed by overload, and no request was left open. */
         public boolean isClean() {
             return broken == 0 && fallen == 0 && open == 0;
         }
 
-        /** The figure that days are compared by: service as the first deployment weighs it, less what connections cost. */
+        /** Returns the score that compares runs: service as the first deployment weighs it, less the cost of connections. */
         public double figure() {
             return 0.45 * inTime + 0.35 * worst + 0.2 * worstClass - 0.08 * handshakes;
         }
@@ -56,21 +59,25 @@
     }
 
     private static final long MS = 1_000_000L, SECOND = 1_000 * MS, BEGIN = 1_000 * SECOND;
+    /** One-way delays between client and gateway, within a zone, and between zones. */
     private static final long CLIENT_WAY = MS / 2, SAME_ZONE = MS / 5, OTHER_ZONE = MS;
+    /** Length in seconds of the windows of {@link Result#worst}. */
     private static final int WINDOW = 5;
+    /** Fraction of the datagrams between gateways that is lost. */
     private static final double LOST_DATAGRAMS = 0.01;
-    /** How long a front sends to the dead, and a new process takes until it is ready. */
+    /** How long clients are still routed to a killed gateway, and the time from the kill until its new process is ready. */
     private static final long NOTICE = 2 * SECOND, START = 1_500 * MS;
-    /** News of the list comes so late at the most. */
+    /** Longest delay until a gateway receives a change of the server list. */
     private static final long MOST_NEWS = 2 * SECOND;
 
+    /** A request as its client sees it, over all its submissions. */
     private static final class Asked {
         private final RequestClass kind;
         private final int number;
         private final Place place;
         private final long at;
         private final double work;
-        /** Which gateway has its newest try. */
+        /** Gateway of the latest submission, or null if no gateway could be reached. */
         private EmulatedGateway gateway;
         private int tries;
         private boolean over;
@@ -84,11 +91,11 @@
         }
     }
 
-    /** Where a gateway stands, through all its starts. */
+    /** One gateway of the fleet with its number and zone, over all restarts of its process. */
     private static final class Place {
         private final int number;
         private final String zone;
-        /** Null while there is none. */
+        /** The running process, or null while there is none. */
         private EmulatedGateway gateway;
         private long deadSince;
         private int starts;
@@ -105,7 +112,7 @@
     private final SplittableRandom random;
     private final List<Node> nodes = new ArrayList<>();
     private final Map<String, Node> byId = new HashMap<>();
-    /** All that there were, also those that were killed. */
+    /** All gateway processes so far, including killed ones. */
     private final List<EmulatedGateway> gateways = new ArrayList<>();
     private final List<Place> places = new ArrayList<>();
     private final Map<String, Asked> byTry = new HashMap<>();
@@ -120,7 +127,7 @@
     private final List<Change> changes = new ArrayList<>();
     private final List<String> lines = new ArrayList<>();
 
-    /** Makes the fleet; {@link #run} plays its day. */
+    /** Creates the fleet; {@link #run} runs the scenario. */
     public Emulation(Scenario scenario, long seed) {
         this.scenario = scenario;
         this.seed = seed;
@@ -135,7 +142,7 @@
         rates = new double[scenario.gateways()];
         double sum = 0;
         for (int g = 0; g < rates.length; g++) {
-            // Log-normal about its mean, with the deviation that the scenario has.
+            // Log-normal, with the standard deviation relative to the mean that the scenario gives.
             double sigma = Math.sqrt(Math.log1p(scenario.unevenness() * scenario.unevenness()));
             rates[g] = Math.exp(sigma * gaussian());
             sum += rates[g];
@@ -147,6 +154,7 @@
         }
     }
 
+    /** Returns the name of the zone of the node or gateway with this number; zones are assigned in turn. */
     static String zone(int i, int zones) {
         return String.valueOf((char) ('a' + i % zones));
     }
@@ -155,10 +163,12 @@
         return zone(i, scenario.zones());
     }
 
+    /** Draws from the standard normal distribution. */
     private double gaussian() {
         return Math.sqrt(-2 * Math.log(1 - random.nextDouble())) * Math.cos(2 * Math.PI * random.nextDouble());
     }
 
+    /** Draws from the exponential distribution of mean 1. */
     private double exponential() {
         return -Math.log(1 - random.nextDouble());
     }
@@ -170,7 +180,7 @@
         return node;
     }
 
-    /** A process that knows nothing but the list as it is now. */
+    /** Starts a gateway process in the slot; it knows only the current server list. */
     private void start(Place place) {
         Scenario.Shapes s = scenario.shapes();
         Settings settings = new Settings(scenario.gateways(), place.number, place.zone, false, MS, Scenario.CLASSES, List.of(), 0.2,
@@ -182,10 +192,11 @@
         gateway.tell(new ListReceived(ListKind.WHOLE, nodes.stream().filter(n -> n.listed).map(n -> n.info).toList()));
         gateways.add(gateway);
         place.gateway = gateway;
-        // Processes that start at one time do not think in step.
+        // A random delay keeps processes that start at the same time from ticking in step.
         time.after(random.nextLong(50 * MS), gateway::talks);
     }
 
+    /** Connects the emulated gateways with each other, the nodes and the clients. */
     private final class Fleet implements EmulatedGateway.World {
         @Override
         public Node node(String id) {
@@ -231,23 +242,38 @@
         }
     }
 
+    /** Returns whether the network partition separates these zones. */
     private boolean parted(String a, String b) {
         return cut && !a.equals(b) && (a.equals(zone(0)) || b.equals(zone(0)));
     }
 
-    /** What gateways said of zones and of each other. */
+    /** Returns the log lines of the gateways' evacuation modules, about zones and other gateways. */
     public List<String> lines() {
         return List.copyOf(lines);
     }
 
-    /** From then on a gateway sent so much of the usual to a zone. */
+    /**
+     * A gateway's change of a zone's weight: when (nanoseconds of virtual time), which gateway and zone, and the fraction of the
+     * usual traffic that the gateway sends to the zone from then on.
+     */
     record Change(long at, int gateway, String zone, double weight) {
+        /** Returns when the change was made, in seconds since the start of the run. */
         double second() {
             return (at - BEGIN) / (double) SECOND;
         }
     }
 
-    /** How the fleet left the first zone from a moment on. */
+    /**
+     * How the gateways left the first zone. A gateway has left a zone when it gives it a weight below 0.5.
+     *
+     * @param left number of gateways that left it within the time considered
+     * @param of number of gateways of the fleet
+     * @param median median of the seconds until a gateway left, NaN like the next two if none left
+     * @param most 95th percentile of these seconds
+     * @param last seconds until the last of these gateways left
+     * @param elsewhere number of times that a gateway set a weight below 1 for another zone, over the whole run
+     * @param datagrams datagrams sent per second and gateway, over the whole run
+     */
     public record Leaving(int left, int of, double median, double most, double last, int elsewhere, double datagrams) {
         @Override
         public String toString() {
@@ -256,7 +282,7 @@
         }
     }
 
-    /** After {@link #run}: how long it took gateways to leave the first zone, from this second on and within so many. */
+    /** Returns how the gateways left the first zone from this second on, within this many seconds; valid after {@link #run}. */
     public Leaving leaving(double fromSecond, double within) {
         Map<Integer, Double> first = new HashMap<>();
         int elsewhere = 0;
@@ -274,12 +300,12 @@
                 n == 0 ? Double.NaN : times.get(n - 1), elsewhere, sent);
     }
 
-    /** After {@link #run}: worth answered within its aim of the worth asked for, second by second. */
+    /** Returns the ratio of worth answered within the aim to worth requested in each second; valid after {@link #run}. */
     public double[] bySecond() {
         return IntStream.range(0, scenario.seconds()).mapToDouble(s -> part(0, askedWorth.length, s, s + 1)).toArray();
     }
 
-    /** Plays the day to its end and a little beyond, so that what is open has its answer. */
+    /** Runs the scenario to its end and 3 s beyond, so that open requests get their answers. */
     public Result run() {
         long end = BEGIN + scenario.seconds() * SECOND;
         for (int g = 0; g < rates.length; g++) {
@@ -314,6 +340,7 @@
                 broken, breach, open, events);
     }
 
+    /** Returns the worth answered within the aim, relative to the worth requested, over ranges of classes and seconds. */
     private double part(int fromClass, int toClass, int fromSecond, int toSecond) {
         double asked = 0;
         double served = 0;
@@ -326,6 +353,7 @@
         return asked == 0 ? 1 : served / asked;
     }
 
+    /** Schedules the next request of the slot's clients, as a Poisson process, unless it would come after the end. */
     private void arriveLater(Place place, double perSecond, long end) {
         double day = (double) (time.now() - BEGIN) / (scenario.seconds() * SECOND);
         double now = perSecond * (day >= 0.4 && day < 0.6 ? scenario.burst() : 1);
@@ -344,11 +372,15 @@
         });
     }
 
+    /** Returns the second of the run in which the client first sent the request. */
     private static int second(Asked asked) {
         return (int) ((asked.at - BEGIN) / SECOND);
     }
 
-    /** The front goes on sending to a dead gateway for a while, and then to others of its zone. */
+    /**
+     * Returns the gateway that a submission is routed to. Clients of a killed gateway are still routed to it for a while, and
+     * then to other gateways of its zone. Null means that the submission reaches no gateway and fails.
+     */
     private EmulatedGateway dealt(Place place) {
         if (place.gateway != null || time.now() - place.deadSince < NOTICE) {
             return place.gateway;
@@ -357,6 +389,7 @@
         return others.isEmpty() ? null : others.get(random.nextInt(others.size())).gateway;
     }
 
+    /** Sends a request to a gateway, as a new submission with an id of its own. */
     private void ask(Asked asked) {
         String id = requests + "." + tries++;
         asked.tries++;
@@ -377,6 +410,7 @@
         });
     }
 
+    /** Handles the end of a submission (answered, timed out or broken), and schedules a retry if the client has one left. */
     private void heard(String id, Asked asked, boolean served, boolean refused) {
         if (byTry.remove(id) == null || asked.over) {
             return;
@@ -393,6 +427,7 @@
         }
     }
 
+    /** Schedules the start and the end of a fault. */
     private void trouble(Scenario.Fault fault) {
         long from = BEGIN + (long) (fault.fromSecond() * SECOND);
         long until = from + (long) (fault.seconds() * SECOND);
@@ -411,13 +446,13 @@
             return;
         }
         int touched = (int) Math.round(fault.part() * nodes.size());
-        // One zone first, as machines of one place fail together.
+        // Nodes of one zone come first, since machines of one location fail together.
         List<Node> hit = nodes.stream().sorted((a, b) -> a.info.zone().compareTo(b.info.zone())).limit(touched).toList();
         for (int i = 0; i < hit.size(); i++) {
             Node node = hit.get(i);
             long step = (until - from) * i / Math.max(1, hit.size());
             switch (fault.kind()) {
-                case KILLED, ROLLED, CUT -> throw new IllegalStateException("no fault of nodes: " + fault);
+                case KILLED, ROLLED, CUT -> throw new IllegalStateException("not a fault of nodes: " + fault);
                 case SLOW -> {
                     time.at(from, () -> node.slow(fault.size()));
                     time.at(until, () -> node.slow(1));
@@ -449,6 +484,7 @@
         }
     }
 
+    /** Kills the gateway process of the slot and schedules its restart. */
     private void kill(Place place) {
         EmulatedGateway gateway = place.gateway;
         place.gateway = null;
@@ -462,12 +498,13 @@
         time.after(START, () -> start(place));
     }
 
+    /** Returns the node's list entry, marked as removed. */
     private static ServerInfo gone(Node node) {
         ServerInfo i = node.info;
         return new ServerInfo(i.id(), i.zone(), i.kind(), i.cell(), Readiness.GONE, i.capacityHint(), i.startedAtNanos());
     }
 
-    /** Each gateway hears of it at a time of its own. */
+    /** Sends changes of the server list to each gateway, after a random delay of its own. */
     private void tellAll(ServerInfo... changes) {
         for (EmulatedGateway gateway : gateways) {
             time.after((long) (random.nextDouble() * MOST_NEWS), () -> gateway.tell(new ListReceived(ListKind.CHANGES, List.of(changes))));
--- a/src/main/java/cinderhollow/emulator/Invariants.java
+++ b/src/main/java/cinderhollow/emulator/Invariants.java
@@ -11,11 +11,12 @@
 import java.util.Map;
 
 /**
- * The rules that a gateway has to keep, held against each step of one: an answer to each request, once and in time; no second
- * run of what must not run twice; nothing to a node that it was told is draining or gone. Told the time; keeps what is open.
+ * Checks each step of one gateway against the rules that it must keep: each request is answered once and in time; a request
+ * that must not run twice is not sent again after an attempt that may have run; nothing is sent to a node after the drain grace
+ * that follows the notice that it is draining or gone. Callers pass the time; only open requests and known nodes are kept.
  */
 final class Invariants {
-    /** Which rule, when, and what was seen. */
+    /** A breach: the rule, when it was broken (nanoseconds), the gateway, and what was observed. */
     record Breach(Rule rule, long at, int gateway, String seen) {
         @Override
         public String toString() {
@@ -23,17 +24,18 @@
         }
     }
 
-    /** What can be broken. */
+    /** The rules that can be broken. */
     enum Rule { LOST, ANSWERED_TWICE, RAN_TWICE, DRAIN, UNKNOWN_NODE, TOO_MANY_ATTEMPTS, REFUSED_THOUGH_IT_MAY_HAVE_RUN }
 
-    /** More of them tell no more. */
+    /** Maximum number of breaches kept with a description; further ones add no information and are only counted. */
     private static final int MOST_KEPT = 100;
 
+    /** A request without an answer, or with attempts that have not ended. */
     private static final class Open {
         private final RequestClass kind;
         private final long due;
         private int sends;
-        /** Attempts of which nothing proves that they never ran. */
+        /** Number of attempts of which nothing proves that they never ran. */
         private int mayHaveRun;
         private boolean answered;
 
@@ -47,8 +49,9 @@
     private final Rules rules;
     private final int mostAttempts;
     private final Map<String, Open> open = new HashMap<>();
-    /** Nodes that may be sent to, and since when those that may not are known to be so. */
+    /** By node that is not ready: when the gateway was first notified of it, in nanoseconds. */
     private final Map<String, Long> down = new HashMap<>();
+    /** Nodes that a list has named, with their latest readiness. */
     private final Map<String, Boolean> listed = new HashMap<>();
     private final List<Breach> breaches = new ArrayList<>();
     private long broken;
@@ -59,6 +62,7 @@
         this.mostAttempts = mostAttempts;
     }
 
+    /** Counts a breach, and keeps it if it is one of the first. */
     private void broke(Rule rule, long now, String seen) {
         broken++;
         if (breaches.size() < MOST_KEPT) {
@@ -66,16 +70,17 @@
         }
     }
 
-    /** How many there were, and the first of them. */
+    /** Returns the number of breaches; {@link #breaches} has the first of them. */
     long broken() {
         return broken;
     }
 
+    /** Returns the first breaches. */
     List<Breach> breaches() {
         return breaches;
     }
 
-    /** The gateway was told that the node may be used, or not any more. */
+    /** Records that the gateway was notified that the node may be used, or that it may not be used any more. */
     void told(long now, String node, boolean usable) {
         listed.put(node, usable);
         if (usable) {
@@ -85,28 +90,30 @@
         }
     }
 
+    /** Records that the gateway received a request, which has the given time in nanoseconds until its deadline. */
     void arrived(long now, String request, RequestClass kind, long expiresIn) {
         open.put(request, new Open(kind, now + expiresIn + rules.answerSlackNanos()));
     }
 
+    /** Records that the gateway sends an attempt, and checks whether it may. */
     void sent(long now, String request, String node) {
         Open r = open.get(request);
         if (!listed.containsKey(node)) {
-            broke(Rule.UNKNOWN_NODE, now, request + " to " + node);
+            broke(Rule.UNKNOWN_NODE, now, request + " sent to unknown node " + node);
         } else if (down.containsKey(node) && now > down.get(node) + rules.drainGraceNanos()) {
-            broke(Rule.DRAIN, now, request + " to " + node + ", told at " + down.get(node) / 1e9 + " s");
+            broke(Rule.DRAIN, now, request + " sent to " + node + ", notified as not ready at " + down.get(node) / 1e9 + " s");
         }
         if (r == null) {
-            broke(Rule.ANSWERED_TWICE, now, "a send for " + request + ", which is over");
+            broke(Rule.ANSWERED_TWICE, now, "attempt sent for " + request + ", which has already ended");
             return;
         }
         if (r.kind.effect() == Effect.UNSAFE && r.mayHaveRun > 0) {
-            broke(Rule.RAN_TWICE, now, request + " of " + r.kind.name() + " again, to " + node);
+            broke(Rule.RAN_TWICE, now, request + " of class " + r.kind.name() + " sent again to " + node);
         }
         r.sends++;
         r.mayHaveRun++;
         if (r.sends > mostAttempts) {
-            broke(Rule.TOO_MANY_ATTEMPTS, now, request + ": " + r.sends);
+            broke(Rule.TOO_MANY_ATTEMPTS, now, request + " has too many attempts: " + r.sends);
         }
     }
 
@@ -114,6 +121,7 @@
         return gateway;
     }
 
+    /** Records that an attempt of the request ended with this outcome. */
     void ended(String request, Outcome outcome) {
         Open r = open.get(request);
         if (r != null && outcome.provesItNeverRan()) {
@@ -121,7 +129,7 @@
         }
     }
 
-    /** The final answer; served, refused or failed. */
+    /** Records the final answer (served, refused or failed), and checks that it is the only one, allowed and in time. */
     void answered(long now, String request, boolean refused) {
         Open r = open.get(request);
         if (r == null || r.answered) {
@@ -130,14 +138,14 @@
         }
         r.answered = true;
         if (refused && r.kind.effect() == Effect.UNSAFE && r.mayHaveRun > 0) {
-            broke(Rule.REFUSED_THOUGH_IT_MAY_HAVE_RUN, now, request + " of " + r.kind.name());
+            broke(Rule.REFUSED_THOUGH_IT_MAY_HAVE_RUN, now, request + " refused although it may have run, of class " + r.kind.name());
         }
         if (now > r.due) {
             broke(Rule.LOST, now, request + " answered " + (now - r.due) / 1e6 + " ms too late");
         }
     }
 
-    /** Its client has gone: nothing is owed. */
+    /** Records that the client of the request left, so that no answer is due. */
     void left(String request) {
         Open r = open.get(request);
         if (r != null) {
@@ -145,21 +153,21 @@
         }
     }
 
-    /** All of its attempts have ended, and it has its answer. */
+    /** Removes a request: it is answered or abandoned and all its attempts have ended, or the gateway was killed. */
     void over(String request) {
         open.remove(request);
     }
 
-    /** How many requests it holds: what is over must not stay. */
+    /** Returns the number of requests not removed yet; ended requests must not remain. */
     int held() {
         return open.size();
     }
 
-    /** Nothing more is to come. */
+    /** At the end of a run: records a breach for each request that was due and was never answered. */
     void finish(long now) {
         open.forEach((request, r) -> {
             if (!r.answered && now > r.due) {
-                broke(Rule.LOST, now, request + " never answered");
+                broke(Rule.LOST, now, request + " was never answered");
             }
         });
     }
--- a/src/main/java/cinderhollow/emulator/Node.java
+++ b/src/main/java/cinderhollow/emulator/Node.java
@@ -6,11 +6,15 @@
 import java.util.ArrayDeque;
 import java.util.function.Consumer;
 
-/** A node that works on one request at a time and holds so many connections; cold after its start, and it may fall over. */
+/**
+ * A node that works on one request at a time, with a bounded queue and a bounded number of connections. After a start during
+ * the run it is cold: it has only part of its capacity, and it crashes if it gets too much work.
+ */
 final class Node {
-    /** What the sender hears of it. */
+    /** What became of a job, as the gateway sees it: completed, refused because the queue was full, or reset. */
     enum Fate { DONE, FULL, BROKEN }
 
+    /** A request at the node, with its work in nanoseconds on a machine of speed 1 and the callback for its result. */
     static final class Job {
         private final double work;
         private final Consumer<Fate> told;
@@ -22,9 +26,15 @@
         }
     }
 
+    /** Work that arrived at a cold node, and when. */
     private record Sent(long at, double work) { }
 
+    /** Shortest time between two load reports. */
     private static final long REPORT_NANOS = 250_000_000L;
+    /**
+     * Units in nanoseconds; the part of its capacity during the warm-up after which a node is warm even before the warm-up time
+     * has passed; and the number of mean requests that a cold node accepts beyond its overload limit.
+     */
     private static final double SECOND = 1e9, MS = 1e6, WARMING_WORK = 0.5, SLACK_REQUESTS = 5;
 
     private final Timeline time;
@@ -41,11 +51,11 @@
     private int connections;
     private double workDone;
     private double inWindow;
-    /** Whether the list names it as one to use. */
+    /** Whether the server list has it as usable. */
     boolean listed = true;
-    /** Whether it was pushed over while cold. */
+    /** Whether it crashed by overload while cold; such a node stays down. */
     boolean fallen;
-    /** What it did in the report's period, and the report as it was last made. */
+    /** Busy time in nanoseconds and jobs completed within the current report period, its start, and the latest report. */
     private double busy;
     private int done;
     private long periodStart;
@@ -59,10 +69,12 @@
         periodStart = time.now();
     }
 
+    /** Makes the node slower than usual by this factor; 1 is the usual speed. */
     void slow(double factor) {
         slowness = factor;
     }
 
+    /** Starts or ends silence: a silent node starts no job and reports no result, but keeps its connections and queue. */
     void silent(boolean on) {
         silent = on;
         if (!on && running == null) {
@@ -70,7 +82,7 @@
         }
     }
 
-    /** Its process dies: what it has is reset. */
+    /** Stops the node's process: running and queued jobs are reset, and all connections are closed. */
     void stop() {
         down = true;
         generation++;
@@ -84,7 +96,7 @@
         lost.forEach(job -> job.told.accept(Fate.BROKEN));
     }
 
-    /** A new process at the same place, cold. */
+    /** Starts a new process on the same node; it is cold. */
     void start() {
         down = false;
         silent = false;
@@ -99,11 +111,12 @@
         return down || fallen;
     }
 
+    /** Returns the number of stops so far; a connection is valid only in the generation in which it was made. */
     int generation() {
         return generation;
     }
 
-    /** Takes up one more connection, if there is a place for it. */
+    /** Accepts one more connection and returns true, or returns false if the node is down or at its connection limit. */
     boolean connect() {
         if (isDown() || connections >= scenario.shapes().connections()) {
             return false;
@@ -112,6 +125,7 @@
         return true;
     }
 
+    /** Closes a connection of the given generation; it has no effect if that generation has ended. */
     void disconnect(int fromGeneration) {
         connections -= fromGeneration == generation ? 1 : 0;
     }
@@ -120,6 +134,7 @@
         return connections;
     }
 
+    /** Returns the part of its capacity that the node has now; it warms up by time or by work done, whichever is ahead. */
     private double warmth() {
         if (info.startedAtNanos() == 0) {
             return 1;
@@ -131,13 +146,13 @@
         return scenario.shapes().coldFrom() + (1 - scenario.shapes().coldFrom()) * warm;
     }
 
-    /** Work done a nanosecond now. */
+    /** Returns the work done per nanosecond now; open connections and a slowdown reduce it. */
     private double pace() {
         double full = Math.min(1, (double) connections / scenario.shapes().connections());
         return speed * warmth() * (1 - scenario.shapes().fullTax() * full) / slowness;
     }
 
-    /** A request of so much work has come whole; what becomes of it is told once. */
+    /** Receives a complete request with this work in nanoseconds at speed 1; the callback gets its result at most once. */
     Job offer(double work, Consumer<Fate> told) {
         Job job = new Job(work, told);
         if (isDown()) {
@@ -159,7 +174,7 @@
         return job;
     }
 
-    /** The rule on cold nodes, by work sent within its window. */
+    /** Crashes a cold node if the work that arrived within the overload window exceeds the limit for its current capacity. */
     private void press(double work) {
         if (warmth() >= 1) {
             window.clear();
@@ -176,12 +191,13 @@
                 + SLACK_REQUESTS * scenario.meanWork();
     }
 
-    /** Its sender has gone: what waits is dropped, what runs runs on. */
+    /** Drops a job whose sender has left: a queued job is removed, a running one continues but its completion is not reported. */
     void drop(Job job) {
         job.dropped = true;
         queue.remove(job);
     }
 
+    /** Starts the next job of the queue, if there is one and the node is not silent. */
     private void next() {
         running = silent ? null : queue.poll();
         if (running == null) {
@@ -204,7 +220,7 @@
         });
     }
 
-    /** As it was last made. */
+    /** Returns the latest load report; it is renewed first if the shortest time between reports has passed. */
     LoadReport report() {
         double past = time.now() - periodStart;
         if (past >= REPORT_NANOS) {
--- a/src/main/java/cinderhollow/emulator/Scenario.java
+++ b/src/main/java/cinderhollow/emulator/Scenario.java
@@ -7,100 +7,134 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A fleet and its day. Times are milliseconds unless their names say otherwise.
+ * A fleet, its traffic and its faults in one emulated run. The names of values say their unit.
  *
- * @param load the part of the nodes' warm capacity that first tries ask for
- * @param unevenness deviation of the gateways' traffic, against its mean
- * @param burst how many times the usual traffic comes in the middle fifth of the day
- * @param workScale by how much longer than usual the work of a request is
- * @param shapes the nodes and what connections cost them
- * @param clients how clients ask again
- * @param talks gateways talk with each other and leave zones together
- * @param fault what goes wrong, or null
+ * @param gateways number of gateways
+ * @param nodes number of nodes
+ * @param zones number of zones, to which gateways and nodes are assigned in turn
+ * @param seconds length of the run
+ * @param load requests of clients, without their retries, as a fraction of the nodes' warm capacity
+ * @param unevenness standard deviation of the gateways' request rates, relative to their mean
+ * @param burst factor on the usual traffic in the middle fifth of the run
+ * @param workScale factor on the usual work of a request
+ * @param shapes properties of the nodes and what connections cost them
+ * @param clients how clients retry
+ * @param talks whether gateways gossip and evacuate zones together
+ * @param fault the fault that occurs, or null for none
  */
 public record Scenario(int gateways, int nodes, int zones, int seconds, double load, double unevenness, double burst,
                        double workScale, Shapes shapes, Clients clients, boolean talks, Fault fault) {
     /**
-     * Of the nodes: part of slow machines and their speed, connections and requests that one holds, what of its capacity a
-     * full table of connections takes, what a new connection costs in work and in round trips, and how long one may idle.
+     * Properties of the nodes and costs of connections.
+     *
+     * @param slowPart fraction of the nodes that are slow machines
+     * @param slowSpeed mean speed of the slow machines; that of the others is 1
+     * @param connections maximum number of connections of a node
+     * @param queue maximum number of queued requests of a node
+     * @param fullTax fraction of a node's capacity that is lost when its connection table is full
+     * @param handshakeMillis work of a new connection at the node
+     * @param roundTrips round trips until a new connection is established
+     * @param idleMillis idle timeout of connections at the nodes
+     * @param coldFrom fraction of its capacity that a just started node has
+     * @param warmUpMillis length of the warm-up
+     * @param overloadFactor a cold node crashes if it gets more than this multiple of its current capacity and a small slack
+     * @param overloadForMillis window over which that is measured
      */
     public record Shapes(double slowPart, double slowSpeed, int connections, int queue, double fullTax, double handshakeMillis,
                          double roundTrips, double idleMillis, double coldFrom, double warmUpMillis, double overloadFactor,
                          double overloadForMillis) { }
 
-    /** How often a client tries again, after what wait at first, and which part of its class's deadline a try may take. */
+    /**
+     * How clients retry.
+     *
+     * @param retries maximum number of retries of a request
+     * @param backoffMillis backoff before the first retry; it doubles with each further one
+     * @param tryPart timeout of one submission, as a fraction of the deadline of its class
+     */
     public record Clients(int retries, double backoffMillis, double tryPart) { }
 
     /**
-     * What can go wrong with a part of the nodes, one zone first; with KILLED of the gateways, and with ROLLED of them in
-     * turn; with CUT the first zone, nodes and gateways, can neither be reached from the others nor reach them.
+     * The kinds of faults. SLOW, SILENT, REPLACED and LOST affect a fraction of the nodes, those of one zone first: these work
+     * more slowly, report no results, are replaced one after the other by new nodes, or stop and return cold at the end.
+     * KILLED kills a fraction of the gateways at once, and ROLLED kills them one after the other. CUT partitions the network:
+     * the nodes and gateways of the first zone can't be reached from the other zones, and can't reach them.
      */
     public enum Kind { SLOW, SILENT, REPLACED, LOST, KILLED, ROLLED, CUT }
 
-    /** From when on, for how long, which part of them; {@code size} is how many times slower a slow one is. */
+    /**
+     * A fault.
+     *
+     * @param kind what goes wrong
+     * @param fromSecond when it starts, in seconds since the start of the run
+     * @param seconds how long it lasts
+     * @param part fraction of the nodes or gateways that is affected
+     * @param size how many times slower than usual a slow node is
+     */
     public record Fault(Kind kind, double fromSecond, double seconds, double part, double size) {
-        /** Refuses what would never begin, never end, or hit nobody. */
+        /** Rejects a fault that would never begin, never end, or affect nothing. */
         public Fault {
             require(fromSecond >= 0 && fromSecond <= 3_600, "fromSecond", fromSecond);
             require(seconds >= 0 && seconds <= 3_600, "seconds", seconds);
-            require(part > 0 && part <= 1, "part", part);
-            require(size >= 1 && size <= 1_000, "size", size);
+            require(part > 0 && part <= 1, "affectedFraction", part);
+            require(size >= 1 && size <= 1_000, "slowdownFactor", size);
         }
     }
 
     private static final long MS = TimeUnit.MILLISECONDS.toNanos(1);
-    /** The first deployment's, whose classes and machines the pages give. */
+    /** The request classes of the first deployment; the documentation describes its classes and machines. */
     static final List<RequestClass> CLASSES = List.of(
             new RequestClass("status", Effect.SAFE, Group.ALL, 0, 150 * MS, 750 * MS, 1, 0, false),
             new RequestClass("submit", Effect.UNSAFE, Group.ALL, 0, 100 * MS, 300 * MS, 5, 0, false));
-    /** Mean work in milliseconds on a machine of speed 1, and the part of the requests, class by class. */
+    /** For each class: mean work of a request in milliseconds on a machine of speed 1, and its fraction of all requests. */
     static final double[] WORK = {20, 10}, PART = {0.51, 0.49};
 
-    /** Refuses what a run would stumble over. */
+    /** Rejects values with which a run would fail. */
     public Scenario {
         require(gateways >= 1 && gateways <= 10_000, "gateways", gateways);
         require(nodes >= 1 && nodes <= 20_000, "nodes", nodes);
         require(zones >= 1 && zones <= nodes, "zones", zones);
         require(seconds >= 1 && seconds <= 3_600, "seconds", seconds);
         require(load > 0 && load <= 10, "load", load);
-        require(unevenness >= 0 && unevenness <= 5, "unevenness", unevenness);
-        require(burst > 0 && burst <= 10, "burst", burst);
+        require(unevenness >= 0 && unevenness <= 5, "rateVariation", unevenness);
+        require(burst > 0 && burst <= 10, "burstFactor", burst);
         require(workScale > 0 && workScale <= 100, "workScale", workScale);
     }
 
+    /** Throws an exception that names the parameter and its value if the value is not valid. */
     private static void require(boolean holds, String name, Number value) {
         if (!holds) {
-            throw new IllegalArgumentException(name + " can't be " + value);
+            throw new IllegalArgumentException(name + " is out of range: " + value);
         }
     }
 
-    /** The usual fleet of many gateways, each with little traffic. */
+    /** Returns the usual scenario: a fleet of many gateways, each with little traffic, and no fault. */
     public static Scenario thin(int gateways, int nodes, int seconds, double load) {
         return new Scenario(gateways, nodes, 3, seconds, load, 0.7, 1.5, 2.8,
                 new Shapes(0.34, 0.75, 160, 400, 0.26, 3.7, 2.5, 15_000, 0.31, 8_400, 2.5, 1_500),
                 new Clients(2, 20, 0.6), false, null);
     }
 
-    /** The same day with something going wrong. */
+    /** Returns the same scenario with this fault. */
     public Scenario with(Fault trouble) {
         return new Scenario(gateways, nodes, zones, seconds, load, unevenness, burst, workScale, shapes, clients, talks, trouble);
     }
 
-    /** The same fleet, whose gateways talk with each other. */
+    /** Returns the same scenario with gateways that gossip and evacuate zones together. */
     public Scenario talking() {
         return new Scenario(gateways, nodes, zones, seconds, load, unevenness, burst, workScale, shapes, clients, true, fault);
     }
 
-    /** Mean work of a request in nanoseconds on a machine of speed 1. */
+    /** Returns the mean work of a request in nanoseconds on a machine of speed 1. */
     double meanWork() {
         return (WORK[0] * PART[0] + WORK[1] * PART[1]) * workScale * MS;
     }
 
+    /** Returns the expected speed of a node. */
     double meanSpeed() {
         return 1 - shapes.slowPart * (1 - shapes.slowSpeed);
     }
 
-    /** Requests a second that all nodes together can do when warm. */
+    /** Returns the requests per second that all nodes together can serve when warm. */
     double capacity() {
         return nodes * meanSpeed() * TimeUnit.SECONDS.toNanos(1) / meanWork();
     }
--- a/src/main/java/cinderhollow/emulator/Timeline.java
+++ b/src/main/java/cinderhollow/emulator/Timeline.java
@@ -2,8 +2,12 @@
 
 import java.util.PriorityQueue;
 
-/** Made-up time in nanoseconds: what is due comes in order, and of one instant in the order in which it was planned. */
+/**
+ * Runs tasks in virtual time (nanoseconds), in the order of their times; tasks of one instant run in the order in which they were
+ * scheduled.
+ */
 final class Timeline {
+    /** A task, the virtual time at which it runs, and its sequence number among the tasks of that time. */
     private record Due(long at, long turn, Runnable work) implements Comparable<Due> {
         @Override
         public int compareTo(Due other) {
@@ -23,16 +27,17 @@
         return now;
     }
 
-    /** Does this at that time, or now where that is over. */
+    /** Schedules the task at the given time, or at the current time if that is in the past. */
     void at(long time, Runnable work) {
         due.add(new Due(Math.max(now, time), turns++, work));
     }
 
+    /** Schedules the task after a delay in nanoseconds. */
     void after(long nanos, Runnable work) {
         at(now + nanos, work);
     }
 
-    /** Plays all that is due before the end; how many events that was. */
+    /** Runs all tasks that are due before the end, sets the time to the end, and returns the number of tasks run. */
     long playUntil(long end) {
         long played = 0;
         while (!due.isEmpty() && due.peek().at < end) {
