--- a/src/test/java/cinderhollow/emulator/EmulationTest.java
+++ b/src/test/java/cinderhollow/emulator/EmulationTest.java
@@ -45,7 +45,10 @@
                 () -> new Scenario.Fault(Scenario.Kind.LOST, 4, Double.NaN, 0.5, 1)).getMessage().startsWith("seconds"));
     }
 
-    /** With 65 nodes for each of 100 gateways a pair meets once in some seconds: a new connection each time, or nearly so. */
+    /**
+     * Guards against a new connection for almost every request: if each of 100 gateways used all 65 nodes, it would return to a
+     * node only once in several seconds.
+     */
     @Test
     void manyGatewaysWithLittleTrafficEachKeepToTheConnectionsThatTheyHave() {
         for (int nodes : new int[] {60, 65}) {
@@ -57,12 +60,12 @@
                 handshakes += result.handshakes() / 3;
                 inTime += result.inTime() / 3;
             }
-            assertTrue(handshakes < 0.15, handshakes + " new connections a request");
-            assertTrue(inTime > 0.82, "in time " + inTime);
+            assertTrue(handshakes < 0.15, handshakes + " new connections per request");
+            assertTrue(inTime > 0.82, "in-time ratio " + inTime);
         }
     }
 
-    /** Whatever goes wrong, each gateway keeps the rules, nodes that come back cold stand, and nothing is left open. */
+    /** Under each kind of fault, gateways break no rule, cold nodes don't crash by overload, and no request is left open. */
     @ParameterizedTest
     @EnumSource
     void noRuleIsBrokenAndNothingIsLeftOpen(Scenario.Kind kind) {
@@ -74,7 +77,10 @@
         }
     }
 
-    /** Eight in ten are lost at a load of 0.8 and back cold: their budget goes by what warm ones bore, not by what came. */
+    /**
+     * Guards against overloading cold nodes: 80 % of the nodes are lost at a load of 0.8 and return cold. Their budget must
+     * follow the load that warm nodes handled, not the traffic that arrived.
+     */
     @Test
     void aFleetThatIsBackColdIsNotPushedOver() {
         Emulation.Result result = new Emulation(Scenario.thin(100, 65, 25, 0.8)
@@ -82,7 +88,7 @@
         assertEquals(0, result.fallen(), result::toString);
     }
 
-    /** A silent zone is left by all 100 gateways within 3 s, and none is left on a quiet day; the rules are asserted at each step. */
+    /** All 100 gateways leave a silent zone within 3 s, and no zone without a fault; each step is checked against the rules. */
     @Test
     void aHundredGatewaysLeaveASilentZoneAndNoOther() {
         Scenario day = Scenario.thin(100, 65, 16, 0.5).talking();
--- a/src/test/java/cinderhollow/emulator/InvariantsTest.java
+++ b/src/test/java/cinderhollow/emulator/InvariantsTest.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Each rule is broken once, by itself, and named; what looks alike and is allowed is not. */
+/** Breaks each rule and checks that it is reported by name, and that similar steps that are allowed are not reported. */
 class InvariantsTest {
     private static final long MS = 1_000_000L;
     private static final RequestClass SAFE = Scenario.CLASSES.get(0);
