--- a/src/test/c/syscall_faults.c
+++ b/src/test/c/syscall_faults.c
@@ -1,15 +1,15 @@
 /*
- * Lets a part of a process's system calls fail in ways that Linux documents, to be loaded with LD_PRELOAD by tests.
+ * Makes a part of a process's system calls fail, in ways that Linux documents. Tests load this library with LD_PRELOAD.
  *
- *   SYSCALL_FAULTS_PERCENT  of the calls below fail (default 10)
- *   SYSCALL_FAULTS_SEED     of the choice
- *   SYSCALL_FAULTS_AFTER    seconds after the start before the first fails (default 0)
- *   SYSCALL_FAULTS_FILES    of the calls on files below fail, for as long as SYSCALL_FAULTS_UNTIL says (default 0)
+ *   SYSCALL_FAULTS_PERCENT  percentage of the calls below that fail (default 10)
+ *   SYSCALL_FAULTS_SEED     seed of the random choice of calls that fail
+ *   SYSCALL_FAULTS_AFTER    seconds after the start before the first call fails (default 0)
+ *   SYSCALL_FAULTS_FILES    percentage of the calls on files below that fail, until SYSCALL_FAULTS_UNTIL (default 0)
  *   SYSCALL_FAULTS_UNTIL    seconds after the start until which calls on files fail (default 0)
  *
  * accept and accept4: ECONNABORTED, ENFILE, ENOBUFS, EMFILE. socket: ENFILE, ENOBUFS (network sockets only).
- * connect: EADDRNOTAVAIL, ENETUNREACH, ENOBUFS. epoll_wait: EINTR. read, recv, write, writev on sockets: short.
- * On regular files but the standard streams: write ENOSPC, EIO, or short; fsync, fdatasync EIO.
+ * connect: EADDRNOTAVAIL, ENETUNREACH, ENOBUFS. epoll_wait: EINTR. read, recv, write, writev on sockets: short counts.
+ * Regular files other than the standard streams: write fails with ENOSPC or EIO, or is short; fsync and fdatasync: EIO.
  */
 #define _GNU_SOURCE
 #include <dlfcn.h>
--- a/src/test/java/cinderhollow/bench/DecisionBenchmark.java
+++ b/src/test/java/cinderhollow/bench/DecisionBenchmark.java
@@ -34,8 +34,8 @@
 import org.openjdk.jmh.annotations.Warmup;
 
 /**
- * What the decisions on one request cost: its arrival, its send and its end, with its part of the sweeps and steps at
- * 10,000 requests a second of made-up time, 8 requests being out all the while. The command is in
+ * Measures the cost of the decisions on one request: its arrival, its sending and its end, with its part of the sweeps and
+ * ticks at 10,000 requests per second of simulated time, with 8 requests in flight all the time. The command is in
  * {@code docs/PERFORMANCE.md}.
  */
 @State(Scope.Benchmark)
@@ -49,7 +49,7 @@
     private static final RequestClass READ = new RequestClass("read", Effect.SAFE, Group.ALL, 0, 500 * MS, 2_000 * MS, 1,
             0.5, false);
 
-    /** How many servers are in the list. */
+    /** Number of servers in the list. */
     @Param({"10", "100", "1000", "10000"})
     public int nodes;
 
@@ -60,7 +60,7 @@
     private long requests;
     private int changes;
 
-    /** A warm fleet in two zones. */
+    /** Creates a fleet in two zones in which no server is cold. */
     @Setup
     public void start() {
         Settings settings = new Settings(1, 0, "a", false, 5 * MS, List.of(READ), List.of(), 0.1, new Allowed(4, true),
@@ -77,7 +77,7 @@
         return new ServerInfo("s" + i, i % 2 == 0 ? "a" : "b", "k", 0, readiness, 1, 0);
     }
 
-    /** One request more, and the end of one that was sent before it. */
+    /** Sends one request and ends one that was sent before it. */
     @Benchmark
     public void decide() {
         now += BETWEEN_NANOS;
@@ -91,7 +91,7 @@
         }
     }
 
-    /** One server goes or comes back. */
+    /** Removes one server from the list or puts it back. */
     @Benchmark
     public void change() {
         now += BETWEEN_NANOS;
--- a/src/test/java/cinderhollow/bench/FleetSimulation.java
+++ b/src/test/java/cinderhollow/bench/FleetSimulation.java
@@ -30,15 +30,19 @@
 import java.util.SplittableRandom;
 
 /**
- * Many gateways over many nodes in made-up time, the module and the subsets alone: how evenly nodes are used, how much
- * is served in time, and what nodes that come back cold are sent. Nodes work on one request at a time, two in three
- * nodes at full speed and one at 0.6 of it; so many in a thousand restart in the middle.
+ * Simulates many gateways and many servers in simulated time, with the decision module and the subsets alone. It reports how
+ * evenly the servers are used, how many requests are served in time, and how much load servers get that are cold after a
+ * restart. A server works on one request at a time; of three servers, two have full speed and one has 0.6 of it. A part of
+ * the servers ({@code RESTARTED_FRACTION}) restarts in the middle of the run.
  */
 public final class FleetSimulation {
-    /** How a gateway chooses the nodes that it is told of. */
+    /** How a gateway chooses the servers that it uses. */
     public enum Way { SUBSETS, RANDOM, ALL }
 
-    /** What came of it; loads are requests a node, against the mean of nodes of its speed. */
+    /**
+     * Result of a run. A load is the number of requests that a server received, divided by the mean of the servers of its
+     * speed.
+     */
     public record Result(Way way, int gateways, int nodes, double mostGateways, double meanGateways, double inTime,
                          double served, double meanMillis, double loadSpread, double mostLoad, double coldLoad,
                          double mostColdLoad, int mostColdAtOnce) {
@@ -112,7 +116,10 @@
         }
     }
 
-    /** A fleet whose gateways keep to about {@code size} nodes, unless they take all; offered a part of what it can do. */
+    /**
+     * Creates a fleet whose gateways use about {@code subsetSize} servers each, or all servers with {@link Way#ALL}; clients
+     * offer the share {@code loadRatio} of the requests per second that all servers together can serve.
+     */
     public FleetSimulation(Way way, int gateways, int nodes, int size, double load, int seconds, long seed) {
         this.way = way;
         this.size = size;
@@ -136,7 +143,7 @@
         due.add(new Due(at, sequence++, work));
     }
 
-    /** Plays it. */
+    /** Runs the simulation to its end. */
     public Result run() {
         later(restartAt, this::restart);
         for (Due next = due.poll(); next != null && next.at < end + 2 * SECOND; next = due.poll()) {
@@ -186,7 +193,7 @@
                 cold / Math.max(1, restarted), mostCold, mostQueued);
     }
 
-    /** Some come back cold, and every gateway that knows them is told. */
+    /** Restarts some servers, which are cold afterwards, and notifies every gateway that uses one of them. */
     private void restart() {
         List<ServerInfo> changes = new ArrayList<>();
         int every = (int) (1 / RESTARTED);
@@ -230,7 +237,7 @@
             arriveLater();
         }
 
-        /** How many gateways there are for a node, which is what the module's limits go by. */
+        /** Returns how many gateways share a server, from which the decision module computes its limits. */
         private int sharers() {
             return way == Way.ALL ? gateways.length
                     : Math.max(1, (int) Math.round((double) gateways.length * size / nodes.length));
@@ -330,7 +337,7 @@
             open.remove(request);
         }
 
-        /** The node works on; the end is told when it comes. */
+        /** Does nothing: the server goes on working, and the end of the attempt is reported when the server has finished. */
         @Override
         public void cancel(String request, int attempt) { }
 
@@ -345,7 +352,7 @@
         public void subscribe() { }
     }
 
-    /** Plays the three ways: gateways, nodes, size of a subset, load, seconds, seed; all have defaults. */
+    /** Runs each way of selection; arguments: gateways, servers, size of a subset, load, seconds, seed, each with a default. */
     public static void main(String[] args) {
         String[] given = {"500", "10000", "200", "0.6", "20", "1"};
         System.arraycopy(args, 0, given, 0, args.length);
--- a/src/test/java/cinderhollow/bench/LedgerBenchmark.java
+++ b/src/test/java/cinderhollow/bench/LedgerBenchmark.java
@@ -17,7 +17,7 @@
 import org.openjdk.jmh.annotations.State;
 import org.openjdk.jmh.annotations.Warmup;
 
-/** What the ledger costs a request with one attempt, at all four places; with {@code -prof gc} also in bytes. */
+/** Measures the cost of the ledger for a request with one attempt, at all four places; with {@code -prof gc} also in bytes. */
 @State(Scope.Benchmark)
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.NANOSECONDS)
@@ -32,7 +32,7 @@
     private final Frame frame = new Frame(2 * ROOM);
     private long request;
 
-    /** The counters, the ring and the histogram. */
+    /** Updates the counters, the ring and the histogram for one request. */
     @Benchmark
     public long counted() {
         int account = (int) (++request % 2);
@@ -48,7 +48,7 @@
         return ledger.sheet(Place.CORE).opened(account);
     }
 
-    /** Its two entries in the journal. */
+    /** Writes the two journal entries of one request. */
     @Benchmark
     public int journalled() {
         request++;
--- a/src/test/java/cinderhollow/bench/ListBenchmark.java
+++ b/src/test/java/cinderhollow/bench/ListBenchmark.java
@@ -23,7 +23,10 @@
 import org.openjdk.jmh.annotations.State;
 import org.openjdk.jmh.annotations.Warmup;
 
-/** How long lists of ten thousand take: one told whole again, the first one, and a step of it. */
+/**
+ * Measures the processing of lists of 10,000 endpoints: a full list after another, the first list, and one step of the first
+ * list.
+ */
 @State(Scope.Benchmark)
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.MICROSECONDS)
@@ -33,7 +36,7 @@
 public class ListBenchmark {
     private static final int NODES = 10_000, GATEWAYS = 500;
 
-    /** Whether the gateway keeps to a subset of 200. */
+    /** Whether the gateway uses only a subset of 200 servers. */
     @Param({"false", "true"})
     public boolean subset;
 
@@ -43,7 +46,7 @@
     private ListChanges stepping = changes();
     private int turns;
 
-    /** Two lists that differ in one node of a hundred. */
+    /** Creates two lists that differ in one server of every hundred. */
     @Setup
     public void start() {
         whole = list(0);
@@ -65,14 +68,14 @@
         return new EndpointList(1, true, endpoints);
     }
 
-    /** Told whole, with a hundred that differ from the last time. */
+    /** Applies a full list in which a hundred servers differ from the list before it. */
     @Benchmark
     public Object again() {
         changes.tell(++turns % 2 == 0 ? whole : other);
         return changes.rest();
     }
 
-    /** The first list of a gateway. */
+    /** Applies the first list of a gateway. */
     @Benchmark
     public Object first() {
         ListChanges anew = changes();
@@ -80,7 +83,7 @@
         return anew.rest();
     }
 
-    /** One step of the first list, which is what holds a loop at a time. */
+    /** Applies one step of the first list: the time for which the event loop is blocked without a break. */
     @Benchmark
     public Object step() {
         if (!stepping.waits()) {
--- a/src/test/java/cinderhollow/daemon/AdminTest.java
+++ b/src/test/java/cinderhollow/daemon/AdminTest.java
@@ -21,7 +21,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The admin listener: figures for whoever may ask, and nothing that harms the gateway. */
+/** The admin listener serves metrics to permitted callers, and no caller can harm the gateway. */
 class AdminTest {
     private static final int MOST_CONNECTIONS = 16;
 
@@ -111,7 +111,10 @@
         }
     }
 
-    /** Who connects and reads nothing takes one of few places, and never one of the gateway's own. */
+    /**
+     * A scraper that connects and reads nothing uses up one of the few admin connections, and never one that clients may
+     * have.
+     */
     @Test
     void silentScrapersTakeNoPlaceOfClients() throws Exception {
         List<Socket> silent = new ArrayList<>();
@@ -120,7 +123,7 @@
             for (int i = 0; i < 3 * MOST_CONNECTIONS; i++) {
                 silent.add(new Socket("127.0.0.1", port));
             }
-            // Those beyond the bound are closed at once: a read on them ends.
+            // Connections beyond the limit are closed at once, so a read on them returns the end of the stream.
             await("the bound", () -> silent.stream().filter(AdminTest::isClosed).count() == 2 * MOST_CONNECTIONS);
             assertEquals("fine", f.client().ask(status("r", LONG_MILLIS)).body());
         } finally {
@@ -141,7 +144,7 @@
         }
     }
 
-    /** The loop stands still, by a latch: the scraper is told so, and the admin listener goes on. */
+    /** While a latch blocks the event loop, the scraper gets an error that says so, and the admin listener goes on working. */
     @Test
     void aLoopThatStandsStillIsToldOf() throws Exception {
         CountDownLatch goOn = new CountDownLatch(1);
@@ -163,7 +166,7 @@
         }
     }
 
-    /** A scrape that comes while the gateway ends is answered or refused, and holds nothing up. */
+    /** A scrape during shutdown is answered or refused, and does not delay the shutdown. */
     @Test
     void aScrapeDuringTheEndIsAnswered() throws Exception {
         try (ScriptedHost a = host(); GatewayFixture f = gateway("", a); Admin admin = onAnyPort(f)) {
--- a/src/test/java/cinderhollow/daemon/Answered.java
+++ b/src/test/java/cinderhollow/daemon/Answered.java
@@ -11,7 +11,7 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.function.BooleanSupplier;
 
-/** What becomes of one attempt: the answer's body, or how else it ended. */
+/** Result of one attempt: the body of its answer, or the outcome with which it ended without one. */
 final class Answered extends CompletableFuture<String> implements HostPool.Listener {
     @Override
     public void ended(HostPool.Attempt attempt, Outcome outcome, long atNanos, LoadReport load, ByteBuf body) {
--- a/src/test/java/cinderhollow/daemon/AnswersTest.java
+++ b/src/test/java/cinderhollow/daemon/AnswersTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What a gateway makes of answers that are spoilt, and of good ones that bring more than belongs to them. */
+/** How a gateway handles malformed answers of servers, and valid answers that are followed by additional bytes. */
 class AnswersTest {
     private static final String FINE = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nfine";
 
@@ -25,7 +25,7 @@
         return (socket, request) -> ScriptedHost.write(socket, bytes);
     }
 
-    /** The host keeps the connection open, so only the gateway's own judgement ends the attempt. */
+    /** The server keeps the connection open, so the attempt ends only if the gateway itself detects the malformed answer. */
     @ParameterizedTest
     @ValueSource(strings = {
         "noise that no line ends\0\1\2\r\n\r\n",
@@ -49,7 +49,7 @@
         }
     }
 
-    /** Each would fill the memory if the gateway went on reading. */
+    /** Each of these answers would fill the memory if the gateway went on reading it. */
     @ParameterizedTest
     @ValueSource(strings = {
         "HTTP/1.1 200 OK\r\n|X-Pad: pppppppppppppppppppppppp\r\n",
@@ -69,7 +69,10 @@
         }
     }
 
-    /** Were the connection used again, what came behind would pass for the second request's answer. */
+    /**
+     * If the connection were used again, the bytes behind the first answer would be taken for the answer to the second
+     * request.
+     */
     @ParameterizedTest
     @ValueSource(strings = {
         FINE, "noise", "noise\r\n\r\n", "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", "HTTP/1.1 100 Continue\r\n\r\n"})
--- a/src/test/java/cinderhollow/daemon/ArrivalTest.java
+++ b/src/test/java/cinderhollow/daemon/ArrivalTest.java
@@ -21,15 +21,15 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What a gateway makes of requests that don't come whole, in time or in one reading, and of who sends them. */
+/** How a gateway handles requests that arrive in part, too late or with an ambiguous meaning, and the clients that send them. */
 class ArrivalTest {
     private static final ScriptedHost.Script SERVES = ScriptedHost.reply("200 OK", "fine");
     private static final String HEAD = "Host: x\r\nX-Timeout: 20000m\r\n";
 
-    /** Clients that ask once and keep their connection: they would take all places from those who ask. */
+    /** Clients that send one request and keep their connection would use up all connections, so that other clients get none. */
     @Test
     void withHalfThePlacesTakenAnAnswerEndsItsConnection() throws Exception {
-        // 64 descriptors are kept for other uses; half of the other 16 are for clients.
+        // 64 descriptors are reserved for other uses; half of the remaining 16 are for clients.
         ScriptedHost host = new ScriptedHost(SERVES);
         try (host; GatewayFixture f = new GatewayFixture(list(1, true, List.of(entry("s", host, "up", 0))),
                 GatewayFixture.quietDiscovery(), 60_000_000_000L, 80)) {
@@ -85,7 +85,7 @@
         }
     }
 
-    /** What can't be taken behind an open request must not be answered before it. */
+    /** A request that can't be accepted must not be answered before an open request that came before it on the connection. */
     @ParameterizedTest
     @ValueSource(strings = {
         "408|POST /submit HTTP/1.1\r\nX-Request-ID: b\r\nContent-Length: 60000000\r\n\r\nbegun",
@@ -128,7 +128,7 @@
     @Test
     void clientsThatNeverAskedMakeRoomBeforeOneThatDid() throws Exception {
         ScriptedHost host = new ScriptedHost(SERVES);
-        // 64 descriptors are kept for other uses; half of the other 16 are for clients.
+        // 64 descriptors are reserved for other uses; half of the remaining 16 are for clients.
         try (host; GatewayFixture f = new GatewayFixture(list(1, true, List.of(entry("s", host, "up", 0))),
                 GatewayFixture.quietDiscovery(), 60_000_000_000L, 80)) {
             Client good = f.client();
@@ -142,7 +142,7 @@
         }
     }
 
-    /** The first waits out its whole time at the host, and the second came with it. */
+    /** The first request uses its whole time at the server; the second one was sent together with it. */
     @Test
     void aRequestSentAheadHasItsTimeFromItsLastByte() throws Exception {
         try (ScriptedHost host = new ScriptedHost((socket, request) -> { });
--- a/src/test/java/cinderhollow/daemon/DiscoveryFaultsTest.java
+++ b/src/test/java/cinderhollow/daemon/DiscoveryFaultsTest.java
@@ -11,9 +11,9 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A real process of whose system calls one in five fails: the watch on discovery comes back each time. */
+/** Runs a real process in which one in five system calls fails; the watch of discovery is established again each time. */
 class DiscoveryFaultsTest {
-    /** With these a dial fails about once in three, for want of a socket or in the connect. */
+    /** At this rate about one in three connection attempts fails, because socket or connect fails. */
     private static final int PERCENT = 20;
     private static final int WATCHES = 20;
     private static final int FIRST_VERSION = 2;
--- a/src/test/java/cinderhollow/daemon/DiscoveryTest.java
+++ b/src/test/java/cinderhollow/daemon/DiscoveryTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** How a watch ends: each is told once, whatever the far side does. */
+/** The end of a watch is reported exactly once, whatever discovery does. */
 class DiscoveryTest {
     private final MultiThreadIoEventLoopGroup group =
             new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
@@ -58,7 +58,7 @@
         return told.poll(GatewayFixture.PATIENCE_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    /** A machine that vanished leaves its connections open and says nothing. */
+    /** A machine that disappeared leaves its connections open and sends nothing. */
     @Test
     void aSilentWatchIsBroken() throws Exception {
         try (ScriptedHost server = new ScriptedHost((socket, request) -> {
@@ -85,7 +85,7 @@
             });
             watch(server);
             assertEquals("failed", next());
-            // The same of lines that are read on another thread, and of one that is too long.
+            // The same holds for lines that are parsed on another thread, and for a line that is too long.
             for (String line : List.of("x".repeat(1 << 17), "[".repeat(1 << 17), "{\"a\":1}" + " ".repeat(1 << 17),
                     " ".repeat(Discovery.USUAL_LINE + 1))) {
                 server.script((socket, request) -> {
@@ -102,7 +102,7 @@
         }
     }
 
-    /** As a person would lay it out, and cut anywhere: what ends a list is its last bracket and no line's end. */
+    /** A list that is laid out over several lines and split anywhere ends with its last bracket, not with the end of a line. */
     @Test
     void listsMayComeIndentedOverManyLinesAndInPieces() throws Exception {
         try (ScriptedHost server = new ScriptedHost((socket, request) -> {
@@ -122,7 +122,7 @@
         }
     }
 
-    /** A call that nobody answers is given up long before an answer that has begun and is silent is. */
+    /** A call without any answer is ended long before one whose answer has begun and then falls silent. */
     @Test
     void aCallWithoutAnAnswerIsGivenUpSoonerThanASilentWatch() throws Exception {
         try (ScriptedHost server = new ScriptedHost((socket, request) -> { })) {
@@ -131,7 +131,7 @@
         }
     }
 
-    /** A new configuration that names the same address costs no second call, and renews no silence. */
+    /** A new configuration with the same address starts no second call and does not restart the time-out for silence. */
     @Test
     void aSilentWatchIsBrokenThoughItsAddressIsNamedAgain() throws Exception {
         try (ScriptedHost server = new ScriptedHost((socket, request) -> GatewayFixture.startWatch(socket))) {
@@ -143,7 +143,7 @@
         }
     }
 
-    /** Each byte of it is a sign of life, and the list that it belongs to never comes. */
+    /** Every byte shows that discovery is alive, but the list that the bytes belong to is never completed. */
     @Test
     void aListThatTricklesInWithoutAnEndIsBrokenOff() throws Exception {
         try (ScriptedHost server = new ScriptedHost((socket, request) -> {
@@ -151,7 +151,7 @@
             ScriptedHost.write(socket, "e\r\n{\"index\":8,\"a\"\r\n");
             long begin = System.nanoTime();
             for (long at = begin; at - begin < TimeUnit.SECONDS.toNanos(60); at = System.nanoTime()) {
-                // Fails once the far side has closed.
+                // Throws once the gateway has closed the connection.
                 ScriptedHost.write(socket, "1\r\n \r\n");
                 LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(20));
             }
@@ -161,7 +161,7 @@
         }
     }
 
-    /** After a move the module may still ask, on account of a failure that came before it. */
+    /** After a change of the address the decision module may still request a watch, because of a failure before the change. */
     @Test
     void askingAgainWhileAWatchIsOnItsWayOpensNoSecondOne() throws Exception {
         try (ScriptedHost server = new ScriptedHost((socket, request) -> {
@@ -178,7 +178,7 @@
                 discovery.watch();
             });
             assertEquals("listed 3", next());
-            // Connections are accepted in turn: a second watch would have come before this one.
+            // Connections are accepted in order, so a second watch would have been accepted before this connection.
             try (Socket last = new Socket(next.address().getAddress(), next.address().getPort())) {
                 GatewayFixture.await("the test's own connection", () -> next.connections.stream()
                         .anyMatch(c -> c.getPort() == last.getLocalPort()));
@@ -187,7 +187,7 @@
         }
     }
 
-    /** Guards a start's time: discovery is asked first, and what else there is to do is done meanwhile. */
+    /** Guards against a slow start: discovery must be called first, and the other work of the start be done during that call. */
     @Test
     void aGatewayAsksBeforeItListens() throws Exception {
         InetSocketAddress anywhere = new InetSocketAddress("127.0.0.1", 0);
@@ -204,7 +204,10 @@
         }
     }
 
-    /** Where lists are pushed an agent has them: one that is not watched leaves the gateway with its first list, and never ready. */
+    /**
+     * Where an agent pushes lists, the gateway must watch the agent; without a watch the gateway would keep its first list and
+     * never become ready.
+     */
     @Test
     void aPushedListIsWatchedAndAskedForAgainWhenTheAgentBreaksOff() throws Exception {
         InetSocketAddress anywhere = new InetSocketAddress("127.0.0.1", 0);
--- a/src/test/java/cinderhollow/daemon/EndCrossingsTest.java
+++ b/src/test/java/cinderhollow/daemon/EndCrossingsTest.java
@@ -23,10 +23,13 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** What is still owed in the instant in which the process, a client's idle time or the listener ends. */
+/**
+ * Requests that are received or unread at the moment when the process ends, a client's idle time is over or the listener
+ * closes.
+ */
 class EndCrossingsTest {
     private static final ScriptedHost.Script SERVES = ScriptedHost.reply("200 OK", "served");
-    /** Longer than a gateway goes on taking at its end. */
+    /** Longer than the time for which a gateway that shuts down still accepts requests. */
     private static final long TAKING_MILLIS = 1_300;
 
     private static void lieUnread(long millis) throws Exception {
@@ -35,8 +38,8 @@
     }
 
     /**
-     * The time to stop falls due before the loop has looked at its sockets again: a request on a kept connection, the first one
-     * of a new connection, and one on a connection that stands in the backlog have been taken by then.
+     * The timer that closes the listener expires before the loop has read its sockets again. A request on a kept connection, the
+     * first request of a new connection, and one on a connection in the backlog must still be accepted and answered.
      */
     @Test
     void whatLiesUnreadWhenTheListenerEndsIsAnswered() throws Exception {
@@ -61,7 +64,7 @@
         }
     }
 
-    /** A loop that stood still for longer than a client may be silent: its request has been there all the while. */
+    /** The loop stalls for longer than a client may be silent, while the client's request is already in the socket. */
     @Test
     void aClientIsNotCutOffForASilenceThatWasTheLoops() throws Exception {
         try (ScriptedHost host = new ScriptedHost(SERVES); GatewayFixture f = GatewayFixture.knowing(host)) {
@@ -75,11 +78,14 @@
         }
     }
 
-    /** All places are taken in the turn in which the longest silent client's request is there and only not read yet. */
+    /**
+     * All connections are in use when the request of the client that has been silent longest is in the socket but not read
+     * yet.
+     */
     @Test
     void aRequestThatLiesUnreadIsNotCutOffToMakeRoom() throws Exception {
         try (ScriptedHost host = new ScriptedHost(SERVES);
-                // 64 descriptors are kept for other uses; half of the other 16 are for clients.
+                // 64 descriptors are reserved for other uses; half of the remaining 16 are for clients.
                 GatewayFixture f = new GatewayFixture(list(1, true, List.of(entry("s", host, "up", 0))),
                         GatewayFixture.quietDiscovery(), 60_000_000_000L, 80)) {
             Client longest = f.client();
@@ -96,8 +102,8 @@
     }
 
     /**
-     * All places are taken by clients whose requests are open, so that a further one waits in the backlog; it asks, leaves, and is
-     * accepted only then: its request and its leaving are read together.
+     * All connections are in use by clients with open requests, so a further client waits in the backlog. It sends a request,
+     * disconnects, and is accepted only afterwards, so that its request and its disconnect are read together.
      */
     @Test
     void aRequestIsNotForwardedWhoseClientLeftWhileItWaitedToBeAccepted() throws Exception {
@@ -106,7 +112,7 @@
             ScriptedHost.await(answers);
             SERVES.answer(socket, request);
         });
-                // 64 descriptors are kept for other uses; half of the other 16 are for clients, and one more is taken in.
+                // 64 descriptors are reserved for other uses; half of the remaining 16 are for clients, and one more is accepted.
                 GatewayFixture f = new GatewayFixture(list(1, true, List.of(entry("s", host, "up", 0))),
                         GatewayFixture.quietDiscovery(), 60_000_000_000L, 80)) {
             List<Client> open = new ArrayList<>();
@@ -127,7 +133,7 @@
         }
     }
 
-    /** The answer has been there all the while, and the attempt's time-out and the request's own fall due before it is read. */
+    /** The answer is in the socket, and the time-outs of the attempt and of the request expire before it is read. */
     @Test
     void anAnswerThatLiesUnreadWhenItsTimeIsOverIsServed() throws Exception {
         CountDownLatch answers = new CountDownLatch(1);
@@ -151,7 +157,7 @@
         assertTrue(answer.firstLine().contains(" 200 "), answer.firstLine());
     }
 
-    /** More than the system's buffers hold has been answered on a connection that stays open, and its client reads it late. */
+    /** The answers on a connection that stays open exceed the system's buffers, and the client reads them late. */
     @Test
     void answersThatTheirClientHasNotReadYetOutlastTheEndOfIdleConnections() throws Exception {
         int many = 120;
@@ -175,7 +181,7 @@
         }
     }
 
-    /** What can't be read stands behind more answers than the system's buffers hold, and its client reads them all late. */
+    /** A malformed request comes behind more answers than the system's buffers hold, and the client reads all of them late. */
     @Test
     void whoIsToldThatItCannotBeReadHasAllItsAnswersFirst() throws Exception {
         int many = 120;
@@ -205,7 +211,10 @@
         }
     }
 
-    /** Its time is longer than the platform leaves from the word to end to the kill, which is 3.7 s at the most. */
+    /**
+     * The request's deadline lies beyond the time that the platform leaves between SIGTERM and the kill, which is at most
+     * 3.7 s.
+     */
     @Test
     void aRequestWithMoreTimeThanTheEndLeavesIsAnsweredBeforeTheKill() throws Exception {
         try (ScriptedHost host = new ScriptedHost((socket, request) -> { }); GatewayFixture f = GatewayFixture.knowing(host)) {
@@ -218,14 +227,14 @@
             after.write(submit("after", LONG_MILLIS, "x"));
             String answer = before.read().firstLine();
             assertTrue(answer.contains(" 502 "), answer);
-            // It was sent to nobody while the one host was busy, or sent there.
+            // While the only server was busy, the request was either sent to no server or to this one.
             String later = after.read().firstLine();
             assertTrue(later.contains(" 502 ") || later.contains(" 503 "), later);
             ended.get(PATIENCE_MILLIS, TimeUnit.MILLISECONDS);
         }
     }
 
-    /** The platform's time runs from its word, and the loop hears of it when most of that time has passed. */
+    /** The platform's time runs from SIGTERM, and the loop is notified when most of that time has passed. */
     @Test
     void whatALoopThatHearsLateOfTheEndHoldsIsAnsweredBeforeTheKill() throws Exception {
         try (ScriptedHost host = new ScriptedHost((socket, request) -> { }); GatewayFixture f = GatewayFixture.knowing(host)) {
@@ -236,14 +245,14 @@
             CompletableFuture<Void> ended = f.gateway.end();
             lieUnread(3_400);
             goOn.run();
-            // Counted from the hearing it would come 3.5 s later.
+            // If the time were counted from the notification of the loop, the answer would come 3.5 s later.
             client.socket.setSoTimeout(2_500);
             assertTrue(client.read().firstLine().contains(" 502 "));
             ended.get(PATIENCE_MILLIS, TimeUnit.MILLISECONDS);
         }
     }
 
-    /** A part of a large body has come, and its client has half a minute for the rest: the process doesn't. */
+    /** A part of a large body has arrived; its client would have 30 s for the rest, but the process ends earlier. */
     @Test
     void aRequestThatIsNotWholeByTheEndIsAnsweredAllTheSame() throws Exception {
         try (ScriptedHost host = new ScriptedHost(SERVES); GatewayFixture f = GatewayFixture.knowing(host)) {
@@ -252,7 +261,7 @@
             half.write("x".repeat(1_000_000));
             await("the request", () -> f.open() == 1);
             CompletableFuture<Void> ended = f.gateway.end();
-            // It goes on to send, so that no silence of its own ends it before the process does.
+            // The client keeps sending, so that the time-out for silence does not end the request before the process ends.
             CompletableFuture<Message> answered = CompletableFuture.supplyAsync(() -> {
                 try {
                     return half.read();
--- a/src/test/java/cinderhollow/daemon/EndStagesTest.java
+++ b/src/test/java/cinderhollow/daemon/EndStagesTest.java
@@ -15,9 +15,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** A request is answered whole, once, at whatever stage of it the process is asked to end. */
+/** A request is answered completely and exactly once, whatever its stage is when the shutdown of the process is requested. */
 class EndStagesTest {
-    /** How far the request has come. */
+    /** Stage of the request when the shutdown is requested. */
     private enum Stage { ACCEPTED, HALF_READ, UNREAD, OUT, HALF_ANSWERED }
 
     private static final String BODY = "x".repeat(3_000), ANSWER = "y".repeat(200_000);
@@ -40,7 +40,7 @@
                 ended = endWhileUnread(f, client, request);
             } else {
                 if (stage == Stage.ACCEPTED) {
-                    // Another's answer that came later than the connect: the gateway has it by now.
+                    // This answer came after the connect, so the gateway has accepted the connection by now.
                     f.get("/ready");
                 } else {
                     client.write(stage == Stage.HALF_READ ? request.substring(0, 1_000) : request);
@@ -70,13 +70,13 @@
         }
     }
 
-    /** The whole request lies in the socket while the loop is busy, and the end is asked for before it is read. */
+    /** Requests the shutdown while the loop is busy and the whole request is in the socket, before it is read. */
     private static CompletableFuture<Void> endWhileUnread(GatewayFixture f, Client client, String request) throws Exception {
         f.get("/ready");
         Runnable goOn = f.holdLoop();
         client.write(request);
         CompletableFuture<Void> ended = f.gateway.end();
-        // As long as the gateway would go on taking: what lies unread then must not be cut off with the idle connections.
+        // As long as the gateway would accept requests: what is unread by then must not be closed with the idle connections.
         long asked = System.nanoTime();
         Await.until("it has lain unread", () -> System.nanoTime() - asked > TimeUnit.MILLISECONDS.toNanos(1_200));
         goOn.run();
--- a/src/test/java/cinderhollow/daemon/FaultsTest.java
+++ b/src/test/java/cinderhollow/daemon/FaultsTest.java
@@ -12,13 +12,13 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.junit.jupiter.api.Test;
 
-/** A fault in the middle of the decision, forced by a log that takes none of certain lines. */
+/** An exception in the middle of a decision, forced by a log that throws on certain lines. */
 class FaultsTest {
     private static String shortTimes(String settings) {
         return settings.replace("\"aim_ns\":10000000000,\"deadline_ns\":20000000000", "\"aim_ns\":20000000,\"deadline_ns\":2000000000");
     }
 
-    /** Told in the middle of a step: the steps after it come all the same. */
+    /** The exception comes in the middle of a tick; the ticks after it must still run. */
     @Test
     void aFaultInAStepIsNotTheEndOfAllSteps() throws Exception {
         AtomicInteger steps = new AtomicInteger();
@@ -31,7 +31,7 @@
             Client client = f.client();
             AtomicInteger asked = new AtomicInteger();
             await("a second step with refusals", () -> {
-                // Nobody is there to serve it.
+                // No server is available for it.
                 assertTrue(refused(client, "r" + asked.incrementAndGet()));
                 return steps.get() > 1;
             });
@@ -46,7 +46,7 @@
         }
     }
 
-    /** Told in the middle of a sweep, after which nobody looks at what is held: the guard does. */
+    /** The exception ends a sweep, so held requests are not examined by it; the guard must answer them. */
     @Test
     void whatAFaultLeavesBehindIsAnsweredWithinItsTime() throws Exception {
         int many = 40;
@@ -58,7 +58,7 @@
                         throw new IllegalStateException("forced");
                     }
                 }, FaultsTest::shortTimes, silent)) {
-            // Who has answered is believed to have room for more than one at a time.
+            // A server that has answered gets an in-flight limit of more than one.
             for (int i = 0; i < many; i++) {
                 assertTrue(f.client().ask(submit("a" + i, 2_000, "x")).firstLine().contains(" 200 "));
             }
--- a/src/test/java/cinderhollow/daemon/GatewayConfigTest.java
+++ b/src/test/java/cinderhollow/daemon/GatewayConfigTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What a gateway is told at its start, and what it says of what it can't use. */
+/** Reading of the configuration at the start, and the error messages about what is invalid in it. */
 class GatewayConfigTest {
     @TempDir
     private Path folder;
--- a/src/test/java/cinderhollow/daemon/GatewayFixture.java
+++ b/src/test/java/cinderhollow/daemon/GatewayFixture.java
@@ -30,10 +30,10 @@
 import java.util.function.Consumer;
 import java.util.function.UnaryOperator;
 
-/** A gateway on a free loopback port, its discovery, and clients for it. */
+/** A gateway on a free loopback port, with its discovery and with clients that connect to it. */
 final class GatewayFixture implements AutoCloseable {
     static final int PATIENCE_MILLIS = 10_000;
-    /** Long enough that no time-out ends anything in a test that isn't about time-outs. */
+    /** So long that no time-out expires in a test that isn't about time-outs. */
     static final int LONG_MILLIS = 20_000;
 
     static final String SETTINGS = """
@@ -52,27 +52,30 @@
     final Serving gateway;
     private final InetSocketAddress address;
 
-    /** A gateway that knows these hosts, all up for long, and whose discovery has nothing to add. */
+    /** Starts a gateway whose list has these servers, all of them up for a long time, and whose discovery reports no changes. */
     static GatewayFixture knowing(ScriptedHost... hosts) throws Exception {
         return governed(null, hosts);
     }
 
-    /** The same under an operator's file. */
+    /** Starts the same gateway with an operator's file. */
     static GatewayFixture governed(String operator, ScriptedHost... hosts) throws Exception {
         return new GatewayFixture(upFor(hosts), quietDiscovery(), 60_000_000_000L, 1024, operator, false);
     }
 
-    /** The same where operators may ask for figures. */
+    /** Starts the same gateway with an operators' socket. */
     static GatewayFixture asked(ScriptedHost... hosts) throws Exception {
         return new GatewayFixture(upFor(hosts), quietDiscovery(), 60_000_000_000L, 1024, null, true);
     }
 
-    /** The same with other settings than the usual. */
+    /** Starts the same gateway with changed settings and a given discovery. */
     static GatewayFixture tuned(UnaryOperator<String> settings, ScriptedHost discovery, ScriptedHost... hosts) throws Exception {
         return new GatewayFixture(settings, upFor(hosts), discovery, 60_000_000_000L, 1024, null, false, System.out::println);
     }
 
-    /** The same with another way for what it logs, on its event loop: what that throws is a fault in whatever logs. */
+    /**
+     * Starts the same gateway with a given log, which is called on its event loop; an exception of the log is thrown in the code
+     * that logs the line.
+     */
     static GatewayFixture logging(Consumer<String> log, UnaryOperator<String> settings, ScriptedHost... hosts) throws Exception {
         return new GatewayFixture(settings, upFor(hosts), quietDiscovery(), 60_000_000_000L, 1024, null, false, log);
     }
@@ -85,12 +88,12 @@
         return list(1, true, entries);
     }
 
-    /** A gateway with all of these; it closes its discovery. */
+    /** Starts a gateway with these values; {@link #close} closes its discovery too. */
     GatewayFixture(String known, ScriptedHost discovery, long idleNanos, int sockets) throws Exception {
         this(known, discovery, idleNanos, sockets, null, false);
     }
 
-    /** The same under an operator's file. */
+    /** Starts a gateway with these values and an operator's file. */
     GatewayFixture(String known, ScriptedHost discovery, long idleNanos, int sockets, String operator)
             throws Exception {
         this(known, discovery, idleNanos, sockets, operator, false);
@@ -116,26 +119,26 @@
         await("ready", () -> get("/ready").firstLine().contains(" 200 "));
     }
 
-    /** Its event loops. */
+    /** Returns the event loops of the gateway. */
     List<EventExecutor> loops() {
         List<EventExecutor> loops = new ArrayList<>();
         group.forEach(loops::add);
         return loops;
     }
 
-    /** Its first loop stands still, as that of a process that gets no core, until the result is run. */
+    /** Blocks the first event loop, like that of a process that gets no CPU, until the returned task is run. */
     Runnable holdLoop() throws InterruptedException {
         return holdLoop(0);
     }
 
-    /** The same of another one; the last one accepts, where there are several. */
+    /** Blocks the event loop with this number in the same way; where there are several, the last one accepts connections. */
     Runnable holdLoop(int number) throws InterruptedException {
         CountDownLatch held = new CountDownLatch(1);
         CountDownLatch goOn = new CountDownLatch(1);
         loops().get(number).execute(() -> {
             held.countDown();
             try {
-                assertTrue(goOn.await(PATIENCE_MILLIS, TimeUnit.MILLISECONDS), "nobody let it go on");
+                assertTrue(goOn.await(PATIENCE_MILLIS, TimeUnit.MILLISECONDS), "the loop was not resumed in time");
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
@@ -145,8 +148,8 @@
     }
 
     /**
-     * The same between a look at its sockets and the tasks that are due: what comes meanwhile is not seen before these tasks,
-     * as at a loop that lost its core in the middle of its reading.
+     * Blocks the first event loop between its reading of the sockets and the tasks that are due. What arrives meanwhile is not
+     * read before these tasks run, as in a loop that lost its CPU in the middle of reading.
      */
     Runnable holdLoopAtItsSockets() throws Exception {
         CountDownLatch held = new CountDownLatch(1);
@@ -157,7 +160,7 @@
                         @Override
                         protected void channelRead0(ChannelHandlerContext ctx, ByteBuf bytes) throws InterruptedException {
                             held.countDown();
-                            assertTrue(goOn.await(PATIENCE_MILLIS, TimeUnit.MILLISECONDS), "nobody let it go on");
+                            assertTrue(goOn.await(PATIENCE_MILLIS, TimeUnit.MILLISECONDS), "the loop was not resumed in time");
                         }
                     }).connect(far.getLocalSocketAddress());
             Socket near = far.accept();
@@ -168,7 +171,7 @@
         return goOn::countDown;
     }
 
-    /** How many requests it has taken and not ended. */
+    /** Returns the number of requests that the gateway has accepted and not ended. */
     long open() {
         return gateway.standing().join().open();
     }
@@ -183,7 +186,7 @@
                 + String.join(",", entries) + "]}";
     }
 
-    /** A watch that says that nothing changed, and then stays open. */
+    /** Creates a discovery whose watch reports that nothing changed, and then stays open. */
     static ScriptedHost quietDiscovery() throws IOException {
         return new ScriptedHost((socket, request) -> {
             startWatch(socket);
@@ -210,7 +213,7 @@
         return new Client(socket);
     }
 
-    /** An answer on a connection of its own. */
+    /** Returns the answer to a GET of this path on a new connection. */
     Message get(String path) {
         try {
             return client().ask("GET " + path + " HTTP/1.1\r\nHost: x\r\n\r\n");
@@ -229,7 +232,7 @@
                 + "m\r\nContent-Length: " + body.length() + "\r\n\r\n" + body;
     }
 
-    /** One connection to the gateway. */
+    /** A client with one connection to the gateway. */
     static final class Client {
         final Socket socket;
         private final InputStream in;
@@ -243,7 +246,7 @@
             ScriptedHost.write(socket, text);
         }
 
-        /** The next answer, or null where the gateway closed the connection. */
+        /** Returns the next answer, or null if the gateway has closed the connection. */
         Message read() throws IOException {
             return Message.read(in);
         }
--- a/src/test/java/cinderhollow/daemon/GatewayProcess.java
+++ b/src/test/java/cinderhollow/daemon/GatewayProcess.java
@@ -17,7 +17,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.stream.Stream;
 
-/** A gateway in a process of its own, as {@code serve} starts it, which a test can pause and resume by signals. */
+/** A gateway in its own process, started as by {@code serve}, which a test can pause and resume with signals. */
 final class GatewayProcess implements AutoCloseable {
     /** The state of a stopped thread in /proc/PID/task/TID/stat. */
     private static final char STOPPED = 'T';
@@ -33,12 +33,12 @@
         this.log = log;
     }
 
-    /** A ready gateway that knows these servers. */
+    /** Starts a gateway whose list has these servers, and waits until it is ready. */
     static GatewayProcess start(Path folder, ScriptedHost... servers) throws Exception {
         return start(folder, Map.of(), servers);
     }
 
-    /** The same with further variables in its environment. */
+    /** Starts the same gateway with additional environment variables. */
     static GatewayProcess start(Path folder, Map<String, String> environment, ScriptedHost... servers) throws Exception {
         List<String> entries = new ArrayList<>();
         for (int i = 0; i < servers.length; i++) {
@@ -53,7 +53,7 @@
         ProcessBuilder builder = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-cp",
                 System.getProperty("java.class.path"), "cinderhollow.cli.Main", "serve").redirectErrorStream(true)
                 .redirectOutput(log.toFile());
-        // Discovery refuses its calls: the known list stays in force.
+        // No connection to discovery succeeds, so the gateway keeps the list of its configuration.
         builder.environment().putAll(Map.of("LB_LISTEN", Loopback.own().getHostAddress() + ":" + port,
                 "LB_DISCOVERY", "127.0.0.1:1", "LB_CONFIG", config.toString()));
         builder.environment().putAll(environment);
@@ -68,7 +68,7 @@
             return gateway;
         } finally {
             if (!ready) {
-                // Nobody else would end it: a start that hangs would outlive the tests.
+                // A process that hangs during its start would otherwise outlive the tests.
                 System.err.println(gateway.log());
                 gateway.close();
             }
@@ -84,12 +84,12 @@
         }
     }
 
-    /** What it has written so far. */
+    /** Returns what the process has written to its log so far. */
     String log() throws IOException {
         return Files.readString(log);
     }
 
-    /** A new connection. */
+    /** Opens a new connection to the gateway. */
     Client client() throws IOException {
         Socket socket = new Socket(Loopback.own(), port);
         socket.setSoTimeout(GatewayFixture.LONG_MILLIS);
@@ -97,10 +97,10 @@
         return new Client(socket);
     }
 
-    /** Nothing of it runs until {@link #resume}; its sockets go on taking bytes. */
+    /** Stops all threads of the process until {@link #resume}; its sockets still receive bytes. */
     void pause() throws Exception {
         signal("STOP");
-        // The signal has been sent by now; each thread stops when it is next scheduled.
+        // The signal has been sent, but each thread stops only when it is next scheduled.
         Await.until("all threads stopped", this::isStopped);
     }
 
@@ -124,7 +124,7 @@
         assertEquals(0, new ProcessBuilder("kill", "-" + name, String.valueOf(process.pid())).start().waitFor());
     }
 
-    /** Whether it ends within the time. */
+    /** Returns whether the process ends within this time. */
     boolean endsWithin(long millis) throws InterruptedException {
         return process.waitFor(millis, TimeUnit.MILLISECONDS);
     }
--- a/src/test/java/cinderhollow/daemon/GatewayTest.java
+++ b/src/test/java/cinderhollow/daemon/GatewayTest.java
@@ -26,7 +26,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What clients and hosts see of a gateway, over loopback sockets. */
+/** Behaviour of a gateway toward clients and servers, over loopback sockets. */
 class GatewayTest {
     private static final Script SERVES = ScriptedHost.reply("200 OK", "fine");
     private static final Script SILENT = (socket, request) -> { };
@@ -82,7 +82,7 @@
         }
     }
 
-    /** Sent ahead in one go, more of them than are held: each is answered, in order. */
+    /** More pipelined requests than the gateway holds arrive in one write; each must be answered, in order. */
     @Test
     void answersRequestsThatWereSentAheadInTheirOrder() throws Exception {
         Script echoes = (socket, request) ->
@@ -110,7 +110,7 @@
         }
     }
 
-    /** The first exchange leaves a kept connection; the host then breaks it under the second request. */
+    /** The first exchange leaves a kept connection, which the server then breaks during the second request. */
     @Test
     void neverReplaysOnAStaleKeptConnection() throws Exception {
         try (ScriptedHost host = new ScriptedHost(SERVES); GatewayFixture f = GatewayFixture.knowing(host)) {
@@ -216,7 +216,7 @@
             line(watches.get(0), list(2, false, List.of(entry("s", draining, "draining", 0),
                     entry("o", other, "up", 0), entry("p", other, "up", 0))));
             for (int i = 0; other.requests.isEmpty(); i++) {
-                // A client that is told to come back does; the list is on its way to the gateway.
+                // Requests are repeated until the gateway has received the new list, which is on its way.
                 assertTrue(i < PATIENCE_MILLIS);
                 f.client().ask(status("s" + i, 200));
             }
@@ -270,7 +270,7 @@
         }
     }
 
-    /** Clients may have nobody else to go to: what they have goes on being served, on the same connection. */
+    /** Clients may have no other gateway, so their requests must still be served, on the same connection. */
     @Test
     void servesOnKeptConnectionsForATimeAfterItWasAskedToEnd() throws Exception {
         try (ScriptedHost host = new ScriptedHost(SERVES); GatewayFixture f = GatewayFixture.knowing(host)) {
@@ -290,7 +290,7 @@
     @Test
     void makesRoomForNewClientsByClosingTheLongestIdle() throws Exception {
         ScriptedHost host = new ScriptedHost(SERVES);
-        // 64 descriptors are kept for other uses; half of the other 16 are for clients.
+        // 64 descriptors are reserved for other uses; half of the remaining 16 are for clients.
         try (host; GatewayFixture f = new GatewayFixture(list(1, true, List.of(entry("s", host, "up", 0))),
                 GatewayFixture.quietDiscovery(), 60_000_000_000L, 80)) {
             Client oldest = f.client();
@@ -322,7 +322,10 @@
         }
     }
 
-    /** Most hosts fail one class and serve the other well: this class goes to the one that serves it. */
+    /**
+     * Most servers fail one class and serve the other; requests of the failing class must go to the one server that serves
+     * it.
+     */
     @Test
     void aClassGoesRoundTheHostsThatFailIt() throws Exception {
         Script failsPosts = (socket, request) -> ScriptedHost.reply(request.firstLine().startsWith("POST")
@@ -337,13 +340,13 @@
                 assertTrue(client.ask(status("s" + i, LONG_MILLIS)).firstLine().contains(" 200 "));
                 failed += client.ask(submit("p" + i, LONG_MILLIS, "x")).firstLine().contains(" 502 ") ? 1 : 0;
             }
-            // Some until it is known, and a trial a second at each.
+            // Some requests fail until the failures are detected, then one trial per second at each server.
             long most = 20 + 3 * TimeUnit.NANOSECONDS.toSeconds(System.nanoTime() - begin);
             assertTrue(failed <= most, failed + " of 200 failed");
         }
     }
 
-    /** An answer that never comes must not wait for its time-out, once the host has answered what came later. */
+    /** A request whose answer is lost must not wait for its time-out once the server has answered later requests. */
     @Test
     void anOvertakenRequestIsTriedElsewhere() throws Exception {
         List<Socket> watches = new CopyOnWriteArrayList<>();
--- a/src/test/java/cinderhollow/daemon/HalfSentTest.java
+++ b/src/test/java/cinderhollow/daemon/HalfSentTest.java
@@ -30,7 +30,10 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** A request of which a host has a part, and reads no more: more than the system's buffers hold, so its last byte can't be out. */
+/**
+ * A request that was sent in part to a server that stopped reading. It is larger than the system's buffers, so its last byte
+ * can't have been sent.
+ */
 class HalfSentTest {
     private static final int MORE_THAN_BUFFERS = 24 * 1024 * 1024;
     private static final long LONG_NANOS = TimeUnit.SECONDS.toNanos(60);
@@ -57,7 +60,7 @@
         group.shutdownGracefully(0, 100, TimeUnit.MILLISECONDS).await(PATIENCE_MILLIS);
     }
 
-    /** Sent, and its first bytes have come. */
+    /** Starts the attempt and waits until the server has received its first bytes. */
     private HostPool.Attempt begins(long timeoutNanos) throws Exception {
         FullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.POST, "/submit",
                 Unpooled.wrappedBuffer(new byte[MORE_THAN_BUFFERS]));
@@ -73,7 +76,10 @@
         return ended.get(PATIENCE_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    /** Its client has left: calling it off calls off no work, so it is done where cancels are forbidden too. */
+    /**
+     * The client has disconnected; cancelling the attempt cancels no work of the server, so it is done even where cancels are
+     * forbidden.
+     */
     @Test
     void isCalledOffAndNeverComesWhole() throws Exception {
         HostPool.Attempt attempt = begins(LONG_NANOS);
@@ -90,7 +96,7 @@
         assertTrue(host.getInputStream().readAllBytes().length < MORE_THAN_BUFFERS);
     }
 
-    /** No host can have served what it doesn't have whole: this is noise, and must not pass for the answer. */
+    /** A server can't have served a request that it received in part, so these bytes must not be taken for the answer. */
     @Test
     void isNotServedByAnAnswerThatComesBeforeItsEnd() throws Exception {
         begins(LONG_NANOS);
--- a/src/test/java/cinderhollow/daemon/HandoverTest.java
+++ b/src/test/java/cinderhollow/daemon/HandoverTest.java
@@ -28,7 +28,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Two gateways and the socket between them; whoever is at its far side may be anything. */
+/** Handover between two gateways over a socket, whose other side may also be a different or a faulty process. */
 class HandoverTest {
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final List<String> log = new CopyOnWriteArrayList<>();
@@ -36,7 +36,7 @@
 
     @BeforeEach
     void folder() throws IOException {
-        // Not the test runner's own: a path of over a hundred characters is none for such a socket.
+        // Not the temporary folder of the test runner: the path of a Unix socket may have at most about a hundred characters.
         folder = Files.createTempDirectory("ho");
     }
 
@@ -88,7 +88,7 @@
         }
     }
 
-    /** The second successor meets the first one: whoever offers last is found, and no instant is without an offer. */
+    /** The second successor takes over from the first one: the newest offer is found, and there is an offer at any time. */
     @Test
     void aThirdProcessTakesOverFromTheSecond() throws Exception {
         try (ScriptedHost host = new ScriptedHost(ScriptedHost.reply("200 OK", "fine"));
@@ -120,7 +120,10 @@
         }
     }
 
-    /** At the far side is no gateway of this build, or one that is stuck or dies: a plain start, and soon. */
+    /**
+     * The other side is no gateway of this build, or one that hangs or dies: the gateway must start without handover, and
+     * soon.
+     */
     @ParameterizedTest
     @ValueSource(strings = {"", "nonsense without an end to the line and far longer than any first line of ours would be",
         "kestrelpier-handover 2 5 00000000\nabcde", "kestrelpier-handover 1 5 00000000\nabcde",
@@ -153,7 +156,7 @@
         }
     }
 
-    /** What a process that was killed leaves behind is a name that nobody answers at. */
+    /** A process that was killed leaves a socket file on which no process listens. */
     @Test
     void aNameThatNobodyAnswersAtIsAPlainStart() throws Exception {
         ServerSocketChannel killed = ServerSocketChannel.open(StandardProtocolFamily.UNIX);
--- a/src/test/java/cinderhollow/daemon/InTurnTest.java
+++ b/src/test/java/cinderhollow/daemon/InTurnTest.java
@@ -22,7 +22,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** Long work on a loop leaves room for what comes from sockets. */
+/** Long work on an event loop is done in steps, between which the loop reads its sockets. */
 class InTurnTest {
     private static final int STEPS = 40;
 
--- a/src/test/java/cinderhollow/daemon/JournalFaultsTest.java
+++ b/src/test/java/cinderhollow/daemon/JournalFaultsTest.java
@@ -18,14 +18,14 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * A real process whose disk fails for some seconds (ENOSPC, EIO, short writes, failing syncs): requests are answered all the
- * while, and the ledger's journal goes on by itself when the disk does.
+ * Runs a real process whose disk fails for some seconds (ENOSPC, EIO, short writes, failing syncs). Requests must be answered
+ * during that time, and the ledger's journal must resume by itself once the disk works again.
  */
 class JournalFaultsTest {
     private static final int PERCENT = 60;
     private static final int FAILS_FOR_SECONDS = 6;
     private static final int AFTERWARDS = 20;
-    /** The disk fails no more by then, and the journal, which asks a failing one once a second, has asked it again. */
+    /** By then the disk works again, and the journal, which retries a failing disk once a second, has tried it again. */
     private static final long OVER_NANOS = TimeUnit.SECONDS.toNanos(FAILS_FOR_SECONDS + 3);
 
     @TempDir
@@ -44,7 +44,7 @@
             int[] asked = {0};
             Await.until("the disk's end of trouble", () -> {
                 serve(client, asked[0]++);
-                // A write may succeed while others still fail.
+                // One write may succeed while others still fail.
                 return System.nanoTime() - begin > OVER_NANOS && gateway.log().contains("ledger's journal: goes on");
             });
             for (int i = 0; i < AFTERWARDS; i++) {
--- a/src/test/java/cinderhollow/daemon/JournalMeasurement.java
+++ b/src/test/java/cinderhollow/daemon/JournalMeasurement.java
@@ -11,13 +11,13 @@
 import java.util.List;
 import java.util.Locale;
 
-/** How long it takes to read a journal back, and what memory it needs: {@code JournalMeasurement FOLDER MEGABYTES OPEN}. */
+/** Measures the time and memory for reading a journal back: {@code JournalMeasurement FOLDER MEGABYTES OPEN}. */
 final class JournalMeasurement {
     private static final int FRAME = 1 << 15;
 
     private JournalMeasurement() { }
 
-    /** Writes so many megabytes of requests, of which so many stay open at any time, and reads them back. */
+    /** Writes MEGABYTES of records, with OPEN requests open at any time, and reads them back. */
     public static void main(String[] args) throws IOException {
         Path file = Path.of(args[0], "measured.journal");
         write(file, Long.parseLong(args[1]) << 20, Integer.parseInt(args[2]));
--- a/src/test/java/cinderhollow/daemon/JournalTest.java
+++ b/src/test/java/cinderhollow/daemon/JournalTest.java
@@ -33,7 +33,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The journal on a disk that is sound, torn, flipped, full, slow or not there. */
+/** The journal on a working disk, with torn files or flipped bits, and on a disk that is full, stalled or not usable. */
 class JournalTest {
     private static final long SYNC_NANOS = TimeUnit.MILLISECONDS.toNanos(20);
 
@@ -44,7 +44,7 @@
     private final EventLoop loop = group.next();
     private final Ledger ledger = new Ledger(List.of("class status", "class submit"));
     private final List<String> log = new CopyOnWriteArrayList<>();
-    /** Of the loop. */
+    /** Open requests by number; used on the event loop only. */
     private final Map<Long, String> open = new LinkedHashMap<>();
     private long number;
 
@@ -62,7 +62,7 @@
         open.forEach((request, id) -> frame.held(request, 1, id));
     }
 
-    /** Begins so many requests and ends so many of those that are open, on the loop. */
+    /** Records on the event loop that {@code openCount} requests begin and {@code endCount} of the open ones end. */
     private void play(Journal journal, int begin, int end) throws Exception {
         loop.submit(() -> {
             for (int i = 0; i < begin; i++) {
@@ -92,7 +92,7 @@
         }
     }
 
-    /** What a next life would find, if this one were killed now, comes to be what is open. */
+    /** Waits until a next process, if this one were killed now, would find exactly the open requests in the journal. */
     private void awaitKnown() throws Exception {
         Set<String> expected = openNow();
         Await.until("the journal", () -> orphans(folder).equals(expected));
@@ -109,7 +109,7 @@
         awaitKnown();
         assertEquals(200, openNow().size());
         assertEquals(0, first.lost());
-        // As a next life finds it: in a copy, since this one still has the directory.
+        // Reads the journal as the next process would, in a copy, because the running journal holds the lock of the directory.
         Path copy = Files.createDirectory(folder.resolve("copy"));
         for (Path file : files()) {
             Files.copy(file, copy.resolve(file.getFileName()));
@@ -143,7 +143,7 @@
             play(journal, 400, 390);
             assertTrue(files().size() <= 3, files().toString());
             if (round % 10 == 0) {
-                // A thread of the journal's own that gets no core would else write all of it in one go, into one file.
+                // Without this wait a journal thread that gets no CPU would write everything at once, into one file.
                 awaitKnown();
             }
         }
@@ -154,7 +154,7 @@
         assertTrue(newest > 5, "rotated " + newest + " times");
     }
 
-    /** A file cut off anywhere, and one with any bit turned, is read as far as it can be believed, and told of. */
+    /** A file that is cut off anywhere or has any bit flipped is read as far as it can be trusted, and the damage is reported. */
     @Test
     void tornTailsAndFlippedBitsAreToldAndNeverBelieved() throws Exception {
         Journal journal = journal(Journal.FILES, 1 << 20);
@@ -182,7 +182,7 @@
         }
     }
 
-    /** A newer file whose beginning was cut off stands for nothing: the one before it still tells all. */
+    /** A newer file whose beginning is incomplete is ignored: the file before it still has everything. */
     @Test
     void aFileThatDoesNotTellAllLeavesTheOneBeforeInForce() throws Exception {
         Journal journal = journal(Journal.FILES, 1 << 20);
@@ -198,7 +198,7 @@
         assertTrue(Lives.read(folder, List.of(0)).lines().stream().anyMatch(line -> line.startsWith(noise.getFileName() + ": ")));
     }
 
-    /** How a write goes on a disk that is not sound. */
+    /** Behaviour of a write on a faulty disk. */
     private interface Writes {
         void write(Journal.Output real, ByteBuffer bytes) throws IOException;
     }
@@ -225,13 +225,16 @@
         };
     }
 
-    /** Full: said once, traffic goes on, and with room again all is told anew. */
+    /**
+     * A full disk is reported once and requests are still served; once there is space again, a complete checkpoint is
+     * written.
+     */
     @Test
     void aFullDiskCostsEntriesAndIsMadeUpFor() throws Exception {
         AtomicBoolean isFull = new AtomicBoolean();
         Journal.Disk disk = disk((real, bytes) -> {
             if (isFull.get()) {
-                // A part of it still finds room: the file has a torn tail.
+                // A part of the bytes still fits, so the file ends with a torn record.
                 real.write(bytes.slice(bytes.position(), bytes.remaining() / 2));
                 throw new IOException("No space left on device");
             }
@@ -255,7 +258,7 @@
         assertTrue(Lives.read(folder, List.of(0)).lives().get(0).addsUp());
     }
 
-    /** The disk stands still, by a latch: the loop goes on, memory is bounded, and what was lost is made up for. */
+    /** While a latch blocks the disk, the event loop runs on and memory is bounded; lost entries are made up for afterwards. */
     @Test
     void aDiskThatStandsStillHoldsNothingUp() throws Exception {
         CountDownLatch goOn = new CountDownLatch(1);
--- a/src/test/java/cinderhollow/daemon/KilledTest.java
+++ b/src/test/java/cinderhollow/daemon/KilledTest.java
@@ -19,10 +19,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A real process that is killed with hundreds of requests open, and the next one. */
+/** Kills a real process that has hundreds of open requests, and checks what the next process reports. */
 class KilledTest {
     private static final int REQUESTS = 300;
-    /** So long that no time-out ends anything. */
+    /** Ten minutes, so that no time-out expires during the test. */
     private static final String LONG = "600000000000";
 
     @TempDir
--- a/src/test/java/cinderhollow/daemon/LargeBodiesTest.java
+++ b/src/test/java/cinderhollow/daemon/LargeBodiesTest.java
@@ -36,12 +36,12 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Bodies that are too large to be held, in all forms, both ways, and what breaks in the middle of them. */
+/** Bodies of requests and answers that are too large to be buffered, in all framings, and failures in the middle of them. */
 class LargeBodiesTest {
     private static final long POOL_CHUNK = 4 << 20;
     private static final int LARGE = 3_000_000, HELD = 64 * 1024;
 
-    /** Numbers, so that a part that is missing, or comes twice, shows. */
+    /** Returns a body of consecutive numbers, so that a part that is missing or duplicated is detected. */
     private static String body(int length) {
         return IntStream.range(0, length / 8 + 1).mapToObj(i -> String.format("%08d", i)).collect(Collectors.joining())
                 .substring(0, length);
@@ -69,7 +69,7 @@
                 + "m\r\nTransfer-Encoding: chunked\r\n\r\n" + chunked(body, 10_007);
     }
 
-    /** Writes beside the reading: neither side may wait for the other to have done all of its own. */
+    /** Writes on another thread than it reads, because neither side may wait until the other has sent everything. */
     private static Message ask(Client client, String request) throws Exception {
         Thread writer = new Thread(() -> {
             try {
@@ -101,7 +101,7 @@
         }
     }
 
-    /** Two large ones and a small one, sent one behind the other without waiting. */
+    /** Two large requests and a small one are pipelined on one connection. */
     @Test
     void whatIsSentBehindALargeBodyIsAnsweredInItsTurn() throws Exception {
         String body = body(LARGE);
@@ -125,7 +125,7 @@
         }
     }
 
-    /** A client of old knows no chunks: it has the body's end by the connection's, and a break by a reset. */
+    /** An HTTP/1.0 client does not know chunks: the close of the connection ends the body, and a reset marks a broken one. */
     @Test
     void aClientOfOldHasItsAnswerUpToTheConnectionsEnd() throws Exception {
         String body = body(LARGE);
@@ -163,7 +163,10 @@
         }
     }
 
-    /** The connection breaks behind the head of a large answer: nothing of it has gone out, and its client has a whole one. */
+    /**
+     * The server's connection breaks behind the head of a large answer. Nothing of it has been forwarded, so the client must get
+     * a complete answer.
+     */
     @Test
     void anAnswerThatBreaksOffBehindItsHeadIsOneThatHasNotBegun() throws Exception {
         CompletableFuture<Socket> begun = new CompletableFuture<>();
@@ -174,7 +177,7 @@
             Client client = f.client();
             client.write(submit("h1", LONG_MILLIS, "x"));
             Socket out = begun.get(PATIENCE_MILLIS, TimeUnit.MILLISECONDS);
-            // Asked later than the head was written, and so answered later than it was read.
+            // Requested after the head was written, so this answer comes after the gateway has read the head.
             f.get("/ready");
             ScriptedHost.reset(out);
             Message answer = client.read();
@@ -187,7 +190,7 @@
         return f.gateway.standing().join().operations().get("status");
     }
 
-    /** One host is not there: what has not begun to go out to it can still go to the other. */
+    /** One server is down; a request of which nothing has been sent to it can still be sent to the other server. */
     @Test
     void aBodyOfWhichNothingWentOutGoesToAnotherHost() throws Exception {
         String body = body(LARGE);
@@ -200,7 +203,7 @@
         }
     }
 
-    /** The host dies amid the upload: it never had the last byte, so nothing ran, and no other host gets the rest. */
+    /** The server dies during the upload: it never received the last byte, so nothing ran, and no other server gets the rest. */
     @Test
     void aBodyThatCannotBeSentAgainIsRefusedWhereTheHostNeverHadIt() throws Exception {
         try (ServerSocket dies = new ServerSocket(0, 10, InetAddress.getByName("127.0.0.1"));
@@ -227,7 +230,7 @@
         }
     }
 
-    /** Bad framing amid an upload: the client is told, and the host never gets an end. */
+    /** Malformed framing during an upload: the client gets an error, and the server never gets the end of the body. */
     @Test
     void anUploadThatCannotBeReadOnIsTurnedDown() throws Exception {
         try (ScriptedHost host = new ScriptedHost(ECHO); GatewayFixture f = GatewayFixture.asked(host)) {
@@ -240,7 +243,7 @@
         }
     }
 
-    /** A client that goes amid its upload, or amid its answer, takes the host's connection with it. */
+    /** When a client disconnects during its upload or its answer, the connection to the server is closed too. */
     @Test
     void aClientThatLeavesEndsTheHostsSide() throws Exception {
         AtomicLong written = new AtomicLong();
@@ -270,7 +273,10 @@
         };
     }
 
-    /** Far more is offered than may be held; who reads nothing holds a bounded part of it, and the others are served. */
+    /**
+     * The servers offer far more bytes than the gateway may buffer. For a client that reads nothing only a bounded number is
+     * buffered, and the other clients are served.
+     */
     @Test
     void clientsThatReadNothingHoldABoundedPartOfTheirAnswers() throws Exception {
         int clients = 24;
@@ -283,11 +289,11 @@
                 silent.get(i).write(status("m" + i, LONG_MILLIS));
                 silent.get(i).socket.getInputStream().read();
             }
-            // It has stalled when two looks with an answer of the gateway's between them show the same.
+            // Writing has stalled when two readings of the counter, with an answer of the gateway between them, are equal.
             AtomicLong last = new AtomicLong(-1);
             await("a stall", () -> f.get("/ready").firstLine().contains(" 200 ") && last.getAndSet(written.get()) == written.get());
             long grown = held() - before;
-            // The pool counts in chunks, of which one may be begun by anything else.
+            // The buffer pool counts in chunks, and one chunk may have been allocated for something else.
             assertTrue(grown < clients * 300_000L + POOL_CHUNK, grown + " bytes are held of " + written.get());
         }
     }
@@ -296,7 +302,10 @@
         return ((ByteBufAllocatorMetricProvider) ByteBufAllocator.DEFAULT).metric().usedDirectMemory();
     }
 
-    /** Neither standby, nor a new configuration without its class, nor the end cuts a large body off, in or out. */
+    /**
+     * Neither standby, nor a new configuration without the request's class, nor shutdown cuts off a large body in either
+     * direction.
+     */
     @ParameterizedTest
     @ValueSource(strings = {"standby", "retune", "end"})
     void aLargeBodyOutlastsWhatOperatorsDoMeanwhile(String what) throws Exception {
@@ -307,7 +316,7 @@
             Client writes = f.client();
             String upload = submit("o2", LONG_MILLIS, body);
             writes.write(upload.substring(0, 200_000));
-            // Alone, so that what is open is it: before its head was read its class could be gone.
+            // No other request runs, so the open one is this upload; before its head is read, its class could be removed.
             await("the upload", () -> f.gateway.standing().join().open() == 1);
             Client reads = f.client();
             reads.write(status("o1", LONG_MILLIS));
@@ -329,7 +338,7 @@
         }
     }
 
-    /** Fewer bytes a second than anyone's line has: the place is wanted back, and the client told why. */
+    /** A client that sends fewer bytes per second than any real connection is disconnected, with an error that says why. */
     @Test
     void aBodyThatTricklesInIsEnded() throws Exception {
         try (ScriptedHost host = new ScriptedHost(ECHO); GatewayFixture f = GatewayFixture.asked(host)) {
@@ -342,7 +351,10 @@
         }
     }
 
-    /** A host that has started anew is cut off from here, and what it had sent of a body is no whole one. */
+    /**
+     * The gateway closes its connections to a server that has restarted; the part of a body from before the restart is
+     * incomplete.
+     */
     @ParameterizedTest
     @ValueSource(ints = {10, 200_000})
     void aBodyUpToTheConnectionsEndIsNotWholeWhereTheGatewayEndsTheConnection(int sent) throws Exception {
@@ -359,7 +371,7 @@
             Client client = f.client();
             client.write(submit("n1", LONG_MILLIS, "x"));
             await("the request", () -> host.requests.size() == 1);
-            // Later than the connection, by any clock.
+            // Later than the time of the connection, even if clocks differ.
             long anew = System.currentTimeMillis() + 60_000;
             GatewayFixture.line(watch.get(), list(2, false, List.of(entry("s", host, "up", anew))));
             String came = new String(client.socket.getInputStream().readNBytes(12), StandardCharsets.UTF_8);
@@ -372,7 +384,7 @@
         }
     }
 
-    /** RFC 9112: what has one reading is taken, in any form. */
+    /** RFC 9112: a request whose framing is unambiguous is accepted, in any of its forms. */
     @ParameterizedTest
     @ValueSource(strings = {
         "\r\n\r\nPOST /submit HTTP/1.1\r\nX-Request-ID: r\r\nContent-Length: 4\r\n\r\nbody",
--- a/src/test/java/cinderhollow/daemon/LateLoopTest.java
+++ b/src/test/java/cinderhollow/daemon/LateLoopTest.java
@@ -9,13 +9,13 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** A final answer is due by the client's clock, whatever the loop was busy with when the request came. */
+/** The time of a request counts from its arrival at the socket, even if the event loop was stalled and read it later. */
 class LateLoopTest {
     private static final int TIMEOUT_MILLIS = 4_000;
 
     /**
-     * The request lies unread for three quarters of its time, and its host says nothing. Counted from the reading the answer
-     * would come three quarters of its time too late, and the host be given the whole of it.
+     * The request is unread for three quarters of its time, and its server does not answer. If the time were counted from the
+     * reading, the answer would come three quarters of the time too late, and the server would be given the whole time.
      */
     @Test
     void aRequestThatLayUnreadIsAnsweredByWhenItCameAndNotByWhenItWasRead() throws Exception {
@@ -32,7 +32,7 @@
             goOn.run();
             Await.until("sent to the host", () -> host.requests.size() == 1);
             long given = Long.parseLong(host.requests.get(0).header("X-Timeout").replace("u", ""));
-            assertTrue(given <= TIMEOUT_MILLIS * 1_000L / 2, "the host is told of " + given + " us");
+            assertTrue(given <= TIMEOUT_MILLIS * 1_000L / 2, "the time-out forwarded to the server is " + given + " us");
             assertFalse(asks.read().firstLine().contains(" 200 "));
         }
     }
--- a/src/test/java/cinderhollow/daemon/LeavingTest.java
+++ b/src/test/java/cinderhollow/daemon/LeavingTest.java
@@ -20,14 +20,14 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What waits to be sent goes nowhere any more once its client, or its host, is no longer there for it. */
+/** A request that waits to be sent must not be sent once its client has disconnected or its server takes no new requests. */
 class LeavingTest {
     private static final ScriptedHost.Script SERVES = ScriptedHost.reply("200 OK", "served");
     private static final int AHEAD = 40;
-    /** Longer than any test waits: no time-out can pass for having noticed. */
+    /** Longer than any test waits, so that a time-out can't be mistaken for the detection of a disconnect. */
     private static final int FOR_GOOD_MILLIS = 300_000;
 
-    /** Dials may take long, and cancels are allowed or not. */
+    /** Starts a gateway whose connects may take long, with cancels allowed or not. */
     private static GatewayFixture waiting(boolean mayCancel, ScriptedHost discovery, ScriptedHost... hosts) throws Exception {
         return GatewayFixture.tuned(settings -> settings.replace("\"dial_timeout_ns\":2000000000", "\"dial_timeout_ns\":20000000000")
                 .replace("\"may_cancel\":true", "\"may_cancel\":" + mayCancel), discovery, hosts);
@@ -37,7 +37,7 @@
         return host.requests.stream().map(request -> request.header("X-Request-ID")).toList();
     }
 
-    /** Calling off what was never sent cancels no work, so it is done where hosts may not be asked to cancel too. */
+    /** Cancelling a request that was never sent cancels no work of a server, so it is done even where cancels are forbidden. */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
     void aRequestIsNotSentWhoseClientLeftBeforeItsConnectionCameUp(boolean mayCancel) throws Exception {
@@ -50,13 +50,13 @@
             await("the client's leaving", () -> f.open() == 0);
             host.comesUp();
             assertTrue(f.client().ask(submit("stays", LONG_MILLIS, "x")).firstLine().contains(" 200 "));
-            // The first one's connection has come up too by then, or does so now.
+            // The connection for the first request is established by then, or is established now.
             await("its connection", () -> host.dialled() >= 1);
             assertEquals(List.of("stays"), ids(host));
         }
     }
 
-    /** All of it lies in the system's buffers, with the end of the connection behind it. */
+    /** All pipelined requests are in the system's buffers, with the close of the connection behind them. */
     @Test
     void aLargeBodyIsNotSentWholeWhoseClientLeftBeforeTheConnectionCameUp() throws Exception {
         try (ScriptedHost host = ScriptedHost.late(SERVES);
@@ -72,7 +72,7 @@
         }
     }
 
-    /** Its leaving stands behind all that it sent: a gateway that stops reading never hears of it. */
+    /** The disconnect comes behind everything the client sent, so a gateway that stops reading never notices it. */
     @Test
     void aClientThatSentMuchAheadAndWentIsNoticed() throws Exception {
         StringBuilder ahead = new StringBuilder();
@@ -104,8 +104,9 @@
     }
 
     /**
-     * The first host had it whole and broke; the second's connection does not come up while hosts still drop repeats. What is
-     * never sent is given up at that instant, and not when the connection or the client's time ends.
+     * The first server received the whole request and its connection broke; the connection to the second one is not established
+     * within the dedup window. The unsent retry must be dropped at the end of that window, not when the connect or the client's
+     * time ends.
      */
     @Test
     void aRepeatDoesNotGoOutOnceHostsHaveForgottenTheFirst() throws Exception {
@@ -141,7 +142,10 @@
         }
     }
 
-    /** Told while the connection comes up: what waits for it goes elsewhere at once, and the draining host gets nothing. */
+    /**
+     * The drain is reported during the connect: the waiting request must go to another server at once, and none to the
+     * draining one.
+     */
     @ParameterizedTest
     @ValueSource(strings = {"draining", "removed"})
     void aRequestDoesNotGoToAHostThatDrainsBeforeItsConnectionComesUp(String becomes) throws Exception {
--- a/src/test/java/cinderhollow/daemon/LedgerOnSocketsTest.java
+++ b/src/test/java/cinderhollow/daemon/LedgerOnSocketsTest.java
@@ -28,7 +28,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The ledger of a gateway on sockets: every taken request is in it once, however it ends. */
+/** The ledger of a gateway on sockets: every accepted request is counted exactly once, however it ends. */
 class LedgerOnSocketsTest {
     private static final Script SERVES = ScriptedHost.reply("200 OK", "fine");
     private static final int STATUS = 0, SUBMIT = 1;
@@ -52,7 +52,7 @@
         return ((Gateway) f.gateway).ledger();
     }
 
-    /** How requests of the account ended by the clients' side: served, refused, failed, abandoned. */
+    /** Returns how many requests of the account ended on the clients' side as served, refused, failed and abandoned. */
     private static List<Long> ends(GatewayFixture f, int account) {
         return onLoop(f, () -> {
             List<Long> ends = new ArrayList<>();
@@ -67,7 +67,7 @@
         return onLoop(f, () -> ledger(f).sheet(Place.NODES).ended(account, outcome.ordinal()));
     }
 
-    /** All sums hold now, and nothing was found broken before. */
+    /** Asserts that all sums balance now, and that no breach was found before. */
     private static void assertAddsUp(GatewayFixture f) {
         assertEquals(List.of(), onLoop(f, ((Gateway) f.gateway)::newBreaches));
         assertEquals(0, onLoop(f, () -> ledger(f).breaches()));
@@ -89,7 +89,7 @@
             client.ask(status("s1", LONG_MILLIS));
             client.ask(submit("s2", LONG_MILLIS, "x"));
             assertTrue(f.client().ask(submit("error", LONG_MILLIS, "x")).firstLine().contains(" 502 "));
-            // Not taken: a bad head, an unknown class, an id that is open, a probe.
+            // Not accepted, so not counted: a malformed head, an unknown class, an id that is open, a probe.
             f.client().ask("nonsense\r\n\r\n");
             f.client().ask("GET /nowhere HTTP/1.1\r\nHost: x\r\nX-Request-ID: q\r\n\r\n");
             Client leaver = f.client();
@@ -106,7 +106,7 @@
         }
     }
 
-    /** All hosts are gone: each request is refused when the module gives up. */
+    /** All servers are gone: each request is refused when the decision module stops holding it. */
     @Test
     void refusalsAreCountedByWhatGoesOut() throws Exception {
         ScriptedHost gone = new ScriptedHost(SERVES);
@@ -119,7 +119,10 @@
         }
     }
 
-    /** Both copies are answered before the gateway reads either: the second is a served attempt of a request that is over. */
+    /**
+     * Both attempts are answered before the gateway reads either answer; the second is a served attempt of a request that has
+     * ended.
+     */
     @Test
     void twoCopiesThatEndTogetherAreOneServedRequestAndTwoAttempts() throws Exception {
         CountDownLatch both = new CountDownLatch(2);
@@ -142,7 +145,10 @@
         }
     }
 
-    /** What one client sends ahead is taken in its turn; what waits when it leaves was never taken. */
+    /**
+     * Pipelined requests of a client are accepted one after the other; those that wait when it disconnects are never
+     * accepted.
+     */
     @Test
     void requestsSentAheadAreTakenInTheirTurn() throws Exception {
         CompletableFuture<Socket> second = new CompletableFuture<>();
@@ -165,7 +171,7 @@
         }
     }
 
-    /** Half of the clients leave at the moment when the gateway is told to end, with all their requests open. */
+    /** Half of the clients disconnect at the moment of shutdown, while all their requests are open. */
     @Test
     void clientsThatLeaveInTheInstantOfAnEndAreAbandonedAndTheOthersAreServed() throws Exception {
         int clients = 40;
@@ -193,14 +199,15 @@
                 all.get(i).socket.close();
             }
             for (int i = 0; i < clients; i++) {
-                // Of those that leave, half have an answer that crosses their close, and half have none.
+                // For half of the clients that disconnect an answer is sent at the same time, and for the other half none.
                 int client = Integer.parseInt(asked.get(i).header("X-Request-ID").substring(1));
                 try {
                     if (client % 4 != 0) {
                         SERVES.answer(held.get(i), asked.get(i));
                     }
                 } catch (IOException e) {
-                    // The gateway may have seen the client go first, and have closed this connection; not the others'.
+                    // The gateway may have noticed the disconnect first and closed this connection, but not those of the
+                    // other clients.
                     assertEquals(0, client % 2, e.toString());
                 }
             }
@@ -220,7 +227,7 @@
         }
     }
 
-    /** A counter that is broken on purpose: the program finds it by itself, within its look each second. */
+    /** A counter is falsified on purpose; the check that runs every second must detect and report it. */
     @Test
     void aLostCloseRaisesTheAlarmByItself() throws Exception {
         try (ScriptedHost a = new ScriptedHost(SERVES); GatewayFixture f = gateway("[ledger]\n", a)) {
--- a/src/test/java/cinderhollow/daemon/LoopsTest.java
+++ b/src/test/java/cinderhollow/daemon/LoopsTest.java
@@ -33,7 +33,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Several event loops in one process, and subsets, on sockets. */
+/** A gateway with several event loops in one process, and subsets, on sockets. */
 class LoopsTest {
     private static final int CLIENTS = 4;
     private static final String ONE = "[gateway]\nloops = 3\n", EACH = ONE + "listeners = \"each\"\n";
@@ -69,13 +69,14 @@
                 }
             }
             if (file.equals(ONE)) {
-                // With fewest first no loop has more than ten of them, and so each has a connection to the host.
+                // Connections go to the loop with the fewest, so no loop has more than ten, and each loop has a connection to
+                // the server.
                 assertTrue(host.connections.size() >= 3, host.connections.size() + " connections");
             }
         }
     }
 
-    /** A loop stands still: who is new goes to the others, who is on it waits, and nobody is lost. */
+    /** One loop stalls: new clients go to the other loops, its own clients wait, and no request is lost. */
     @Test
     void aStalledLoopIsNotFeltByTheOthers() throws Exception {
         try (ScriptedHost host = serving("fine"); GatewayFixture f = gateway(ONE, host)) {
@@ -101,7 +102,7 @@
                 for (int i = 0; i < 20; i++) {
                     answers.add(ask(f.client(), status("b" + i, LONG_MILLIS)));
                 }
-                // The loop that stands still is given one only while each other has as many to take over yet.
+                // The stalled loop gets a further connection only while each other loop has as many connections pending.
                 await("the others' answers", () -> answers.stream().filter(CompletableFuture::isDone).count() >= 12);
                 List<CompletableFuture<Message>> old = new ArrayList<>();
                 for (int i = 0; i < before.size(); i++) {
@@ -119,7 +120,10 @@
         }
     }
 
-    /** The loop that accepts is busy while the others end: who stands in the backlog by then is answered before the process goes. */
+    /**
+     * The loop that accepts is busy while the others shut down; clients in the backlog must be answered before the process
+     * ends.
+     */
     @Test
     void theEndWaitsForTheLoopThatAccepts() throws Exception {
         try (ScriptedHost host = serving("fine"); GatewayFixture f = gateway(ONE, host)) {
@@ -150,13 +154,13 @@
         return answer;
     }
 
-    /** One end for all loops: what each has taken is answered, once, and then no loop takes in any more. */
+    /** All loops shut down together: each answers what it received exactly once, and then no loop accepts anything more. */
     @ParameterizedTest
     @ValueSource(strings = {ONE, EACH})
     void allLoopsEndTogetherAndAnswerWhatTheyTook(String file) throws Exception {
         List<Socket> asked = new CopyOnWriteArrayList<>();
-        // Three hosts for each client: the system may deal all clients to one loop, whose limits are a third of the process's,
-        // and with one host for each the fourth was then held.
+        // Three servers for each client: the system may assign all clients to one loop, whose limits are a third of those of the
+        // process. With one server for each client the fourth request was then held.
         List<String> entries = new ArrayList<>();
         try (ScriptedHost host = new ScriptedHost((socket, request) -> asked.add(socket))) {
             for (int i = 0; i < 3 * CLIENTS; i++) {
@@ -186,7 +190,7 @@
                 assertEquals("late", client.read().body());
             }
             ended.get(PATIENCE_MILLIS, TimeUnit.MILLISECONDS);
-            // The system closes a listener when its selector has next been looked at.
+            // A closed listener is released only at the next select of its selector.
             await("the listener's end", () -> refuses(f));
         }
     }
@@ -200,7 +204,7 @@
         }
     }
 
-    /** A change of the list, and a new discovery at a reload, reach each loop. */
+    /** A change of the list, and a new address of discovery after a reload, reach every loop. */
     @Test
     void allLoopsFollowTheListAndAReload() throws Exception {
         List<Socket> watches = new CopyOnWriteArrayList<>();
@@ -246,7 +250,7 @@
         return bodies;
     }
 
-    /** A gateway keeps to its subset while this serves, and takes more in when all of it fails. */
+    /** A gateway uses its subset while that serves requests, and adds servers when the whole subset fails. */
     @Test
     void aFailingSubsetIsWidened() throws Exception {
         List<ScriptedHost> hosts = new ArrayList<>();
@@ -278,7 +282,7 @@
         }
     }
 
-    /** Ten thousand hosts in one line of more than a megabyte, told whole twice, and a change between. */
+    /** A list of 10,000 servers, in one line of more than a megabyte, is sent twice, with a change in between. */
     @Test
     void aListOfTenThousandIsTakenWholeAndItsChangesToo() throws Exception {
         List<Socket> watches = new CopyOnWriteArrayList<>();
--- a/src/test/java/cinderhollow/daemon/OperatorTest.java
+++ b/src/test/java/cinderhollow/daemon/OperatorTest.java
@@ -24,7 +24,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The operator's file on sockets: routes, time-outs, second copies, advice; and paths that mean one thing. */
+/** The operator's file on sockets: routes, time-outs, hedges, Retry-After; and the rejection of ambiguous paths. */
 class OperatorTest {
     private static final Script SERVES = ScriptedHost.reply("200 OK", "fine");
 
@@ -36,7 +36,7 @@
         return GatewayFixture.governed(path.toString(), hosts);
     }
 
-    /** The first copy never answers; both hosts are held back until the copy is out, so nothing depends on speed. */
+    /** The first attempt is never answered; both servers wait until the hedge is sent, so the result does not depend on speed. */
     @Test
     void aSecondCopyAnswersForAFirstThatIsSilentAndTheFirstIsCalledOff() throws Exception {
         AtomicInteger asked = new AtomicInteger();
@@ -54,7 +54,7 @@
         }
     }
 
-    /** Its client has left by the time the copy is due, which stands unread as long as the loop is busy. */
+    /** The client has disconnected when the hedge is due, but the disconnect is unread as long as the loop is busy. */
     @Test
     void noSecondCopyGoesOutForAClientWhoseLeavingLiesUnread() throws Exception {
         Script silent = (socket, request) -> { };
@@ -118,7 +118,7 @@
         }
     }
 
-    /** The route's tries would take 20 s; this client waits 300 ms. */
+    /** The attempts of the route would take 20 s; this client waits 300 ms. */
     @Test
     void theFinalAnswerComesWithinTheClientsOwnTime() throws Exception {
         try (ScriptedHost a = new ScriptedHost((socket, request) -> { });
@@ -152,7 +152,7 @@
         }
     }
 
-    /** Nothing of such a path reaches a host, with a file and without one. */
+    /** A request with such a path is sent to no server, with an operator's file and without one. */
     @ParameterizedTest
     @ValueSource(strings = {"/status/../submit", "/status/%2e%2e/submit", "//submit", "/status%2f..%2fsubmit",
         "/status/..;x/submit", "/status\\..\\submit", "/%73tatus"})
--- a/src/test/java/cinderhollow/daemon/RehearsalTest.java
+++ b/src/test/java/cinderhollow/daemon/RehearsalTest.java
@@ -15,7 +15,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The rehearsal before a gateway listens: it comes to an end, and leaves nothing behind. */
+/** The warm-up before a gateway listens ends in any case, and leaves no files behind. */
 class RehearsalTest {
     private static GatewayConfig config() throws IOException {
         String settings = GatewayFixture.SETTINGS.replace("IDLE", "15000000000");
@@ -24,7 +24,7 @@
                 nowhere, nowhere, null);
     }
 
-    /** Of this process: others on the machine may rehearse meanwhile. */
+    /** Returns the warm-up folders of this process; other processes on the machine may be warming up at the same time. */
     private static List<Path> folders() throws IOException {
         String own = "rehearsal-" + ProcessHandle.current().pid() + "-";
         try (var files = Files.list(Path.of(System.getProperty("java.io.tmpdir")))) {
@@ -39,18 +39,21 @@
         assertEquals(before, folders());
     }
 
-    /** Connections that never come up, as to sockets to which nobody comes; long before the time is out. */
+    /**
+     * Connections are never established, as where sockets can't be reached; the warm-up must still end long before its time
+     * limit.
+     */
     @Test
     void isPlayedWithinTheProcessWhereNobodyComesToSockets() throws Exception {
         List<Path> before = folders();
         Transport deaf = new Transport(Transport.FILES.server(), NeverConnects.class);
         long start = System.nanoTime();
         assertTrue(Rehearsal.run(config(), deaf, 60_000));
-        assertTrue(System.nanoTime() - start < 30_000_000_000L, "it waited for who doesn't come");
+        assertTrue(System.nanoTime() - start < 30_000_000_000L, "the warm-up waited for a connection that is never established");
         assertEquals(before, folders());
     }
 
-    /** A client's side that dials for ever. */
+    /** A client channel whose connect never completes. */
     public static final class NeverConnects extends NioSocketChannel {
         @Override
         protected boolean doConnect(SocketAddress remote, SocketAddress local) {
--- a/src/test/java/cinderhollow/daemon/ReloadTest.java
+++ b/src/test/java/cinderhollow/daemon/ReloadTest.java
@@ -35,7 +35,7 @@
         return Map.of("LB_CONFIG", file.toString(), "LB_DISCOVERY", discovery, "LB_LISTEN", "127.0.0.1:0");
     }
 
-    /** As after a start from the file that is there now. */
+    /** Creates a reload as after a start from the present file. */
     private static Reload reload(GatewayFixture f, Map<String, String> environment) {
         return new Reload(environment, GatewayConfig.file(environment), f.gateway);
     }
@@ -67,7 +67,7 @@
             await("the end of the old watch", () -> old.connections.get(0).isClosed());
             ScriptedHost.reply("200 OK", "old").answer(asked, null);
             assertEquals("old", open.read().body(), "the host and the open request are kept");
-            // The new address counts on its own: what it tells holds, although its version is lower.
+            // Versions are compared per address: the list of the new address is applied although its version is lower.
             line(after.get(0), list(8, false, List.of(entry("s", host, "removed", 0),
                     entry("n", newcomer, "up", 0))));
             await("the newcomer's request", () -> served(f, "new"));
@@ -103,7 +103,7 @@
         }
     }
 
-    /** The whole process, since what ends a Java program on SIGHUP is its runtime. */
+    /** Uses a whole process, because it is the Java runtime that ends a program on SIGHUP. */
     @Test
     void aProcessLivesThroughHangUpsAndFollowsTheNewFile() throws Exception {
         List<Socket> watches = new CopyOnWriteArrayList<>();
@@ -129,7 +129,10 @@
         }
     }
 
-    /** Twenty files and signals in a row, good and bad in turn: the last good one counts, and nothing is lost on the way. */
+    /**
+     * Twenty files and signals in a row, alternately valid and invalid: the last valid file is in force, and no request is
+     * lost.
+     */
     @Test
     void ofManySignalsTheLastFileWins() throws Exception {
         List<Socket> watches = new CopyOnWriteArrayList<>();
--- a/src/test/java/cinderhollow/daemon/RetuningTest.java
+++ b/src/test/java/cinderhollow/daemon/RetuningTest.java
@@ -26,7 +26,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Settings that change while requests are open, and files that must change nothing. */
+/** Changes of settings while requests are open, and invalid files, which must change nothing. */
 class RetuningTest {
     private static final String ADDED = "\"grades\":[{\"name\":\"audit\",\"semantics\":\"unsafe\",\"aim_ns\":10000000000,"
             + "\"deadline_ns\":20000000000,\"value\":2},";
@@ -47,14 +47,17 @@
         Retuning.check(Json.read(file()), Json.read(next));
     }
 
-    /** Each key that stands in the running file, left out, is named; so none can turn into its default. */
+    /**
+     * If a file lacks any key of the running one, the error names the key; otherwise the value would silently become its
+     * default.
+     */
     @Test
     void aFileShortOfAnyKeyIsTurnedDownByItsName() throws IOException {
         for (String name : List.of("seed", "discovery", "limits", "sockets", "settings", "group_size", "my_number", "zone",
                 "resolution_ns", "grades", "semantics", "aim_ns", "deadline_ns", "value", "accounts", "quota_per_s", "allowed",
                 "max_attempts", "may_cancel", "dial_timeout_ns", "conn_idle_ns", "obligations", "drain_grace_ns", "cold_from",
                 "overload_factor", "warm_up_ns")) {
-            // The key is there under another name, so that the file is whole but for it.
+            // The key is renamed, so that the file is otherwise valid.
             String without = file().replaceFirst("\"" + name + "\":", "\"no_" + name + "\":");
             String line = assertThrows(IllegalArgumentException.class, () -> check(without)).getMessage();
             assertTrue(line.startsWith("it lacks ") && line.endsWith(name), line);
@@ -107,7 +110,7 @@
         return f.gateway.standing().get(PATIENCE_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    /** One class comes, one goes while a request of it is open; the file after that brings it back. */
+    /** One class is added and one is removed while it has an open request; the next file adds it again. */
     @Test
     void anOpenRequestKeepsItsClassAndItsCounts() throws Exception {
         CompletableFuture<Socket> held = new CompletableFuture<>();
--- a/src/test/java/cinderhollow/daemon/ScriptedHost.java
+++ b/src/test/java/cinderhollow/daemon/ScriptedHost.java
@@ -20,21 +20,21 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 
-/** A server on a free loopback port that does with each request what its script says. */
+/** A server on a free loopback port that handles each request with a script. */
 final class ScriptedHost implements AutoCloseable {
-    /** What the server does once a request has come whole. */
+    /** Handles a request that was received completely. */
     interface Script {
         void answer(Socket socket, Message request) throws IOException;
     }
 
-    /** A message as it stood on the socket. */
+    /** A message as it was read from the socket. */
     record Message(String firstLine, List<String> headers, String body) {
         String header(String name) {
             return headers.stream().filter(h -> h.regionMatches(true, 0, name + ":", 0, name.length() + 1))
                     .map(h -> h.substring(name.length() + 1).trim()).findFirst().orElse(null);
         }
 
-        /** Reads one; null at the end of the stream. */
+        /** Reads a message; returns null at the end of the stream. */
         static Message read(InputStream in) throws IOException {
             String first = line(in);
             if (first == null) {
@@ -50,12 +50,12 @@
             byte[] body = "chunked".equals(head.header("Transfer-Encoding")) ? chunks(in)
                     : in.readNBytes(due);
             if (body.length < due) {
-                throw new EOFException(body.length + " bytes of " + due);
+                throw new EOFException(body.length + " bytes received of a body of " + due);
             }
             return new Message(first, headers, new String(body, StandardCharsets.UTF_8));
         }
 
-        /** Whatever came, where the last chunk did not. */
+        /** Reads a chunked body; throws an exception if the stream ends before the last chunk. */
         private static byte[] chunks(InputStream in) throws IOException {
             ByteArrayOutputStream body = new ByteArrayOutputStream();
             for (String size = line(in); size != null; size = line(in)) {
@@ -69,7 +69,7 @@
                     return body.toByteArray();
                 }
             }
-            throw new EOFException("no last chunk after " + body.size() + " bytes");
+            throw new EOFException("chunked body ended without its last chunk after " + body.size() + " bytes");
         }
 
         private static String line(InputStream in) throws IOException {
@@ -85,7 +85,7 @@
         }
     }
 
-    /** A connection within a machine that takes longer will not come up. */
+    /** A connect within one machine that takes longer than this is not going to succeed. */
     private static final int FULL_MILLIS = 300;
 
     private final ServerSocket listener;
@@ -107,8 +107,8 @@
     }
 
     /**
-     * One to which no connection comes up before {@link #comesUp}: its backlog is full of this test's own, so that the system
-     * leaves all others waiting and lets them in at a later try of theirs, after 1, 3 or 7 s.
+     * Creates a server to which no connection is established before {@link #comesUp}. Its backlog is full of connections of this
+     * test, so the system leaves all others pending and establishes them when they retry, after 1, 3 or 7 s.
      */
     static ScriptedHost late(Script script) throws IOException {
         ScriptedHost host = new ScriptedHost(1, script);
@@ -126,12 +126,12 @@
         return host;
     }
 
-    /** How many connections have come up that are not this host's own. */
+    /** Returns the number of established connections without those that fill the backlog. */
     long dialled() {
         return connections.stream().filter(c -> !own.contains(c.getPort())).count();
     }
 
-    /** Lets in who has waited. */
+    /** Starts to accept connections, so that pending ones are established. */
     void comesUp() throws IOException {
         for (Socket filler : fillers) {
             filler.close();
@@ -151,7 +151,7 @@
         return "127.0.0.1:" + listener.getLocalPort();
     }
 
-    /** Answers with this status, these header lines and this body. */
+    /** Returns a script that answers with this status, these header lines and this body. */
     static Script reply(String status, String body, String... headers) {
         return (socket, request) -> write(socket, "HTTP/1.1 " + status + "\r\nContent-Length: " + body.length()
                 + "\r\n" + String.join("", List.of(headers).stream().map(h -> h + "\r\n").toList())
@@ -159,22 +159,22 @@
     }
 
     static void write(Socket socket, String text) throws IOException {
-        // In one call: once these bytes are there, the far side may close, and the socket give no stream any more.
+        // One call only: once these bytes have arrived, the gateway may close, and the socket may not return its stream any more.
         socket.getOutputStream().write(text.getBytes(StandardCharsets.UTF_8));
     }
 
-    /** Until the test says so. */
+    /** Waits until the test counts the latch down. */
     static void await(CountDownLatch word) throws IOException {
         try {
             if (!word.await(GatewayFixture.PATIENCE_MILLIS, TimeUnit.MILLISECONDS)) {
-                throw new IOException("the test never said so");
+                throw new IOException("the test did not count the latch down in time");
             }
         } catch (InterruptedException e) {
             throw new IOException(e);
         }
     }
 
-    /** Closes with a reset. */
+    /** Closes the connection with a reset. */
     static void reset(Socket socket) throws IOException {
         socket.setSoLinger(true, 0);
         socket.close();
@@ -201,7 +201,7 @@
                 script.answer(socket, m);
             }
         } catch (IOException e) {
-            // The far side, or the test, closed it.
+            // The gateway or the test has closed the connection.
         } finally {
             sockets.remove(socket);
         }
@@ -218,7 +218,7 @@
         stop();
     }
 
-    /** Ends as a process that dies: its connections break, and new ones are refused. */
+    /** Stops as if the process died: its connections break, and new ones are refused. */
     void stop() {
         try {
             listener.close();
--- a/src/test/java/cinderhollow/daemon/SecondAnswerTest.java
+++ b/src/test/java/cinderhollow/daemon/SecondAnswerTest.java
@@ -26,7 +26,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** A host that answers a request a second time some milliseconds later, in made-up time. */
+/** A server that answers a request a second time some milliseconds later, in simulated time. */
 class SecondAnswerTest {
     private static final long LONG_NANOS = TimeUnit.SECONDS.toNanos(20);
 
@@ -63,7 +63,7 @@
         return hosts;
     }
 
-    /** Says the path; the first time two answers come at once, which shows what kind of host it is. */
+    /** Answers with the path; the first request gets two answers at once, so the pool sees that this server sends duplicates. */
     private static final class Twice implements ScriptedHost.Script {
         private final CompletableFuture<Socket> one = new CompletableFuture<>();
 
@@ -78,7 +78,10 @@
         }
     }
 
-    /** It comes while the next request waits for the connection to settle: that goes elsewhere, as never sent. */
+    /**
+     * The second answer comes while the next request waits for the connection to settle; that request ends as never
+     * sent, so that it can be sent elsewhere.
+     */
     @Test
     void isNotTakenForTheAnswerToTheNextRequest() throws Exception {
         Twice twice = new Twice();
@@ -109,7 +112,7 @@
             now.addAndGet(TimeUnit.MILLISECONDS.toNanos(50));
             assertAnswer("/two", two);
             assertAnswer("/three", ask(hosts, "/three"));
-            assertEquals(3, host.connections.size(), "one that was broken, one that rested, and one that came up meanwhile");
+            assertEquals(3, host.connections.size(), "one broken, one that had to settle, one opened meanwhile");
         }
     }
 }
--- a/src/test/java/cinderhollow/daemon/StalledClientTest.java
+++ b/src/test/java/cinderhollow/daemon/StalledClientTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Clients that stop in the middle of a request and stay get their error, or a close, within three seconds. */
+/** A client that stops in the middle of a request and stays connected gets an error or a close within 3 s. */
 class StalledClientTest {
     private static final long OWED_MILLIS = 3_000;
     private static final ScriptedHost.Script SERVES = ScriptedHost.reply("200 OK", "served");
@@ -33,7 +33,7 @@
         }
     }
 
-    /** What has come of a body gives its client no more time to say nothing. */
+    /** The part of a body that has arrived must not extend the time for which its client may be silent. */
     @ParameterizedTest
     @CsvSource({"1000000,66000", "1000000,200000", "4000000,1000000", "60000,50000"})
     void whoStopsInALargeBody(int length, int sent) throws Exception {
@@ -44,7 +44,7 @@
         }
     }
 
-    /** Also on a kept connection, behind an answer. */
+    /** The same holds on a kept connection, after an answer. */
     @Test
     void whoStopsInALaterRequest() throws Exception {
         try (ScriptedHost host = new ScriptedHost(SERVES); GatewayFixture f = GatewayFixture.knowing(host)) {
@@ -55,7 +55,7 @@
         }
     }
 
-    /** Two seconds for a head and 64 kB a second for a body are what clients may take. */
+    /** Clients may take up to 2 s for a head, and may send a body at 64 kB per second. */
     @Test
     void whoIsAsSlowAsClientsMayBeIsServed() throws Exception {
         try (ScriptedHost host = new ScriptedHost(SERVES); GatewayFixture f = GatewayFixture.knowing(host)) {
--- a/src/test/java/cinderhollow/daemon/StalledProcessTest.java
+++ b/src/test/java/cinderhollow/daemon/StalledProcessTest.java
@@ -20,15 +20,15 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Reproduction of the incident under fault injection: a real process gets no processor for a while (SIGSTOP, SIGCONT), and acts
- * on what it knew before, or on the time at which it reads, though what has happened meanwhile lies unread in its sockets.
+ * Reproduces the incident under fault injection: a real process gets no CPU for a while (SIGSTOP, SIGCONT). Afterwards it acts
+ * on what it knew before, or on the time at which it reads, although later events are still unread in its sockets.
  */
 class StalledProcessTest {
     private static final ScriptedHost.Script SERVES = ScriptedHost.reply("200 OK", "served");
     private static final long STALL_MILLIS = 700;
     private static final int CLIENTS = 12;
     private static final long AWAKE_MILLIS = 200;
-    /** What the rule on deadlines passed on allows, and on attempts after a client's close. */
+    /** Tolerance of the rules on forwarded deadlines and on attempts after a client's disconnect. */
     private static final long DEADLINE_SLACK_MILLIS = 150;
 
     @TempDir
@@ -44,7 +44,10 @@
         return TimeUnit.MICROSECONDS.toMillis(Long.parseLong(micros.substring(0, micros.length() - 1)));
     }
 
-    /** Asks the gateway, once what it read before must have come to its servers, if it ever does. */
+    /**
+     * Asserts that a request is served; by then everything that the gateway sends for earlier requests has reached the
+     * servers.
+     */
     private static void assertServes(GatewayProcess gateway, String id) throws Exception {
         assertTrue(gateway.client().ask(status(id, LONG_MILLIS)).firstLine().contains(" 200 "), gateway.log());
     }
@@ -68,13 +71,13 @@
         }
     }
 
-    /** The server's connection comes up and the client leaves in the same stall: the connection is reported first. */
+    /** The server's connection is established and the client disconnects in the same stall; the connection is reported first. */
     @Test
     void aRequestIsNotForwardedOnAConnectionThatCameUpDuringTheStallAfterItsClientLeft() throws Exception {
         try (ScriptedHost server = ScriptedHost.late(SERVES); GatewayProcess gateway = GatewayProcess.start(folder, server)) {
             Client leaving = gateway.client();
             leaving.write(submit("left", LONG_MILLIS, "x"));
-            // The first try of its connection is over by then, and the next comes a second after that.
+            // The first connect is over by then, and the next follows a second later.
             TimeUnit.MILLISECONDS.sleep(STALL_MILLIS);
             gateway.pause();
             server.comesUp();
@@ -110,8 +113,8 @@
     }
 
     /**
-     * What comes when a stall is over has all of its time. Lateness that was seen once used to be taken off the time of each
-     * request for some seconds, as a guess that it would come again.
+     * A request that arrives after a stall has its whole time. Formerly the lateness of one stall was subtracted from the time of
+     * each request for some seconds, on the assumption that the stall would recur.
      */
     @Test
     void aRequestThatComesAfterTheStallHasAllOfItsTime() throws Exception {
@@ -122,7 +125,7 @@
             TimeUnit.MILLISECONDS.sleep(STALL_MILLIS);
             gateway.resume();
             assertServes(gateway, "awake");
-            // Until the loop has looked at all of its sockets again, what it reads may be old.
+            // Until the loop has read all of its sockets again, what it reads may have arrived during the stall.
             TimeUnit.MILLISECONDS.sleep(AWAKE_MILLIS);
             assertTrue(gateway.client().ask(status("after", timeout)).firstLine().contains(" 200 "), gateway.log());
             Message after = server.requests.get(server.requests.size() - 1);
@@ -131,7 +134,7 @@
         }
     }
 
-    /** The request waits a second and more for its server's connection, which is no time that the server has. */
+    /** The request waits for over a second for its server's connection; the server must not be given that time as well. */
     @Test
     void theDeadlinePassedOnIsWhatTheClientHasLeftWhenTheConnectionComesUpLate() throws Exception {
         try (ScriptedHost server = ScriptedHost.late(SERVES); GatewayProcess gateway = GatewayProcess.start(folder, server)) {
@@ -148,7 +151,10 @@
         }
     }
 
-    /** Its first server turns it away in the stall in which its client leaves: the retry is due before the leaving is read. */
+    /**
+     * The first server rejects the request in the stall in which its client disconnects; the retry is due before that is
+     * read.
+     */
     @Test
     void aRetryDoesNotGoOutForAClientThatLeftDuringTheStall() throws Exception {
         CountDownLatch clientLeft = new CountDownLatch(1);
@@ -166,7 +172,7 @@
         }
     }
 
-    /** The hedged request's copy falls due in the stall in which its client leaves. */
+    /** The hedge of a request falls due in the stall in which its client disconnects. */
     @Test
     void aHedgeDoesNotGoOutForAClientThatLeftDuringTheStall() throws Exception {
         Path operator = Files.writeString(folder.resolve("operator.toml"), "[class.status.second_copy]\nafter = \"" + STALL_MILLIS / 2
@@ -182,7 +188,10 @@
         }
     }
 
-    /** Asks, leaves while the gateway is stopped behind its first attempt, and checks that no other server gets the request. */
+    /**
+     * Sends a request, disconnects while the gateway is stopped after its first attempt, and asserts that no other server
+     * gets it.
+     */
     private void leaveInAStall(GatewayProcess gateway, String request, CountDownLatch left, ScriptedHost one, ScriptedHost other)
             throws Exception {
         Client client = gateway.client();
@@ -200,7 +209,10 @@
         assertEquals(1, all.stream().filter("left"::equals).count(), gateway.log());
     }
 
-    /** Discovery's word lies unread beside the request, which is reported first; the grace is over by the end of the stall. */
+    /**
+     * Discovery's notice of the drain and a request are both unread, and the request is reported first; the drain grace is over
+     * by the end of the stall.
+     */
     @Test
     void aRequestDoesNotGoToAServerThatWasDrainedDuringTheStall() throws Exception {
         CountDownLatch drains = new CountDownLatch(1);
@@ -237,7 +249,10 @@
         }
     }
 
-    /** Its server's connection comes up in the stall, and is reported before discovery's word that lies unread. */
+    /**
+     * The server's connection is established in the stall and is reported before discovery's notice of the drain, which is
+     * unread.
+     */
     @Test
     void aRequestDoesNotGoOutOnAConnectionThatCameUpDuringTheStallToAServerThatWasDrained() throws Exception {
         CountDownLatch drains = new CountDownLatch(1);
--- a/src/test/java/cinderhollow/daemon/StandbyTest.java
+++ b/src/test/java/cinderhollow/daemon/StandbyTest.java
@@ -19,7 +19,7 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** A gateway that is emptied of clients and filled again, and the figures that operators read meanwhile. */
+/** Standby and return to active: connections of clients are closed and accepted again; and the counts that operators read. */
 class StandbyTest {
     private static Standing standing(GatewayFixture f) throws Exception {
         return f.gateway.standing().get(PATIENCE_MILLIS, TimeUnit.MILLISECONDS);
@@ -39,14 +39,14 @@
             busy.ask(status("a1", LONG_MILLIS));
             idle.ask(status("a2", LONG_MILLIS));
             standby(f, true);
-            assertTrue(f.get("/ready").firstLine().contains(" 503 "), "the no comes at once");
+            assertTrue(f.get("/ready").firstLine().contains(" 503 "), "/ready answers 503 at once");
             Message last = busy.ask(status("a3", LONG_MILLIS));
-            assertEquals("fine", last.body(), "requests are served as ever");
+            assertEquals("fine", last.body(), "requests are still served");
             assertEquals("close", last.header("Connection"));
             assertNull(busy.read());
             assertNull(idle.read(), "closed while idle");
-            assertNull(silent.read(), "closed without ever having asked");
-            assertEquals("fine", f.client().ask(status("a4", LONG_MILLIS)).body(), "also those that come late");
+            assertNull(silent.read(), "closed without having sent a request");
+            assertEquals("fine", f.client().ask(status("a4", LONG_MILLIS)).body(), "a new connection is still served");
             standby(f, true);
             standby(f, false);
             assertTrue(f.get("/ready").firstLine().contains(" 200 "));
@@ -57,7 +57,7 @@
         }
     }
 
-    /** What was sent ahead is taken: an answer that ended the connection before it would lose it. */
+    /** Pipelined requests are answered; if an earlier answer closed the connection, they would be lost. */
     @Test
     void standbyAnswersWhatWasSentAheadBeforeItEndsTheConnection() throws Exception {
         CompletableFuture<Socket> held = new CompletableFuture<>();
@@ -80,7 +80,7 @@
         }
     }
 
-    /** Before discovery has said anything, and once the end has begun: standby and active say what they can, and no more. */
+    /** Standby and active before discovery has sent its first list, and after shutdown has begun. */
     @Test
     void standbyAtTheStartAndDuringTheEndIsNoWayBackIn() throws Exception {
         try (ScriptedHost host = new ScriptedHost(ScriptedHost.reply("200 OK", "fine"));
@@ -88,13 +88,13 @@
             standby(f, true);
             assertEquals(true, f.gateway.serves().get(PATIENCE_MILLIS, TimeUnit.MILLISECONDS), "it can serve, and is kept empty");
             Client late = f.client();
-            assertEquals("close", late.ask(status("s1", LONG_MILLIS)).header("Connection"), "a connect after the no is served");
+            assertEquals("close", late.ask(status("s1", LONG_MILLIS)).header("Connection"), "a later connection is served");
             CompletableFuture<Void> ended = f.gateway.end();
             standby(f, false);
-            assertTrue(f.get("/ready").firstLine().contains(" 503 "), "an end is not taken back");
+            assertTrue(f.get("/ready").firstLine().contains(" 503 "), "active does not cancel a shutdown");
             assertEquals(false, f.gateway.serves().get(PATIENCE_MILLIS, TimeUnit.MILLISECONDS));
             ended.get(PATIENCE_MILLIS, TimeUnit.MILLISECONDS);
-            assertEquals(1, standing(f).operations().get("status").fulfilled(), "figures are told to the end");
+            assertEquals(1, standing(f).operations().get("status").fulfilled(), "counts are readable to the end");
         }
     }
 
@@ -106,7 +106,7 @@
         }
     }
 
-    /** Each request ends in one column, whoever ended it; what is open is in none. */
+    /** Each ended request is counted in exactly one column, whoever ended it; an open request is counted in none. */
     @Test
     void figuresCountEachEndOnceAndByClass() throws Exception {
         CompletableFuture<Socket> held = new CompletableFuture<>();
@@ -128,7 +128,7 @@
             Client waits = f.client();
             waits.write(submit("hold1", LONG_MILLIS, "body"));
             Socket asked = held.get(PATIENCE_MILLIS, TimeUnit.MILLISECONDS);
-            // The host has seen the last byte before the gateway's loop may have seen the end of its write.
+            // The server may have received the last byte before the gateway's loop is notified that its write is complete.
             await("the write's end", () -> counts(f, "submit").relayed() == 2);
             assertEquals(new Counts(2, 0, 0, 2), counts(f, "status"));
             assertEquals(new Counts(0, 0, 2, 2), counts(f, "submit"), "an error, and one without an id");
--- a/src/test/java/cinderhollow/daemon/StartFaultsTest.java
+++ b/src/test/java/cinderhollow/daemon/StartFaultsTest.java
@@ -6,10 +6,10 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * A real process of whose system calls two in five fail comes up all the same. What happened: the process stayed, neither ready nor
- * ended, since the one socket that the rehearsal makes on the main thread could not be had ('Exception in thread "main"
- * io.netty.channel.ChannelException: Failed to open a socket. ... at cinderhollow.daemon.Rehearsal.play') and the rehearsal took only
- * checked exceptions for its own failure.
+ * A real process in which two in five system calls fail must become ready. It once neither became ready nor ended: the one socket
+ * that the warm-up opens on the main thread could not be opened ('Exception in thread "main"
+ * io.netty.channel.ChannelException: Failed to open a socket. ... at cinderhollow.daemon.WarmUp.start'), and the warm-up handled
+ * only checked exceptions as its own failure.
  */
 class StartFaultsTest {
     private static final int PERCENT = 40;
@@ -22,7 +22,7 @@
     void aStartComesUpThoughSocketsCannotBeHadAtFirst(long seed) throws Exception {
         try (ScriptedHost server = new ScriptedHost(ScriptedHost.reply("200 OK", "served"));
                 GatewayProcess gateway = GatewayProcess.start(folder, SystemCallFaults.environment(folder, PERCENT, seed, 0), server)) {
-            gateway.client().socket.close(); // its start has waited until it is ready
+            gateway.client().socket.close(); // start() has waited until the process is ready
         }
     }
 }
--- a/src/test/java/cinderhollow/daemon/SystemCallFaults.java
+++ b/src/test/java/cinderhollow/daemon/SystemCallFaults.java
@@ -7,11 +7,11 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Builds the library of {@code src/test/c/syscall_faults.c}, which lets a process's system calls fail. */
+/** Builds the library {@code src/test/c/syscall_faults.c}, which makes system calls of a process fail. */
 final class SystemCallFaults {
     private SystemCallFaults() { }
 
-    /** The environment of a process of whose calls on files so many in a hundred fail for so many seconds, and no others. */
+    /** Returns an environment in which {@code percent} of the calls on files fail for {@code durationSeconds}, and no others. */
     static Map<String, String> ofFiles(Path folder, int percent, long seed, int forSeconds) throws Exception {
         Map<String, String> environment = new HashMap<>(environment(folder, 0, seed, 0));
         environment.put("SYSCALL_FAULTS_FILES", String.valueOf(percent));
@@ -19,7 +19,7 @@
         return environment;
     }
 
-    /** The environment of a process of whose calls so many in a hundred fail, from so many seconds after its start on. */
+    /** Returns an environment in which {@code percent} of the calls fail, from {@code delaySeconds} after the start on. */
     static Map<String, String> environment(Path folder, int percent, long seed, int afterSeconds) throws Exception {
         Path library = folder.resolve("libsyscallfaults.so");
         Path errors = folder.resolve("gcc.log");
--- a/src/test/java/cinderhollow/daemon/SystemCallFaultsTest.java
+++ b/src/test/java/cinderhollow/daemon/SystemCallFaultsTest.java
@@ -12,13 +12,13 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** A real process of whose system calls one in ten fails: each request has its answer soon, and no exception goes unhandled. */
+/** Runs a real process in which one in ten system calls fails: each request is answered soon, and no exception is unhandled. */
 class SystemCallFaultsTest {
     private static final int PERCENT = 10, REQUESTS = 300, KEPT = 5;
-    /** Far below the pause of a second that a failed accept used to cost, and far above what an answer takes. */
+    /** Far below the pause of 1 s that formerly followed a failed accept, and far above the time of an answer. */
     private static final long LONGEST_MILLIS = 700;
 
-    /** What the runtime, the network library and the gateway write of an exception that nobody handled. */
+    /** Texts that the runtime, the network library and the gateway log for an unhandled exception. */
     private static final List<String> UNHANDLED = List.of("Exception in thread", "exceptionCaught() event was fired",
             "An exception was thrown by", "Unexpected exception", "A task raised an exception", "fault in", "forbidden transition");
 
--- a/src/test/java/cinderhollow/testing/Await.java
+++ b/src/test/java/cinderhollow/testing/Await.java
@@ -5,13 +5,13 @@
 import java.util.concurrent.Callable;
 import java.util.concurrent.TimeUnit;
 
-/** Waits for conditions, with a bound: a test's verdict hangs on no machine's speed. */
+/** Waits for conditions, up to a time limit, so that the result of a test does not depend on the speed of the machine. */
 public final class Await {
     private static final long PATIENCE_NANOS = TimeUnit.SECONDS.toNanos(60), LOOK_MILLIS = 2;
 
     private Await() { }
 
-    /** Returns when the condition holds, and fails the test with these words where it does not in time. */
+    /** Returns when the condition holds; fails the test, with {@code description} in the message, if it does not hold in time. */
     public static void until(String what, Callable<Boolean> condition) throws Exception {
         long end = System.nanoTime() + PATIENCE_NANOS;
         while (!condition.call()) {
--- a/src/test/java/cinderhollow/testing/Loopback.java
+++ b/src/test/java/cinderhollow/testing/Loopback.java
@@ -5,21 +5,21 @@
 import java.net.ServerSocket;
 
 /**
- * A loopback address that no other process uses. Guards against a port that was free a moment ago and is another process's by
- * the time a started one binds it: the system gives out the ports of 127.0.0.1 to every client there.
+ * Provides a loopback address that no other process uses. The system assigns the ports of 127.0.0.1 to every client on that
+ * address, so a port that was free there may belong to another process by the time a process started by a test binds it.
  */
 public final class Loopback {
     private static final int BYTE = 0xff, FIRST = 64;
 
     private Loopback() { }
 
-    /** This test process's own, by its number. */
+    /** Returns the loopback address of this test process, which is derived from its process id. */
     public static InetAddress own() throws IOException {
         long pid = ProcessHandle.current().pid();
         return InetAddress.getByAddress(new byte[] {127, (byte) (FIRST + (pid >> 16) % FIRST), (byte) (pid >> 8 & BYTE), (byte) (pid & BYTE)});
     }
 
-    /** A port that nobody has there. */
+    /** Returns a port that is free on {@link #own}. */
     public static int freePort() throws IOException {
         try (ServerSocket any = new ServerSocket(0, 1, own())) {
             return any.getLocalPort();
