--- a/src/test/java/cinderhollow/lab/AuditorTest.java
+++ b/src/test/java/cinderhollow/lab/AuditorTest.java
@@ -31,7 +31,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** The auditor in made-up time: each breach is named, and nothing else is; what is no breach is none. */
+/** Checks the auditor with simulated time: every breach is reported, and nothing else is. */
 class AuditorTest {
     private static final long MS = 1_000_000L, S = 1000 * MS;
 
@@ -73,7 +73,7 @@
         assertTrue(text.contains("asked of gw-0 as submit") && text.contains("node-2 runs it"), text);
     }
 
-    /** Up to half a second after its time an answer only earns nothing, by the operators' page; it is counted all the same. */
+    /** By the operators' documentation an answer up to half a second late only earns nothing; it is counted. */
     @Test
     void anAnswerHalfASecondAfterTheClientsTimeIsLost() {
         see(asked(0, "0.1", "status"), new Answered(801 * MS, "0.1", 502, ""), asked(S, "0.2", "status"),
@@ -83,7 +83,7 @@
         assertEquals(2, auditor.answeredLate());
     }
 
-    /** The lab's own lateness is known only after what came late. */
+    /** Guards against judging an answer before the lab's own lateness is known, which is reported after the late answer. */
     @Test
     void lateAnswersAreExcusedWhereTheLabItselfRanLate() {
         see(asked(0, "0.1", "status"), new Answered(900 * MS, "0.1", 502, ""), new Late(901 * MS, 200 * MS));
@@ -103,7 +103,7 @@
         verdict(Rule.LOST);
     }
 
-    /** A client closes a second after its time; where the lab was late for as long, nobody knows whether an answer lay there unread. */
+    /** A client closes a second after its deadline. If the lab was as late, an answer may have been waiting to be read. */
     @Test
     void aClientThatWaitedInVainIsALossUnlessTheLabWasLate() {
         see(asked(0, "0.1", "status"), new Received(MS, "0.1", 2), new GaveUp(1_200 * MS, "0.1"));
@@ -115,7 +115,7 @@
         assertEquals(1, auditor.counts().unaudited());
     }
 
-    /** Judged when its time is over, by when the gateway has been killed a second time. */
+    /** Guards against forgetting the first kill: the request is judged only after its gateway has been killed again. */
     @Test
     void whatAKillHeldIsExcusedThoughAnotherKillFollows() {
         see(new Asked(0, "0.1", 0, "status", 3 * S), new Received(MS, "0.1", 2), new Killed(30 * MS, 0), new Broke(31 * MS, "0.1"),
@@ -124,7 +124,10 @@
         assertEquals(1, auditor.counts().excused());
     }
 
-    /** The platform's kill after SIGTERM excuses nothing, whether or not a node has seen the request; what crosses it was not taken. */
+    /**
+     * The platform's kill after SIGTERM excuses no request, whether or not a node has received it. A request sent within the
+     * slack before the kill was not accepted.
+     */
     @Test
     void whatTheKillAtAGatewaysEndFindsUnansweredIsLost() {
         see(new Paused(0, 0, true), new Paused(50 * MS, 0, false), asked(S, "0.1", "status"), asked(3_640 * MS, "0.2", "status"),
@@ -136,7 +139,7 @@
         assertEquals(List.of("0.1", "0.2"), auditor.breaches().stream().map(Breach::request).toList());
     }
 
-    /** One that was held up may not have ended by itself; any other has promised to. */
+    /** A gateway that was paused during its shutdown need not have exited by itself; any other must. */
     @Test
     void aGatewayThatStillRunsAtTheKillIsNamedUnlessItWasHeldUp() {
         see(new Late(0, 0), new KilledAtEnd(3_700 * MS, 0));
@@ -145,7 +148,7 @@
         assertEquals(1, auditor.breachCount());
     }
 
-    /** What a stopped gateway held comes late by no fault of its own; that it then runs an unsafe one again is its fault. */
+    /** A pause excuses late answers, but not a second attempt of an unsafe request after it. */
     @Test
     void aStoppedGatewayIsLateAndMayStillRunNothingTwice() {
         see(new Paused(0, 0, true), asked(MS, "0.1", "status"), new Received(2 * MS, "0.1", 2), new Paused(5 * S, 0, false),
@@ -160,7 +163,7 @@
         assertEquals(Rule.RAN_TWICE, auditor.breaches().get(1).rule());
     }
 
-    /** A gateway may close a connection between requests: one that crosses this was never taken. */
+    /** A gateway may close an idle connection; a request sent at that moment was never accepted. */
     @Test
     void aRequestThatCrossesTheEndOfItsConnectionIsNoLoss() {
         see(asked(0, "0.1", "submit"), new Broke(5 * MS, "0.1"));
@@ -267,7 +270,7 @@
         verdict();
     }
 
-    /** A process that starts anew may have an old list, and discovery may be down. */
+    /** A restarted gateway may have an old list, and discovery may be down. */
     @Test
     void aGatewayThatStartsAnewDoesNotKnowWhatTheOneBeforeWasTold() {
         see(new Told(0, 0, 2, false), new Sighting.Began(S, 0), asked(2 * S, "0.1", "status"),
@@ -294,7 +297,7 @@
         verdict(Rule.UNKNOWN_REQUEST);
     }
 
-    /** A client that gives up in the instant of its answer, and one whose node ran it though it never saw an answer. */
+    /** One client leaves at the moment of its answer; the request of the other runs on a node after the client has left. */
     @Test
     void whoLeavesIsOwedNothing() {
         see(asked(0, "0.1", "submit"), new Received(MS, "0.1", 2), new Made(2 * MS, "0.1", 2, "x"),
@@ -304,7 +307,7 @@
         assertEquals(2, auditor.counts().left());
     }
 
-    /** It ran and died before it told anyone: the gateway may only fail the request. */
+    /** The node ran the request and crashed before its answer: the gateway may only fail the request. */
     @Test
     void aNodeThatDiesAfterItRanARequestLeavesAFailure() {
         see(asked(0, "0.1", "submit"), new Received(MS, "0.1", 2), new Ran(MS, "0.1", 2),
--- a/src/test/java/cinderhollow/lab/BrokenGatewayTest.java
+++ b/src/test/java/cinderhollow/lab/BrokenGatewayTest.java
@@ -22,7 +22,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** For each rule a gateway that breaks it: the auditor names this breach on real sockets, and no other. */
+/** Runs gateways that each break one rule, on real sockets: the auditor must report this rule and no other. */
 class BrokenGatewayTest {
     private static final int SECONDS = 4, PATIENCE_SECONDS = 300, MOST_RUNS = 8, SEEDS = 8;
     private static final double CALM_MILLIS = 60;
@@ -44,7 +44,7 @@
     private static final Map<Flaw, CompletableFuture<Report>> RUNS = new EnumMap<>(Flaw.class);
     private static final Map<Long, CompletableFuture<Report>> CORRECT = new TreeMap<>();
 
-    /** Some side by side, since each only takes time. */
+    /** Runs some labs in parallel, since each mostly waits. */
     @BeforeAll
     static void start() {
         for (Flaw flaw : Flaw.values()) {
@@ -60,8 +60,8 @@
         CompletableFuture<Report> run = new CompletableFuture<>();
         BESIDE.execute(() -> {
             try {
-                // The scripted gateways share the lab's process: a run in which this stalled, as with cold code or on a
-                // machine with little to spare, says nothing of them and is played again.
+                // The scripted gateways run in the lab's process. A run in which that stalled, because of code not compiled
+                // yet or a busy machine, says nothing about them and is repeated.
                 Report report = work.call();
                 for (int i = 1; i < MOST_RUNS && (report.fallsNotJudged() > 0 || report.worstLateMillis() > CALM_MILLIS);
                         i++) {
@@ -85,7 +85,7 @@
     }
 
     private static Report play(Flaw flaw) throws Exception {
-        // At the end some requests must be open, and a flood must outweigh a cold node's first seconds.
+        // At the shutdown some requests must be open, and the load must suffice to overload a cold node in its first seconds.
         Site site = new Site(6, 2, 150, SECONDS, 11, Site.usualClasses(), 0, 1, 1024,
                 new Site.Figures(0.31, 8_400, 2.5, 1_500, 500, false), null);
         String plan = flaw == Flaw.LOSES_AT_THE_END
--- a/src/test/java/cinderhollow/lab/FaultSoakTest.java
+++ b/src/test/java/cinderhollow/lab/FaultSoakTest.java
@@ -6,7 +6,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** A short fault soak of real processes: a small fleet, a few seeds, one of them with crowds. The long one is run by hand. */
+/** Runs a short fault soak of real processes: a small fleet, a few seeds, one with crowds. The long one is run by hand. */
 class FaultSoakTest {
     private static final FaultSoak SMALL = new FaultSoak(8, 4, 80, 15, 0.1);
 
--- a/src/test/java/cinderhollow/lab/LabTest.java
+++ b/src/test/java/cinderhollow/lab/LabTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Whole fleets with the real gateway in processes of its own. */
+/** Runs whole fleets with real gateways in processes of their own. */
 class LabTest {
     private static final int PATIENCE_SECONDS = 60;
 
@@ -28,7 +28,7 @@
         }
     }
 
-    /** Among it: a killed gateway's requests fall to their clients, and nodes die after they ran what they had. */
+    /** Includes a killed gateway, whose open requests are excused, and nodes that reset connections after a request ran. */
     @Test
     void theRealGatewayKeepsTheRulesThroughADayOfTrouble() throws Exception {
         Report report = play(Site.usual(9, 3, 200, 12, 5), """
@@ -52,7 +52,7 @@
         assertEquals(0, report.rudeLeft());
     }
 
-    /** All cores are busy with other work: what comes late then is not taken for a breach. */
+    /** Guards against reporting lateness as a breach when all cores are busy with other work. */
     @Test
     void aMachineWithNothingToSpareGivesNoFalseBreach() throws Exception {
         List<Process> burners = new ArrayList<>();
@@ -81,7 +81,7 @@
         return new ProcessBuilder(command).redirectErrorStream(true).redirectOutput(log.toFile()).start();
     }
 
-    /** Ctrl-C in the middle: every process that the demo started ends, and no temporary file is left. */
+    /** Guards against processes and temporary files that remain when the demo is interrupted by Ctrl-C. */
     @Test
     void anInterruptedDemoLeavesNothingBehind(@TempDir Path folder, @TempDir Path logs) throws Exception {
         Path log = logs.resolve("demo.log");
@@ -91,7 +91,7 @@
             List<ProcessHandle> children = demo.descendants().toList();
             assertEquals(3, children.size(), "three gateways");
             new ProcessBuilder("/bin/sh", "-c", "kill -INT " + demo.pid()).start().waitFor();
-            assertTrue(demo.waitFor(PATIENCE_SECONDS, TimeUnit.SECONDS), "ends when interrupted");
+            assertTrue(demo.waitFor(PATIENCE_SECONDS, TimeUnit.SECONDS), "the demo exits after SIGINT");
             for (ProcessHandle child : children) {
                 child.onExit().get(PATIENCE_SECONDS, TimeUnit.SECONDS);
             }
--- a/src/test/java/cinderhollow/lab/LoadTest.java
+++ b/src/test/java/cinderhollow/lab/LoadTest.java
@@ -6,7 +6,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** That the measuring works; what it measures is no matter here. */
+/** Checks that the benchmark runs and reports a result; the figures don't matter here. */
 class LoadTest {
     @ParameterizedTest
     @EnumSource(Load.Way.class)
--- a/src/test/java/cinderhollow/lab/NodeModelTest.java
+++ b/src/test/java/cinderhollow/lab/NodeModelTest.java
@@ -13,7 +13,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** How a stand-in node works, in made-up time. */
+/** Checks the model of a stand-in node with simulated time. */
 class NodeModelTest {
     private static final long MS = 1_000_000L, S = 1000 * MS;
     private static final Machine MACHINE = new Machine(1, 1, 2, 0.25, 8 * S, 2.5, 1500 * MS);
@@ -39,7 +39,7 @@
         assertEquals(0, node.inWork());
     }
 
-    /** What waits never runs once its sender has gone; what runs already, runs on. */
+    /** Guards against running a queued request whose sender has gone; one that already runs continues. */
     @Test
     void dropsWhatWaitsAndFinishesWhatRuns() {
         Job a = node.offer(0, "a", 0, 10 * MS);
@@ -80,7 +80,7 @@
         assertTrue(node.capacity(at) > 0.25 + 0.75 * at / (8.0 * S) + 0.05, "capacity " + node.capacity(at) + " at " + at);
     }
 
-    /** 2.5 times a quarter of the capacity for 1.5 s is 0.94 s of work, and five requests are chance. */
+    /** The budget is 2.5 times a quarter of the capacity for 1.5 s, which is 0.94 s of work, and five requests of slack. */
     @Test
     void aColdNodeThatIsFloodedFallsAndNamesWhoSentTheWork() {
         node.restart(0);
--- a/src/test/java/cinderhollow/lab/PlanTest.java
+++ b/src/test/java/cinderhollow/lab/PlanTest.java
@@ -15,6 +15,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
+/** Checks parsing, printing and drawing of fault plans, and the draw of arrivals. */
 class PlanTest {
     private static final List<String> ALL = Arrays.stream(Kind.values()).map(Kind::word).toList();
 
@@ -25,7 +26,7 @@
         assertEquals(Plan.demo(7, 20, 9), Plan.demo(7, 20, 9));
     }
 
-    /** Plans are printed so that a run can be played again by hand. */
+    /** Guards against printed plans that can't be parsed to repeat a run. */
     @Test
     void whatIsPrintedIsReadAsTheSamePlan() {
         for (long seed = 0; seed < 50; seed++) {
@@ -47,7 +48,7 @@
         });
     }
 
-    /** Over some seeds there are ends, signals of each kind round them, and crowds where these are asked for. */
+    /** Checks that some seeds together have shutdowns, every kind of signal round them, and crowds if requested. */
     @Test
     void overlappingPlansHaveSignalsRoundEachEndAndAreReadAsTheyArePrinted() {
         Set<Kind> seen = EnumSet.noneOf(Kind.class);
--- a/src/test/java/cinderhollow/lab/ScriptedGateway.java
+++ b/src/test/java/cinderhollow/lab/ScriptedGateway.java
@@ -29,9 +29,9 @@
 import java.util.concurrent.TimeoutException;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** A gateway of a thread a connection that keeps the rules, but for the one that its script breaks. */
+/** A gateway with one thread for each connection that keeps all rules except the one that its flaw breaks. */
 final class ScriptedGateway implements Gateways.Running {
-    /** What is wrong with it. */
+    /** The flaws that a scripted gateway may have. */
     enum Flaw { NONE, RESENDS_AFTER_A_RESET, ANSWERS_TWICE, SWAPS_ANSWERS, LOSES_AT_THE_END, SENDS_TO_DRAINED,
         FLOODS_THE_COLD, REFUSES_WHAT_RAN }
 
@@ -48,7 +48,7 @@
     private volatile boolean listed;
     private volatile boolean ending;
 
-    /** A head and a body as they stood on a socket. */
+    /** An HTTP message as read from a socket. */
     private record Message(String first, List<String> headers, String body) {
         String header(String name) {
             return headers.stream().filter(h -> h.regionMatches(true, 0, name + ":", 0, name.length() + 1))
@@ -120,7 +120,7 @@
                         .getBytes(StandardCharsets.US_ASCII));
                 BufferedReader in = new BufferedReader(new InputStreamReader(socket.getInputStream(),
                         StandardCharsets.UTF_8));
-                // Lines of the head and of chunks stand between those of JSON.
+                // The lines of JSON are mixed with those of the response head and the chunk sizes.
                 for (String line = in.readLine(); line != null; line = in.readLine()) {
                     if (line.startsWith("{")) {
                         take(EndpointList.read(Json.read(line)));
@@ -128,7 +128,7 @@
                     }
                 }
             } catch (IOException e) {
-                listed = true; // as with a call that failed
+                listed = true; // a failed call to discovery counts as done
             }
         }
     }
@@ -161,7 +161,7 @@
                 }
             }
         } catch (IOException e) {
-            // The client has gone, or this gateway's end was asked for.
+            // The client has closed the connection, or this gateway is shutting down.
         } finally {
             clients.remove(socket);
         }
@@ -198,11 +198,11 @@
         }
     }
 
-    /** The body of a node's answer, or the status of this gateway's own. */
+    /** Returns the body of a node's answer, or the status of this gateway's own answer. */
     private String carry(Message request) {
         boolean safe = request.first.startsWith("GET ");
         long micros = Long.parseLong(request.header("X-Timeout").replace("u", ""));
-        // Far ahead of the client's time: this gateway runs in the lab's own process, whose stalls are its stalls.
+        // Long before the client's deadline, since this gateway runs in the lab's process and stalls with it.
         long end = System.nanoTime() + TimeUnit.MICROSECONDS.toNanos(micros) / 2;
         boolean mayHaveRun = false;
         for (int i = 0; i < MOST_ATTEMPTS; i++) {
@@ -304,12 +304,12 @@
 
     @Override
     public void hangUp() {
-        // It follows one discovery for good.
+        // Nothing to reload: it watches the same discovery all the time.
     }
 
     @Override
     public void pause(boolean on) {
-        throw new IllegalStateException("a scripted gateway is no process that could be stopped");
+        throw new IllegalStateException("a scripted gateway is not a process and can't be paused");
     }
 
     @Override
