--- a/src/main/java/cinderhollow/lab/Auditor.java
+++ b/src/main/java/cinderhollow/lab/Auditor.java
@@ -303,7 +303,7 @@
                     + Names.node(first.node) + " may have run it");
         }
         if (first != null && life.grade.effect() == Effect.KEYED && outside(life.grade, first, s)) {
-            breach(Rule.OUTSIDE_GROUP, s.id(), life, "resent to " + Names.node(s.node()) + ", which doesn't drop now what "
+            breach(Rule.OUTSIDE_GROUP, s.id(), life, "resent to " + Names.node(s.node()) + ", which drops no repeat of what "
                     + Names.node(first.node) + " may have run");
         }
         life.attempts.add(new Attempt(s.node(), s.at(), drainedSince.get(pair(life.gateway, s.node()))));
--- a/src/main/java/cinderhollow/lab/Clients.java
+++ b/src/main/java/cinderhollow/lab/Clients.java
@@ -350,7 +350,7 @@
                 if (done.isSuccess()) {
                     ask(first);
                 } else {
-                    // The connection was not accepted and nothing was sent: a retry, at another gateway, is harmless for any class.
+                    // The connection was not accepted and nothing was sent: a retry at another gateway is harmless for any class.
                     gate.refuses();
                     first.again(true, 0, tally -> tally.failed++);
                 }
