--- a/src/main/java/cinderhollow/daemon/Gateway.java
+++ b/src/main/java/cinderhollow/daemon/Gateway.java
@@ -36,7 +36,7 @@
 import cinderhollow.membership.StartTimes;
 import cinderhollow.membership.Subset;
 import cinderhollow.ops.Standing;
-import cinderhollow.policy.Choice;
+import cinderhollow.policy.LoadBalancer;
 import cinderhollow.policy.Protocol.Actions;
 import cinderhollow.policy.Protocol.Arriving;
 import cinderhollow.policy.Protocol.AttemptEnded;
@@ -154,7 +154,7 @@
     private final Map<String, OpenRequest> open = new HashMap<>();
     private final ArrayDeque<Stamped> events = new ArrayDeque<>();
     private final CompletableFuture<Void> ended = new CompletableFuture<>();
-    private final Choice choice;
+    private final LoadBalancer choice;
     private final HostPool hosts;
     private final Discovery discovery;
     private final ClientServer clients;
@@ -216,7 +216,7 @@
         askedForList = discovery == null && (config.scale() == null || !config.scale().follows());
         clients = new ClientServer(loop, transport, clock, lag, connections / 2, new Requests(),
                 ledger == null ? null : ledger.sheet(Place.CLIENTS));
-        choice = new Choice(config.settings(), config.seed(), this);
+        choice = new LoadBalancer(config.settings(), config.seed(), this);
         talk = config.peering() == null ? null : new ZoneTalk(loop, config.peering(), config.settings().rules(), clock,
                 config.seed(), this::tell, clientsMayCome -> welcome = clientsMayCome, log);
     }
@@ -397,13 +397,13 @@
                 tallies.forEach((name, tally) -> counts.put(name, tally.counts()));
             }
             return new Standing(counts, open.values().stream().filter(r -> !r.reply.isOver()).count() + clients.sentAhead(),
-                    hosts.listed(), hosts.listed() - choice.drawnOn(), cfgAccepted, cfgInvalid);
+                    hosts.listed(), hosts.listed() - choice.usableServerCount(), cfgAccepted, cfgInvalid);
         }, loop);
     }
 
     @Override
     public CompletableFuture<Snapshot> snapshot() {
-        return CompletableFuture.supplyAsync(() -> new Snapshot(choice.memory(), listIndex, hosts.list().stream()
+        return CompletableFuture.supplyAsync(() -> new Snapshot(choice.learnedState(), listIndex, hosts.list().stream()
                 .map(Gateway::told).toList(), standby), loop);
     }
 
@@ -668,7 +668,7 @@
      */
     private void decide(Event event) {
         try {
-            choice.on(last, event);
+            choice.handle(last, event);
         } catch (RuntimeException e) {
             log("unexpected error in the decision module on " + event.getClass().getSimpleName() + ": " + e);
             if (event instanceof RequestArrived arrived && open.containsKey(arrived.id())) {
--- a/src/main/java/cinderhollow/emulator/EmulatedGateway.java
+++ b/src/main/java/cinderhollow/emulator/EmulatedGateway.java
@@ -5,7 +5,7 @@
 import cinderhollow.evacuation.Traffic;
 import cinderhollow.peers.Pace;
 import cinderhollow.peers.Roster;
-import cinderhollow.policy.Choice;
+import cinderhollow.policy.LoadBalancer;
 import cinderhollow.policy.Protocol.Actions;
 import cinderhollow.policy.Protocol.AttemptEnded;
 import cinderhollow.policy.Protocol.Bears;
@@ -120,7 +120,7 @@
     private final Timeline time;
     private final Scenario scenario;
     private final World world;
-    private final Choice choice;
+    private final LoadBalancer choice;
     final Invariants invariants;
     private final ToLongBiFunction<EmulatedGateway, Node> wire;
     final String zone;
@@ -150,7 +150,7 @@
         this.wire = wire;
         zone = settings.zone();
         invariants = new Invariants(settings.gatewayNumber(), settings.rules(), settings.allowed().maxAttempts());
-        choice = new Choice(settings, seed, this);
+        choice = new LoadBalancer(settings, seed, this);
         evacuation = scenario.talks() ? talk(settings, seed) : null;
     }
 
@@ -229,7 +229,7 @@
         deciding = true;
         try {
             for (Event next = events.poll(); next != null; next = events.poll()) {
-                choice.on(time.now(), next);
+                choice.handle(time.now(), next);
             }
         } finally {
             deciding = false;
--- a/src/main/java/cinderhollow/policy/Choice.java
+++ b/src/main/java/cinderhollow/policy/LoadBalancer.java
@@ -26,7 +26,7 @@
  * {@link #maySend}, every refusal by {@link RetryRules#mayRefuse}. The class is single-threaded, reads no clock and takes all
  * randomness from one seed.
  */
-public final class Choice {
+public final class LoadBalancer {
     /** The paper's learning rate. Its interval is a fifth of the paper's, to tell unlike machines apart within seconds. */
     private static final double ETA = 0.2;
     private static final long TICK_NANOS = 1_000_000_000L;
@@ -111,7 +111,7 @@
     private final Map<String, Pool> alike = new HashMap<>();
     private final Map<String, Request> open = new LinkedHashMap<>();
     /** Requests without a server, by descending priority; among equals, the one that was held last comes first. */
-    private final TreeSet<Request> held = new TreeSet<>(Choice::worthier);
+    private final TreeSet<Request> held = new TreeSet<>(LoadBalancer::worthier);
     private Map<String, Double> weights = Map.of();
     private double total = 1, bears, borne, lateness, warmRate, extra = MOST_EXTRA, pressure, leastPressure, bestValue;
     /** Numbers of gateways that share each server and of this gateway's overlapping processes, sharing quotas and budgets. */
@@ -144,7 +144,7 @@
     private boolean started, sweeping;
 
     /** Creates the module of a gateway that knows its settings only; the server list arrives as an event. */
-    public Choice(Settings settings, long seed, Actions actions) {
+    public LoadBalancer(Settings settings, long seed, Actions actions) {
         this.settings = settings;
         this.actions = actions;
         rules = settings.rules();
@@ -185,7 +185,7 @@
     }
 
     /** Handles one event. The times of successive calls must not decrease. */
-    public void on(long nowNanos, Event event) {
+    public void handle(long nowNanos, Event event) {
         if (started && nowNanos < now) {
             throw new IllegalArgumentException("nowNanos: " + nowNanos + " is before the last event, at " + now);
         }
@@ -261,7 +261,7 @@
     }
 
     /** Returns what the module has learned, for another process of this same gateway. */
-    public Memory memory() {
+    public Memory learnedState() {
         return new Memory(pressure, lateness, warmRate(), ready.stream().map(s -> new Memory.OfServer(s.info.id(),
                 s.info.startedAtNanos(), s.share, s.limit, recent(s), failures(s), s.silent)).toList(),
                 kinds.values().stream().map(k -> new Memory.OfClass(k.spec.name(), k.latency, k.calmest, k.served)).toList());
@@ -607,7 +607,7 @@
     }
 
     /** Returns how many servers are in use now. Ready servers that it does not count are avoided as suspect. */
-    public int drawnOn() {
+    public int usableServerCount() {
         return (int) ready.stream().filter(s -> serves(s) || !doubtful(s)).count();
     }
 
--- a/src/main/java/cinderhollow/policy/Protocol.java
+++ b/src/main/java/cinderhollow/policy/Protocol.java
@@ -4,10 +4,10 @@
 import java.util.Map;
 
 /**
- * The interface of the decision module {@link Choice}: the events that a gateway delivers to it and the actions that it may
+ * The interface of the decision module {@link LoadBalancer}: the events that a gateway delivers to it and the actions that it may
  * request. All times are nanoseconds; the clock has an arbitrary origin and never goes back.
  *
- * <p>A gateway owns one {@link Choice} and calls it from one thread, each event as it happens. It delivers each request once,
+ * <p>A gateway owns one {@link LoadBalancer} and calls it from one thread, each event as it happens. It delivers each request once,
  * under an id that is not used again; exactly one {@link AttemptEnded} for each send; a {@link TimerFired} for each timer, never
  * early; and the server list whenever it changes. In return each request gets one final answer before it expires: the first
  * SERVED outcome, which the host passes to the client itself, a refusal or a failure. Equal settings, seed and events give equal
@@ -276,7 +276,7 @@
     record TimerFired(long token) implements Event { }
 
     /**
-     * The actions that the module requests from its host. Each is called from within {@link Choice#on}, on its thread, and takes
+     * The actions that the module requests from its host. Each is called from within {@link LoadBalancer#handle}, on its thread, and takes
      * effect at the time of the current event; none may call the module. Actions with a default body are optional for a host.
      */
     interface Actions {
--- a/src/main/java/cinderhollow/policy/State.java
+++ b/src/main/java/cinderhollow/policy/State.java
@@ -14,7 +14,7 @@
 
 /**
  * The state that a gateway keeps about servers, classes, requests and tenants: plain data holders. All decisions are made in
- * {@link Choice}.
+ * {@link LoadBalancer}.
  */
 interface State {
 
--- a/src/main/java/cinderhollow/sim/Wire.java
+++ b/src/main/java/cinderhollow/sim/Wire.java
@@ -1,6 +1,6 @@
 package cinderhollow.sim;
 
-import cinderhollow.policy.Choice;
+import cinderhollow.policy.LoadBalancer;
 import cinderhollow.policy.Protocol.*;
 import cinderhollow.policy.SettingsReader;
 import java.io.IOException;
@@ -16,7 +16,7 @@
 
 /**
  * Implements the simulator's line protocol: turns input lines into events and actions into output lines, and keeps one
- * {@link Choice} per gateway. It makes no load-balancing decisions itself.
+ * {@link LoadBalancer} per gateway. It makes no load-balancing decisions itself.
  */
 public final class Wire {
     private static final HexFormat HEX = HexFormat.of();
@@ -289,14 +289,14 @@
         private final String prefix;
         private final ReportColumn[] reportColumns;
         private final StringBuilder reply;
-        private final Choice choice;
+        private final LoadBalancer choice;
         private boolean failed;
 
         Gateway(int number, Settings settings, long seed, ReportColumn[] reportColumns, StringBuilder reply) {
             this.prefix = "\tgateway=" + number;
             this.reportColumns = reportColumns;
             this.reply = reply;
-            this.choice = new Choice(settings, seed, this);
+            this.choice = new LoadBalancer(settings, seed, this);
         }
 
         void take(long now, Event event) {
@@ -304,7 +304,7 @@
                 return;
             }
             try {
-                choice.on(now, event);
+                choice.handle(now, event);
             } catch (RuntimeException e) {
                 failed = true;
                 line("GIVE_IN").append("\tmessage=").append(oneLine(e.toString())).append('\n');
--- a/src/test/java/cinderhollow/bench/DecisionBenchmark.java
+++ b/src/test/java/cinderhollow/bench/DecisionBenchmark.java
@@ -1,6 +1,6 @@
 package cinderhollow.bench;
 
-import cinderhollow.policy.Choice;
+import cinderhollow.policy.LoadBalancer;
 import cinderhollow.policy.Protocol.Actions;
 import cinderhollow.policy.Protocol.Allowed;
 import cinderhollow.policy.Protocol.AttemptEnded;
@@ -55,7 +55,7 @@
 
     private final PriorityQueue<long[]> timers = new PriorityQueue<>((a, b) -> Long.compare(a[0], b[0]));
     private final ArrayDeque<String[]> sent = new ArrayDeque<>();
-    private Choice choice;
+    private LoadBalancer choice;
     private long now = 100_000 * MS;
     private long requests;
     private int changes;
@@ -65,12 +65,12 @@
     public void start() {
         Settings settings = new Settings(1, 0, "a", false, 5 * MS, List.of(READ), List.of(), 0.1, new Allowed(4, true),
                 new Rules(20 * MS, 250 * MS, 10_000 * MS, 0.2, 20_000 * MS, 2.5, 1_500 * MS));
-        choice = new Choice(settings, 7, new Host());
+        choice = new LoadBalancer(settings, 7, new Host());
         List<ServerInfo> list = new ArrayList<>();
         for (int i = 0; i < nodes; i++) {
             list.add(server(i, Readiness.READY));
         }
-        choice.on(now, new ListReceived(ListKind.CACHED, list));
+        choice.handle(now, new ListReceived(ListKind.CACHED, list));
     }
 
     private static ServerInfo server(int i, Readiness readiness) {
@@ -82,12 +82,12 @@
     public void decide() {
         now += BETWEEN_NANOS;
         while (!timers.isEmpty() && timers.peek()[0] <= now) {
-            choice.on(now, new TimerFired(timers.poll()[1]));
+            choice.handle(now, new TimerFired(timers.poll()[1]));
         }
-        choice.on(now, new RequestArrived("r" + requests++, "read", null, null, 2_000 * MS, 0, false));
+        choice.handle(now, new RequestArrived("r" + requests++, "read", null, null, 2_000 * MS, 0, false));
         if (sent.size() > 8) {
             String[] first = sent.poll();
-            choice.on(now, new AttemptEnded(first[0], 0, first[1], Outcome.SERVED, ANSWER_NANOS, true, null));
+            choice.handle(now, new AttemptEnded(first[0], 0, first[1], Outcome.SERVED, ANSWER_NANOS, true, null));
         }
     }
 
@@ -96,7 +96,7 @@
     public void change() {
         now += BETWEEN_NANOS;
         int i = ++changes / 2 % nodes;
-        choice.on(now, new ListReceived(ListKind.CHANGES,
+        choice.handle(now, new ListReceived(ListKind.CHANGES,
                 List.of(server(i, changes % 2 == 0 ? Readiness.GONE : Readiness.READY))));
     }
 
--- a/src/test/java/cinderhollow/bench/FleetSimulation.java
+++ b/src/test/java/cinderhollow/bench/FleetSimulation.java
@@ -1,7 +1,7 @@
 package cinderhollow.bench;
 
 import cinderhollow.membership.Subset;
-import cinderhollow.policy.Choice;
+import cinderhollow.policy.LoadBalancer;
 import cinderhollow.policy.Protocol.Actions;
 import cinderhollow.policy.Protocol.Allowed;
 import cinderhollow.policy.Protocol.AttemptEnded;
@@ -214,7 +214,7 @@
     }
 
     private final class Gateway implements Actions {
-        private final Choice choice;
+        private final LoadBalancer choice;
         private final Set<Integer> met = new HashSet<>();
         private final Map<String, Long> open = new HashMap<>();
         private final Map<String, Integer> attempts = new HashMap<>();
@@ -229,7 +229,7 @@
                 list.add(nodes[n].info);
             });
             String zone = ZONES.get(number % ZONES.size());
-            choice = new Choice(new Settings(gateways.length, number, zone, false, 5 * MS, List.of(READ), List.of(), 0.1,
+            choice = new LoadBalancer(new Settings(gateways.length, number, zone, false, 5 * MS, List.of(READ), List.of(), 0.1,
                     new Allowed(3, true), new Rules(20 * MS, 250 * MS, 10 * SECOND, COLD, WARM_UP, 2.5, 1_500 * MS)),
                     seed * 31 + number, this);
             tell(new Sharing(sharers()));
@@ -273,7 +273,7 @@
         }
 
         private void tell(Event event) {
-            choice.on(now, event);
+            choice.handle(now, event);
         }
 
         private void arriveLater() {
--- a/src/test/java/cinderhollow/policy/ChoiceTest.java
+++ b/src/test/java/cinderhollow/policy/ChoiceTest.java
@@ -342,7 +342,7 @@
         fleet.end(id, 0, s, Outcome.SERVED, MS);
         fleet.host.take();
         fleet.end(id, 0, s, Outcome.SERVED, MS);
-        fleet.choice.on(fleet.now, new ClientLeft(id));
+        fleet.choice.handle(fleet.now, new ClientLeft(id));
         assertEquals(List.of(), fleet.host.take());
     }
 
@@ -351,7 +351,7 @@
         Fleet fleet = new Fleet().with(2);
         String id = fleet.ask(READ);
         String s = fleet.sentTo();
-        fleet.choice.on(fleet.now, new ClientLeft(id));
+        fleet.choice.handle(fleet.now, new ClientLeft(id));
         assertEquals(1, fleet.host.take("cancel").size());
         fleet.end(id, 0, s, Outcome.CANCELLED, MS, true);
         assertEquals(List.of(), fleet.host.take());
@@ -385,7 +385,7 @@
     void aStreamThatBeganIsLeftAlone() {
         Fleet fleet = new Fleet().with(3);
         String id = fleet.ask(READ);
-        fleet.choice.on(fleet.now, new StreamStarted(id, 0, fleet.sentTo()));
+        fleet.choice.handle(fleet.now, new StreamStarted(id, 0, fleet.sentTo()));
         fleet.now += 5 * SECOND;
         fleet.fire(SWEEP);
         assertTrue(fleet.host.take().stream().noneMatch(a -> Set.of("send", "cancel", "fail", "refuse")
@@ -751,10 +751,10 @@
                 List.of(), List.of(READ)));
         assertEquals("settings: gateways can't be 0", e.getMessage());
         Fleet fleet = new Fleet().with(1);
-        e = assertThrows(IllegalArgumentException.class, () -> fleet.choice.on(fleet.now,
+        e = assertThrows(IllegalArgumentException.class, () -> fleet.choice.handle(fleet.now,
                 new RequestArrived("r", "unheard", null, null, SECOND, 0, false)));
         assertEquals("requestClass: unknown class unheard", e.getMessage());
-        e = assertThrows(IllegalArgumentException.class, () -> fleet.choice.on(1, new TimerFired(STEP)));
+        e = assertThrows(IllegalArgumentException.class, () -> fleet.choice.handle(1, new TimerFired(STEP)));
         assertTrue(e.getMessage().startsWith("nowNanos: "), e.getMessage());
     }
 }
--- a/src/test/java/cinderhollow/policy/CourseTest.java
+++ b/src/test/java/cinderhollow/policy/CourseTest.java
@@ -259,7 +259,7 @@
         String id = ask(READ, tries(500 * MS, 40 * MS, ALL));
         fleet.end(id, 0, fleet.sentTo(), Outcome.ERROR, 5 * MS);
         List<Recorder.Action> actions = fleet.host.take();
-        fleet.choice.on(fleet.now, new ClientLeft(id));
+        fleet.choice.handle(fleet.now, new ClientLeft(id));
         assertTrue(only("send", pass(actions, 40 * MS)).isEmpty());
     }
 
--- a/src/test/java/cinderhollow/policy/Fleet.java
+++ b/src/test/java/cinderhollow/policy/Fleet.java
@@ -22,7 +22,7 @@
     static final Rules RULES = new Rules(20 * MS, 250 * MS, 10 * SECOND, 0.2, WARM_UP, 2.5, 1500 * MS);
 
     final Recorder host = new Recorder();
-    final Choice choice;
+    final LoadBalancer choice;
     long now = 100 * SECOND;
     private final RequestClass main;
     private int requests;
@@ -32,7 +32,7 @@
     }
 
     Fleet(Settings settings, long seed) {
-        choice = new Choice(settings, seed, host);
+        choice = new LoadBalancer(settings, seed, host);
         main = settings.classes().get(0);
     }
 
@@ -68,7 +68,7 @@
     }
 
     void list(ListKind kind, List<ServerInfo> servers) {
-        choice.on(now, new ListReceived(kind, servers));
+        choice.handle(now, new ListReceived(kind, servers));
     }
 
     void list(ListKind kind, ServerInfo... servers) {
@@ -86,7 +86,7 @@
 
     String ask(RequestClass c, String tenant, long expiresIn, Course course) {
         String id = "r" + requests++;
-        choice.on(now, new RequestArrived(id, c.name(), tenant, null, expiresIn, 0, false, course));
+        choice.handle(now, new RequestArrived(id, c.name(), tenant, null, expiresIn, 0, false, course));
         return id;
     }
 
@@ -95,11 +95,11 @@
     }
 
     void end(String id, int attempt, String server, Outcome outcome, long elapsed, boolean concluded) {
-        choice.on(now, new AttemptEnded(id, attempt, server, outcome, elapsed, concluded, null));
+        choice.handle(now, new AttemptEnded(id, attempt, server, outcome, elapsed, concluded, null));
     }
 
     void fire(long token) {
-        choice.on(now, new TimerFired(token));
+        choice.handle(now, new TimerFired(token));
     }
 
     /** Returns the server of the only send since the last call, or null if there was none. */
@@ -165,7 +165,7 @@
             sends = host.take("send");
             out.addAll(sends);
         }
-        asked.forEach(id -> choice.on(now, new ClientLeft(id)));
+        asked.forEach(id -> choice.handle(now, new ClientLeft(id)));
         out.forEach(a -> end(a.id(), 0, a.server(), Outcome.NOT_SENT, 0, true));
         host.take();
         return out.size();
--- a/src/test/java/cinderhollow/policy/OverbookedDiscoveryTest.java
+++ b/src/test/java/cinderhollow/policy/OverbookedDiscoveryTest.java
@@ -46,15 +46,15 @@
     }
 
     private final class Gateway implements Actions {
-        private final Choice choice;
+        private final LoadBalancer choice;
 
         Gateway(long seed) {
-            choice = new Choice(settings(true, GATEWAYS, List.of(), List.of(READ)), seed, this);
+            choice = new LoadBalancer(settings(true, GATEWAYS, List.of(), List.of(READ)), seed, this);
             tell(new ListReceived(ListKind.CACHED, List.of(server("s0"))));
         }
 
         private void tell(Event event) {
-            choice.on(now, event);
+            choice.handle(now, event);
         }
 
         @Override
--- a/src/test/java/cinderhollow/policy/QuickStartTest.java
+++ b/src/test/java/cinderhollow/policy/QuickStartTest.java
@@ -64,13 +64,13 @@
                 new Allowed(3, true),
                 new Rules(20 * MS, 250 * MS, 10_000 * MS, 0.2, 20_000 * MS, 2.5, 1000 * MS));
         Host host = new Host();
-        Choice choice = new Choice(settings, 42, host);
+        LoadBalancer choice = new LoadBalancer(settings, 42, host);
 
         long now = 5_000 * MS; // in a gateway: System.nanoTime()
         ServerInfo server = new ServerInfo("10.0.0.7:80", "zone-a", "m5", 0, Readiness.READY, 1, 0);
-        choice.on(now, new ListReceived(ListKind.WHOLE, List.of(server)));
-        choice.on(now, new RequestArrived("r1", "read", null, null, 1000 * MS, 0, false));
-        choice.on(now + 20 * MS, new AttemptEnded("r1", 0, "10.0.0.7:80", Outcome.SERVED, 20 * MS, true, null));
+        choice.handle(now, new ListReceived(ListKind.WHOLE, List.of(server)));
+        choice.handle(now, new RequestArrived("r1", "read", null, null, 1000 * MS, 0, false));
+        choice.handle(now + 20 * MS, new AttemptEnded("r1", 0, "10.0.0.7:80", Outcome.SERVED, 20 * MS, true, null));
 
         assertEquals(List.of("r1 to 10.0.0.7:80"), host.sent);
         assertTrue(host.timers > 0, "the module asks to be woken");
--- a/src/test/java/cinderhollow/policy/RecalledTest.java
+++ b/src/test/java/cinderhollow/policy/RecalledTest.java
@@ -40,14 +40,14 @@
         Fleet old = experienced();
         Fleet next = new Fleet().with(3);
         next.now = old.now;
-        next.choice.on(next.now, new Recalled(old.choice.memory()));
-        assertEquals(old.choice.memory().classes(), next.choice.memory().classes());
+        next.choice.handle(next.now, new Recalled(old.choice.learnedState()));
+        assertEquals(old.choice.learnedState().classes(), next.choice.learnedState().classes());
         for (int i = 0; i < 3; i++) {
             assertEquals(old.choice.ready().get(i).share, next.choice.ready().get(i).share, 1e-9);
             assertEquals(old.choice.ready().get(i).limit, next.choice.ready().get(i).limit, 1e-9);
         }
-        assertEquals(2, next.choice.drawnOn(), "it avoids the failing server from its first request on");
-        assertEquals(old.choice.drawnOn(), next.choice.drawnOn());
+        assertEquals(2, next.choice.usableServerCount(), "it avoids the failing server from its first request on");
+        assertEquals(old.choice.usableServerCount(), next.choice.usableServerCount());
     }
 
     /** Each invalid entry is dropped by itself, and nothing is restored for a server that has restarted since. */
@@ -59,7 +59,7 @@
         servers.add(new OfServer("s1", 77, 0.9, 1, 1, 0, false));
         servers.add(new OfServer("s2", 0, 0.6, 2.5, 1, 0, false));
         servers.add(new OfServer("unheard-of", 0, 0.1, 1, 1, 0, false));
-        next.choice.on(next.now, new Recalled(new Memory(0, 0, 5, servers,
+        next.choice.handle(next.now, new Recalled(new Memory(0, 0, 5, servers,
                 List.of(new OfClass("read", -1, 0, 5), new OfClass("order", 40 * MS, 30 * MS, 5), new OfClass("gone", 1, 1, 1)))));
         double total = 1 / 3.0 + 1 / 3.0 + 0.6;
         assertEquals(1 / 3.0 / total, next.choice.ready().get(0).share, 1e-9);
@@ -70,7 +70,7 @@
         assertEquals(40 * MS, next.choice.kind("order").latency);
         Memory wrong = new Memory(Double.NaN, 0, 5, servers, List.of());
         Fleet plain = new Fleet().with(3);
-        plain.choice.on(plain.now, new Recalled(wrong));
+        plain.choice.handle(plain.now, new Recalled(wrong));
         assertEquals(1 / 3.0, plain.choice.ready().get(2).share, 1e-9);
     }
 
@@ -94,9 +94,9 @@
         sentToCold(fleet, 100);
         fleet.fire(STEP);
         if (overlapping) {
-            fleet.choice.on(fleet.now, new Overlap(true));
+            fleet.choice.handle(fleet.now, new Overlap(true));
         }
-        fleet.choice.on(fleet.now, new ListReceived(ListKind.CHANGES, List.of(server("cold", "a", Readiness.READY, fleet.now))));
+        fleet.choice.handle(fleet.now, new ListReceived(ListKind.CHANGES, List.of(server("cold", "a", Readiness.READY, fleet.now))));
         return fleet;
     }
 
@@ -110,7 +110,7 @@
         int both = sentToCold(first, 400) + sentToCold(first, 400) + sentToCold(second, 400) + sentToCold(second, 400);
         assertTrue(alone > 10, alone + " alone");
         assertTrue(both <= alone * 1.2 + 2, both + " by both, and " + alone + " alone");
-        first.choice.on(first.now, new Overlap(false));
+        first.choice.handle(first.now, new Overlap(false));
         assertTrue(sentToCold(first, 400) > 0);
     }
 
@@ -119,7 +119,7 @@
     void aColdServerIsOwedNothingAtTheHandOver() {
         Fleet old = withCold(false);
         Fleet next = withCold(true);
-        next.choice.on(next.now, new Recalled(old.choice.memory()));
+        next.choice.handle(next.now, new Recalled(old.choice.learnedState()));
         assertEquals(0, next.choice.ready().stream().filter(s -> s.info.id().equals("cold")).findFirst().orElseThrow().cold.tokens);
     }
 }
--- a/src/test/java/cinderhollow/policy/RulesTest.java
+++ b/src/test/java/cinderhollow/policy/RulesTest.java
@@ -62,7 +62,7 @@
     private static final class World {
         final SplittableRandom random;
         final Recorder host = new Recorder();
-        final Choice choice;
+        final LoadBalancer choice;
         final Map<String, Asked> asked = new TreeMap<>();
         final Map<String, ServerInfo> listed = new TreeMap<>();
         final Map<String, Long> toldNotReady = new HashMap<>();
@@ -83,11 +83,11 @@
         World(long seed, Map<String, Course> courses) {
             this.courses = courses;
             random = new SplittableRandom(seed);
-            choice = new Choice(settings(false, 1, List.of(new Tenant("t", 20)), CLASSES), seed, host);
+            choice = new LoadBalancer(settings(false, 1, List.of(new Tenant("t", 20)), CLASSES), seed, host);
         }
 
         void on(Event e) {
-            choice.on(now, e);
+            choice.handle(now, e);
             host.take().forEach(this::check);
         }
 
@@ -304,7 +304,7 @@
     @Test
     void whatComesAtTheEndIsAnsweredBeforeIt() {
         Fleet fleet = new Fleet().with(1);
-        fleet.choice.on(fleet.now, new Ending(300 * MS));
+        fleet.choice.handle(fleet.now, new Ending(300 * MS));
         fleet.ask(READ);
         assertEquals(300 * MS, fleet.host.take("send").get(0).number());
     }
