--- a/src/main/java/cinderhollow/handover/Snapshot.java
+++ b/src/main/java/cinderhollow/handover/Snapshot.java
@@ -1,7 +1,7 @@
 package cinderhollow.handover;
 
 import cinderhollow.core.Json;
-import cinderhollow.policy.Memory;
+import cinderhollow.policy.LearnedState;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -19,7 +19,7 @@
  * @param hosts the endpoint list, as received from discovery
  * @param standby whether the gateway is in standby
  */
-public record Snapshot(Memory memory, long index, List<Host> hosts, boolean standby) {
+public record Snapshot(LearnedState memory, long index, List<Host> hosts, boolean standby) {
     /** Maximum length of the body; a longer one is rejected, so that a peer that is no gateway cannot exhaust memory. */
     public static final int MOST_BYTES = 1 << 20;
     /** Maximum length of the header line in bytes. */
@@ -47,13 +47,13 @@
         fields.put("index", index);
         fields.put("hosts", hosts.stream().map(Snapshot::fields).toList());
         fields.put("pressure", memory.pressure());
-        fields.put("lateness", memory.lateness());
-        fields.put("warm_rate", memory.warmRate());
+        fields.put("lateness", memory.latencyToBudgetRatio());
+        fields.put("warm_rate", memory.requestRatePerServer());
         fields.put("servers", memory.servers().stream().map(s -> Map.of("id", s.id(), "started", s.startedAtNanos(),
-                "share", s.share(), "limit", s.limit(), "recent", s.recent(), "failures", s.failures(),
+                "share", s.share(), "limit", s.inFlightLimit(), "recent", s.recentRelativeLatency(), "failures", s.failureRate(),
                 "silent", s.silent())).toList());
-        fields.put("classes", memory.classes().stream().map(c -> Map.of("name", c.name(), "latency", c.latencyNanos(),
-                "calmest", c.calmestNanos(), "served", c.served())).toList());
+        fields.put("classes", memory.classes().stream().map(c -> Map.of("name", c.name(), "latency", c.meanLatencyNanos(),
+                "calmest", c.minMeanLatencyNanos(), "served", c.servedCount())).toList());
         byte[] body = Json.text(fields).getBytes(StandardCharsets.UTF_8);
         if (body.length > MOST_BYTES) {
             throw new IllegalArgumentException("snapshot too large: " + body.length + " bytes, limit " + MOST_BYTES + " bytes");
@@ -110,14 +110,14 @@
             throw new IllegalArgumentException("snapshot checksum does not match");
         }
         Json json = Json.parse(new String(body, StandardCharsets.UTF_8));
-        List<Memory.OfServer> servers = new ArrayList<>();
+        List<LearnedState.ServerEntry> servers = new ArrayList<>();
         for (Json s : json.required("servers").entries()) {
-            servers.add(new Memory.OfServer(s.required("id").text(), whole(s, "started"), number(s, "share"),
+            servers.add(new LearnedState.ServerEntry(s.required("id").text(), whole(s, "started"), number(s, "share"),
                     number(s, "limit"), number(s, "recent"), number(s, "failures"), s.required("silent").isTrue()));
         }
-        List<Memory.OfClass> classes = new ArrayList<>();
+        List<LearnedState.ClassEntry> classes = new ArrayList<>();
         for (Json c : json.required("classes").entries()) {
-            classes.add(new Memory.OfClass(c.required("name").text(), number(c, "latency"), number(c, "calmest"),
+            classes.add(new LearnedState.ClassEntry(c.required("name").text(), number(c, "latency"), number(c, "calmest"),
                     whole(c, "served")));
         }
         List<Host> hosts = new ArrayList<>();
@@ -126,7 +126,7 @@
                     h.required("type").text(), (int) whole(h, "group"), h.required("draining").isTrue(), number(h, "weight"),
                     whole(h, "since_ms")));
         }
-        return new Snapshot(new Memory(number(json, "pressure"), number(json, "lateness"), number(json, "warm_rate"), servers,
+        return new Snapshot(new LearnedState(number(json, "pressure"), number(json, "lateness"), number(json, "warm_rate"), servers,
                 classes), whole(json, "index"), hosts, json.required("standby").isTrue());
     }
 
--- a/src/main/java/cinderhollow/policy/LoadBalancer.java
+++ b/src/main/java/cinderhollow/policy/LoadBalancer.java
@@ -261,18 +261,18 @@
     }
 
     /** Returns what the module has learned, for another process of this same gateway. */
-    public Memory learnedState() {
-        return new Memory(pressure, lateness, warmRate(), ready.stream().map(s -> new Memory.OfServer(s.info.id(),
+    public LearnedState learnedState() {
+        return new LearnedState(pressure, lateness, warmRate(), ready.stream().map(s -> new LearnedState.ServerEntry(s.info.id(),
                 s.info.startedAtNanos(), s.share, s.limit, recent(s), failures(s), s.silent)).toList(),
-                kinds.values().stream().map(k -> new Memory.OfClass(k.spec.name(), k.latency, k.calmest, k.served)).toList());
+                kinds.values().stream().map(k -> new LearnedState.ClassEntry(k.spec.name(), k.latency, k.calmest, k.served)).toList());
     }
 
     /** Takes over what another process learned, but nothing invalid or of a restarted server: it would misdirect traffic. */
-    private void recall(Memory m) {
+    private void recall(LearnedState m) {
         pressure = Math.max(leastPressure, Math.min(1 + ZONES_OPEN - LEAST_ADMITTED, m.pressure()));
-        lateness = m.lateness();
-        warmRate = m.warmRate();
-        for (Memory.OfServer o : m.servers()) {
+        lateness = m.latencyToBudgetRatio();
+        warmRate = m.requestRatePerServer();
+        for (LearnedState.ServerEntry o : m.servers()) {
             Server s = servers.get(o.id());
             if (s != null && s.info.startedAtNanos() == o.startedAtNanos() && o.isSane()) {
                 s.recall(o, now);
@@ -281,7 +281,7 @@
                 }
             }
         }
-        for (Memory.OfClass o : m.classes()) {
+        for (LearnedState.ClassEntry o : m.classes()) {
             Kind k = kinds.get(o.name());
             if (k != null && o.isSane(k.spec.deadlineNanos())) {
                 k.recall(o);
--- a/src/main/java/cinderhollow/policy/Protocol.java
+++ b/src/main/java/cinderhollow/policy/Protocol.java
@@ -249,7 +249,7 @@
     record Retuned(Settings settings) implements Event { }
 
     /** The state that another process of this same gateway learned earlier was received. */
-    record Recalled(Memory memory) implements Event { }
+    record Recalled(LearnedState memory) implements Event { }
 
     /**
      * Another process of this same gateway began or stopped serving beside this one. Rules and limits treat both as one gateway,
--- a/src/main/java/cinderhollow/policy/State.java
+++ b/src/main/java/cinderhollow/policy/State.java
@@ -79,11 +79,11 @@
         }
 
         /** Takes over what another process has learned of this server. */
-        void recall(Memory.OfServer o, long now) {
+        void recall(LearnedState.ServerEntry o, long now) {
             share = o.share();
-            limit = o.limit();
-            recent.set(o.recent(), now);
-            failures.set(o.failures(), now);
+            limit = o.inFlightLimit();
+            recent.set(o.recentRelativeLatency(), now);
+            failures.set(o.failureRate(), now);
             silent = o.silent();
             // The other process has already sent what a cold server may get by now.
             cold.tokens = 0;
@@ -283,10 +283,10 @@
         }
 
         /** Takes over what another process has learned of this class. */
-        void recall(Memory.OfClass o) {
-            latency = o.latencyNanos();
-            calmest = o.calmestNanos();
-            served = o.served();
+        void recall(LearnedState.ClassEntry o) {
+            latency = o.meanLatencyNanos();
+            calmest = o.minMeanLatencyNanos();
+            served = o.servedCount();
         }
 
         /**
--- a/src/test/java/cinderhollow/daemon/HandoverTest.java
+++ b/src/test/java/cinderhollow/daemon/HandoverTest.java
@@ -79,7 +79,7 @@
             offer(old);
             Runnable serves = takeOver(next);
             assertTrue(logged("took over"), log.toString());
-            assertEquals(20, snapshot(next).memory().classes().get(0).served());
+            assertEquals(20, snapshot(next).memory().classes().get(0).servedCount());
             assertEquals(snapshot(old).hosts(), snapshot(next).hosts());
             assertTrue(next.get("/ready").firstLine().contains(" 503 "), "a gateway in standby stays in standby");
             assertTrue(!logged("a successor process serves"));
@@ -101,7 +101,7 @@
             offer(second);
             await("the second's offer", () -> folder.toFile().list().length == 1);
             takeOver(third);
-            assertEquals(2, snapshot(third).memory().classes().get(0).served());
+            assertEquals(2, snapshot(third).memory().classes().get(0).servedCount());
         }
     }
 
--- a/src/test/java/cinderhollow/handover/SnapshotTest.java
+++ b/src/test/java/cinderhollow/handover/SnapshotTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 
-import cinderhollow.policy.Memory;
+import cinderhollow.policy.LearnedState;
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
 import java.util.Collections;
@@ -13,9 +13,9 @@
 
 /** Encoding and decoding of snapshots. */
 class SnapshotTest {
-    private static final Snapshot SOME = new Snapshot(new Memory(0.5, 0.25, 12.5,
-            List.of(new Memory.OfServer("s-1", 1_700_000_000_123_000_000L, 0.25, 3.5, 1.5, 0.125, true)),
-            List.of(new Memory.OfClass("submit", 1.5e7, 1.25e7, 400))), 41,
+    private static final Snapshot SOME = new Snapshot(new LearnedState(0.5, 0.25, 12.5,
+            List.of(new LearnedState.ServerEntry("s-1", 1_700_000_000_123_000_000L, 0.25, 3.5, 1.5, 0.125, true)),
+            List.of(new LearnedState.ClassEntry("submit", 1.5e7, 1.25e7, 400))), 41,
             List.of(new Snapshot.Host("s-1", "10.1.0.18:8080", "a", "m\"2", 3, false, 1.5, 1_700_000_000_123L),
                     new Snapshot.Host("s-2", "10.1.0.19:8080", "b", "m2", 4, true, 1, 0)), true);
 
@@ -31,7 +31,7 @@
     @Test
     void whatIsWrittenIsReadAgain() {
         assertEquals(SOME, decode(SOME.encode()));
-        Snapshot empty = new Snapshot(new Memory(0, 0, 0, List.of(), List.of()), 0, List.of(), false);
+        Snapshot empty = new Snapshot(new LearnedState(0, 0, 0, List.of(), List.of()), 0, List.of(), false);
         assertEquals(empty, decode(empty.encode()));
     }
 
--- a/src/test/java/cinderhollow/policy/RecalledTest.java
+++ b/src/test/java/cinderhollow/policy/RecalledTest.java
@@ -9,8 +9,8 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cinderhollow.policy.Memory.OfClass;
-import cinderhollow.policy.Memory.OfServer;
+import cinderhollow.policy.LearnedState.ClassEntry;
+import cinderhollow.policy.LearnedState.ServerEntry;
 import cinderhollow.policy.Protocol.*;
 import java.util.ArrayList;
 import java.util.List;
@@ -54,13 +54,13 @@
     @Test
     void whatIsDoubtfulIsDroppedAlone() {
         Fleet next = new Fleet().with(3);
-        List<OfServer> servers = new ArrayList<>();
-        servers.add(new OfServer("s0", 0, Double.NaN, 1, 1, 0, false));
-        servers.add(new OfServer("s1", 77, 0.9, 1, 1, 0, false));
-        servers.add(new OfServer("s2", 0, 0.6, 2.5, 1, 0, false));
-        servers.add(new OfServer("unheard-of", 0, 0.1, 1, 1, 0, false));
-        next.choice.handle(next.now, new Recalled(new Memory(0, 0, 5, servers,
-                List.of(new OfClass("read", -1, 0, 5), new OfClass("order", 40 * MS, 30 * MS, 5), new OfClass("gone", 1, 1, 1)))));
+        List<ServerEntry> servers = new ArrayList<>();
+        servers.add(new ServerEntry("s0", 0, Double.NaN, 1, 1, 0, false));
+        servers.add(new ServerEntry("s1", 77, 0.9, 1, 1, 0, false));
+        servers.add(new ServerEntry("s2", 0, 0.6, 2.5, 1, 0, false));
+        servers.add(new ServerEntry("unheard-of", 0, 0.1, 1, 1, 0, false));
+        next.choice.handle(next.now, new Recalled(new LearnedState(0, 0, 5, servers,
+                List.of(new ClassEntry("read", -1, 0, 5), new ClassEntry("order", 40 * MS, 30 * MS, 5), new ClassEntry("gone", 1, 1, 1)))));
         double total = 1 / 3.0 + 1 / 3.0 + 0.6;
         assertEquals(1 / 3.0 / total, next.choice.ready().get(0).share, 1e-9);
         assertEquals(1 / 3.0 / total, next.choice.ready().get(1).share, 1e-9);
@@ -68,7 +68,7 @@
         assertEquals(2.5, next.choice.ready().get(2).limit);
         assertEquals(100 * MS, next.choice.kind("read").latency, "a fifth of the aim, as at a plain start");
         assertEquals(40 * MS, next.choice.kind("order").latency);
-        Memory wrong = new Memory(Double.NaN, 0, 5, servers, List.of());
+        LearnedState wrong = new LearnedState(Double.NaN, 0, 5, servers, List.of());
         Fleet plain = new Fleet().with(3);
         plain.choice.handle(plain.now, new Recalled(wrong));
         assertEquals(1 / 3.0, plain.choice.ready().get(2).share, 1e-9);
