--- a/src/main/java/cinderhollow/daemon/Gateway.java
+++ b/src/main/java/cinderhollow/daemon/Gateway.java
@@ -38,26 +38,26 @@
 import cinderhollow.ops.Standing;
 import cinderhollow.policy.LoadBalancer;
 import cinderhollow.policy.Protocol.Actions;
-import cinderhollow.policy.Protocol.Arriving;
+import cinderhollow.policy.Protocol.RequestHeadArrived;
 import cinderhollow.policy.Protocol.AttemptEnded;
 import cinderhollow.policy.Protocol.ClientLeft;
-import cinderhollow.policy.Protocol.Ending;
+import cinderhollow.policy.Protocol.ShutdownStarted;
 import cinderhollow.policy.Protocol.Event;
 import cinderhollow.policy.Protocol.ListKind;
 import cinderhollow.policy.Protocol.ListReceived;
 import cinderhollow.policy.Protocol.LoadReport;
 import cinderhollow.policy.Protocol.Outcome;
-import cinderhollow.policy.Protocol.Overlap;
+import cinderhollow.policy.Protocol.ProcessOverlapChanged;
 import cinderhollow.policy.Protocol.Readiness;
-import cinderhollow.policy.Protocol.Recalled;
+import cinderhollow.policy.Protocol.LearnedStateReceived;
 import cinderhollow.policy.Protocol.RequestArrived;
 import cinderhollow.policy.Protocol.RequestClass;
-import cinderhollow.policy.Protocol.Retuned;
+import cinderhollow.policy.Protocol.SettingsChanged;
 import cinderhollow.policy.Protocol.ServerInfo;
-import cinderhollow.policy.Protocol.Sharing;
-import cinderhollow.policy.Protocol.Spent;
+import cinderhollow.policy.Protocol.GatewaysPerServerChanged;
+import cinderhollow.policy.Protocol.RequestNotReplayable;
 import cinderhollow.policy.Protocol.TimerFired;
-import cinderhollow.policy.Protocol.Whole;
+import cinderhollow.policy.Protocol.RequestBodyReceived;
 import cinderhollow.routes.Paths;
 import cinderhollow.routes.RouteCourse;
 import cinderhollow.routes.Routing;
@@ -410,7 +410,7 @@
     private static Snapshot.Host told(Endpoint e) {
         InetSocketAddress address = (InetSocketAddress) e.address();
         ServerInfo info = e.info();
-        return new Snapshot.Host(info.id(), address.getHostString() + ":" + address.getPort(), info.zone(), info.kind(),
+        return new Snapshot.Host(info.id(), address.getHostString() + ":" + address.getPort(), info.zone(), info.machineType(),
                 info.cell(), info.readiness() != Readiness.READY, info.capacityHint(),
                 TimeUnit.NANOSECONDS.toMillis(info.startedAtNanos()));
     }
@@ -431,7 +431,7 @@
             if (!askedForList && changes == null && !from.hosts().isEmpty()) {
                 take(ListKind.CACHED, new EndpointList(from.index(), true, from.hosts().stream().map(Gateway::heard).toList()));
             }
-            tell(new Recalled(from.memory()));
+            tell(new LearnedStateReceived(from.memory()));
             if (from.standby()) {
                 standby = true;
                 clients.standby(true);
@@ -443,7 +443,7 @@
     public void overlap(boolean begins) {
         loop.execute(() -> {
             beside += begins ? 1 : -1;
-            tell(new Overlap(beside > 0));
+            tell(new ProcessOverlapChanged(beside > 0));
             clients.overlap(beside > 0);
             hosts.overlap(beside > 0);
         });
@@ -486,7 +486,7 @@
                         - END_MARGIN_NANOS;
                 answersBy = asked + within;
                 long heard = clock.nanos();
-                tell(new Ending(Math.max(0, answersBy - heard)));
+                tell(new ShutdownStarted(Math.max(0, answersBy - heard)));
                 if (config.inherited() != null) {
                     // A successor serves on the same listener, and clients are to move to it.
                     if (acceptor != null) {
@@ -526,7 +526,7 @@
             next.settings().classes().forEach(c -> classes.put(c.name(), c));
             routing = next.routes() == null ? null : new Routing(next.routes());
             hosts.retune(next.dialTimeoutNanos(), next.idleNanos());
-            tell(new Retuned(next.settings()));
+            tell(new SettingsChanged(next.settings()));
             // After the shutdown, nothing would close a newly opened watch.
             if (!ended.isDone() && discovery != null && next.discovery() != null) {
                 discovery.moveTo(next.discovery());
@@ -802,7 +802,7 @@
     private void take(EndpointList portion) {
         if (changes.ofSubset() && sharers != changes.sharers()) {
             sharers = changes.sharers();
-            tell(new Sharing(sharers));
+            tell(new GatewaysPerServerChanged(sharers));
             log("using " + changes.summary() + ", shared by " + sharers + " gateways each");
         }
         take(ListKind.CHANGES, portion);
@@ -842,7 +842,7 @@
                 throw new BadRequest(HttpResponseStatus.CONFLICT, "a request with this id is open");
             }
             OpenRequest r = new OpenRequest(arrived, request.retain(), upload, reply,
-                    ledger == null ? null : new Entry(arrived.id(), ((RouteCourse) arrived.course()).number(), at));
+                    ledger == null ? null : new Entry(arrived.id(), ((RouteCourse) arrived.routePolicy()).number(), at));
             open.put(r.id, r);
             if (tallies != null) {
                 r.tally = tally(arrived.requestClass());
@@ -856,7 +856,7 @@
                 tell(at, arrived);
             } else {
                 upload.tell(r);
-                tell(at, new Arriving(arrived));
+                tell(at, new RequestHeadArrived(arrived));
             }
         }
     }
@@ -962,7 +962,7 @@
 
         @Override
         public void spent() {
-            tell(new Spent(id));
+            tell(new RequestNotReplayable(id));
         }
 
         /** Starts the request's deadline once its body is complete, as for any other request. */
@@ -971,7 +971,7 @@
             if (!reply.isDone()) {
                 lifecycle.received(clock.nanos() + expiresIn);
                 attempts.forEach(attempt -> attempt.timeOutIn(expiresIn));
-                tell(new Whole(id, expiresIn));
+                tell(new RequestBodyReceived(id, expiresIn));
             }
         }
 
--- a/src/main/java/cinderhollow/daemon/GatewayConfig.java
+++ b/src/main/java/cinderhollow/daemon/GatewayConfig.java
@@ -101,8 +101,8 @@
         int loops = scale.loops();
         Settings s = settings;
         Settings own = new Settings(s.gateways() * loops, s.gatewayNumber() * loops + number, s.zone(),
-                s.subscribe() && number == 0, s.resolutionNanos(), s.classes(), s.tenants(), s.overShareWorth(),
-                s.allowed(), s.rules());
+                s.subscribe() && number == 0, s.timerResolutionNanos(), s.classes(), s.tenants(), s.overQuotaWorth(),
+                s.upstreamOptions(), s.rules());
         return new GatewayConfig(listen, number == 0 ? discovery : null, seed + number * LOOP_SEED, sockets / loops,
                 dialTimeoutNanos, idleNanos / loops, own, known, routes, scale.of(number),
                 bookkeeping == null ? null : bookkeeping.of(number, loops), null, null, door, inherited);
--- a/src/main/java/cinderhollow/daemon/Operator.java
+++ b/src/main/java/cinderhollow/daemon/Operator.java
@@ -12,7 +12,7 @@
 import cinderhollow.operator.Platform;
 import cinderhollow.peers.Roster;
 import cinderhollow.policy.Protocol.Effect;
-import cinderhollow.policy.Protocol.Group;
+import cinderhollow.policy.Protocol.DedupGroup;
 import cinderhollow.policy.Protocol.RequestClass;
 import cinderhollow.policy.Protocol.Settings;
 import cinderhollow.policy.SettingsReader;
@@ -85,7 +85,7 @@
     private static Platform platform(SettingsReader settings) {
         boolean advice = settings.flag("allowed.retry_after", false);
         Settings read = settings.read();
-        return new Platform(read.classes(), read.allowed().maxAttempts(), settings.flag("allowed.may_duplicate", false),
+        return new Platform(read.classes(), read.upstreamOptions().maxAttempts(), settings.flag("allowed.may_duplicate", false),
                 advice ? settings.number("allowed.max_retry_after_ns", 0) : 0, read.gateways(), read.gatewayNumber(),
                 read.zone(), settings.flag("allowed.peers", true));
     }
@@ -120,9 +120,9 @@
     /** Returns the platform of a deployment with the two default classes. */
     private static Platform usual() {
         return new Platform(List.of(
-                new RequestClass("status", Effect.SAFE, Group.ALL, 0, TimeUnit.MILLISECONDS.toNanos(150),
+                new RequestClass("status", Effect.SAFE, DedupGroup.ALL, 0, TimeUnit.MILLISECONDS.toNanos(150),
                         TimeUnit.MILLISECONDS.toNanos(750), 1, 0, false),
-                new RequestClass("submit", Effect.UNSAFE, Group.ALL, 0, TimeUnit.MILLISECONDS.toNanos(100),
+                new RequestClass("submit", Effect.UNSAFE, DedupGroup.ALL, 0, TimeUnit.MILLISECONDS.toNanos(100),
                         TimeUnit.MILLISECONDS.toNanos(300), 5, 0, false)), 5, true, TimeUnit.MILLISECONDS.toNanos(400));
     }
 }
--- a/src/main/java/cinderhollow/daemon/ZoneTalk.java
+++ b/src/main/java/cinderhollow/daemon/ZoneTalk.java
@@ -6,10 +6,10 @@
 import cinderhollow.evacuation.Traffic;
 import cinderhollow.evacuation.ZoneStanding;
 import cinderhollow.peers.Pace;
-import cinderhollow.policy.Protocol.Bears;
+import cinderhollow.policy.Protocol.WarmServerRateReceived;
 import cinderhollow.policy.Protocol.Event;
 import cinderhollow.policy.Protocol.Rules;
-import cinderhollow.policy.Protocol.Weighed;
+import cinderhollow.policy.Protocol.ZoneWeightsChanged;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBufUtil;
 import io.netty.buffer.Unpooled;
@@ -68,12 +68,12 @@
 
             @Override
             public void weigh(Map<String, Double> byZone) {
-                module.accept(new Weighed(byZone));
+                module.accept(new ZoneWeightsChanged(byZone));
             }
 
             @Override
             public void bears(double perSecond) {
-                module.accept(new Bears(perSecond));
+                module.accept(new WarmServerRateReceived(perSecond));
             }
 
             @Override
--- a/src/main/java/cinderhollow/emulator/EmulatedGateway.java
+++ b/src/main/java/cinderhollow/emulator/EmulatedGateway.java
@@ -8,7 +8,7 @@
 import cinderhollow.policy.LoadBalancer;
 import cinderhollow.policy.Protocol.Actions;
 import cinderhollow.policy.Protocol.AttemptEnded;
-import cinderhollow.policy.Protocol.Bears;
+import cinderhollow.policy.Protocol.WarmServerRateReceived;
 import cinderhollow.policy.Protocol.ClientLeft;
 import cinderhollow.policy.Protocol.Event;
 import cinderhollow.policy.Protocol.ListKind;
@@ -20,7 +20,7 @@
 import cinderhollow.policy.Protocol.RequestClass;
 import cinderhollow.policy.Protocol.Settings;
 import cinderhollow.policy.Protocol.TimerFired;
-import cinderhollow.policy.Protocol.Weighed;
+import cinderhollow.policy.Protocol.ZoneWeightsChanged;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Collections;
@@ -149,7 +149,7 @@
         this.world = world;
         this.wire = wire;
         zone = settings.zone();
-        invariants = new Invariants(settings.gatewayNumber(), settings.rules(), settings.allowed().maxAttempts());
+        invariants = new Invariants(settings.gatewayNumber(), settings.rules(), settings.upstreamOptions().maxAttempts());
         choice = new LoadBalancer(settings, seed, this);
         evacuation = scenario.talks() ? talk(settings, seed) : null;
     }
@@ -169,12 +169,12 @@
             @Override
             public void weigh(Map<String, Double> byZone) {
                 world.weighed(EmulatedGateway.this, byZone);
-                tell(new Weighed(byZone));
+                tell(new ZoneWeightsChanged(byZone));
             }
 
             @Override
             public void bears(double perSecond) {
-                tell(new Bears(perSecond));
+                tell(new WarmServerRateReceived(perSecond));
             }
 
             @Override
--- a/src/main/java/cinderhollow/emulator/Emulation.java
+++ b/src/main/java/cinderhollow/emulator/Emulation.java
@@ -1,6 +1,6 @@
 package cinderhollow.emulator;
 
-import cinderhollow.policy.Protocol.Allowed;
+import cinderhollow.policy.Protocol.UpstreamOptions;
 import cinderhollow.policy.Protocol.ListKind;
 import cinderhollow.policy.Protocol.ListReceived;
 import cinderhollow.policy.Protocol.Readiness;
@@ -184,7 +184,7 @@
     private void start(Place place) {
         Scenario.Shapes s = scenario.shapes();
         Settings settings = new Settings(scenario.gateways(), place.number, place.zone, false, MS, Scenario.CLASSES, List.of(), 0.2,
-                new Allowed(5, true), new Rules(50 * MS, SECOND, 10 * SECOND, s.coldFrom(), (long) (s.warmUpMillis() * MS),
+                new UpstreamOptions(5, true), new Rules(50 * MS, SECOND, 10 * SECOND, s.coldFrom(), (long) (s.warmUpMillis() * MS),
                         s.overloadFactor(), (long) (s.overloadForMillis() * MS)));
         EmulatedGateway gateway = new EmulatedGateway(time, scenario, settings,
                 (seed * 31 + place.number) * 31 + place.starts++, new Fleet(),
@@ -501,7 +501,7 @@
     /** Returns the node's list entry, marked as removed. */
     private static ServerInfo gone(Node node) {
         ServerInfo i = node.info;
-        return new ServerInfo(i.id(), i.zone(), i.kind(), i.cell(), Readiness.GONE, i.capacityHint(), i.startedAtNanos());
+        return new ServerInfo(i.id(), i.zone(), i.machineType(), i.cell(), Readiness.GONE, i.capacityHint(), i.startedAtNanos());
     }
 
     /** Sends changes of the server list to each gateway, after a random delay of its own. */
--- a/src/main/java/cinderhollow/emulator/Node.java
+++ b/src/main/java/cinderhollow/emulator/Node.java
@@ -104,7 +104,7 @@
         workDone = 0;
         window.clear();
         inWindow = 0;
-        info = new ServerInfo(info.id(), info.zone(), info.kind(), info.cell(), Readiness.READY, 1, time.now());
+        info = new ServerInfo(info.id(), info.zone(), info.machineType(), info.cell(), Readiness.READY, 1, time.now());
     }
 
     boolean isDown() {
--- a/src/main/java/cinderhollow/emulator/Scenario.java
+++ b/src/main/java/cinderhollow/emulator/Scenario.java
@@ -1,7 +1,7 @@
 package cinderhollow.emulator;
 
 import cinderhollow.policy.Protocol.Effect;
-import cinderhollow.policy.Protocol.Group;
+import cinderhollow.policy.Protocol.DedupGroup;
 import cinderhollow.policy.Protocol.RequestClass;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
@@ -83,8 +83,8 @@
     private static final long MS = TimeUnit.MILLISECONDS.toNanos(1);
     /** The request classes of the first deployment; the documentation describes its classes and machines. */
     static final List<RequestClass> CLASSES = List.of(
-            new RequestClass("status", Effect.SAFE, Group.ALL, 0, 150 * MS, 750 * MS, 1, 0, false),
-            new RequestClass("submit", Effect.UNSAFE, Group.ALL, 0, 100 * MS, 300 * MS, 5, 0, false));
+            new RequestClass("status", Effect.SAFE, DedupGroup.ALL, 0, 150 * MS, 750 * MS, 1, 0, false),
+            new RequestClass("submit", Effect.UNSAFE, DedupGroup.ALL, 0, 100 * MS, 300 * MS, 5, 0, false));
     /** For each class: mean work of a request in milliseconds on a machine of speed 1, and its fraction of all requests. */
     static final double[] WORK = {20, 10}, PART = {0.51, 0.49};
 
--- a/src/main/java/cinderhollow/evacuation/Traffic.java
+++ b/src/main/java/cinderhollow/evacuation/Traffic.java
@@ -76,7 +76,7 @@
         for (Host host : hosts.values()) {
             if (host.zone >= 0) {
                 count[host.zone]++;
-                warm[host.zone] += rules.warmth(host.info.startedAtNanos(), now);
+                warm[host.zone] += rules.capacityFraction(host.info.startedAtNanos(), now);
             }
         }
     }
@@ -140,7 +140,7 @@
             if (at == null) {
                 return;
             }
-            if (outcome == Outcome.SERVED && rules.warmth(at.info.startedAtNanos(), now) >= 1) {
+            if (outcome == Outcome.SERVED && rules.capacityFraction(at.info.startedAtNanos(), now) >= 1) {
                 sightings.served();
             }
             if (load != null && at.zone >= 0 && load.utilisation() >= 0) {
--- a/src/main/java/cinderhollow/membership/ListChanges.java
+++ b/src/main/java/cinderhollow/membership/ListChanges.java
@@ -176,7 +176,7 @@
 
     private static Endpoint gone(Endpoint endpoint) {
         ServerInfo i = endpoint.info();
-        return new Endpoint(new ServerInfo(i.id(), i.zone(), i.kind(), i.cell(), Readiness.GONE, i.capacityHint(),
+        return new Endpoint(new ServerInfo(i.id(), i.zone(), i.machineType(), i.cell(), Readiness.GONE, i.capacityHint(),
                 i.startedAtNanos()), null);
     }
 
--- a/src/main/java/cinderhollow/membership/StartTimes.java
+++ b/src/main/java/cinderhollow/membership/StartTimes.java
@@ -42,7 +42,7 @@
             ServerInfo info = endpoint.info();
             long at = startedAt(info.id(), info.startedAtNanos(), now);
             changed |= at != info.startedAtNanos();
-            endpoints.add(at == info.startedAtNanos() ? endpoint : new Endpoint(new ServerInfo(info.id(), info.zone(), info.kind(),
+            endpoints.add(at == info.startedAtNanos() ? endpoint : new Endpoint(new ServerInfo(info.id(), info.zone(), info.machineType(),
                     info.cell(), info.readiness(), info.capacityHint(), at), endpoint.address()));
         }
         listed = true;
--- a/src/main/java/cinderhollow/operator/OperatorFile.java
+++ b/src/main/java/cinderhollow/operator/OperatorFile.java
@@ -1,7 +1,7 @@
 package cinderhollow.operator;
 
 import cinderhollow.policy.Protocol.Effect;
-import cinderhollow.policy.Protocol.Group;
+import cinderhollow.policy.Protocol.DedupGroup;
 import cinderhollow.policy.Protocol.Outcome;
 import cinderhollow.policy.Protocol.RequestClass;
 import cinderhollow.routes.PathPattern;
@@ -656,17 +656,17 @@
             Table holder = holder("resend_within");
             String within = holder == null ? null : holder.text("resend_within");
             if (within != null) {
-                Group group = switch (within) {
-                    case "all" -> Group.ALL;
-                    case "zone" -> Group.ZONE;
-                    case "cell" -> Group.CELL;
+                DedupGroup group = switch (within) {
+                    case "all" -> DedupGroup.ALL;
+                    case "zone" -> DedupGroup.ZONE;
+                    case "cell" -> DedupGroup.CELL;
                     default -> null;
                 };
                 if (group == null) {
                     fault("resend_within", Rule.WRONG_TYPE, "'" + within + "' is neither all, zone nor cell");
-                } else if (c.effect() == Effect.KEYED && group.compareTo(c.group()) < 0) {
+                } else if (c.effect() == Effect.KEYED && group.compareTo(c.dedupGroup()) < 0) {
                     fault("resend_within", Rule.KEYED_OUTSIDE_GROUP, "a repeat is dropped only if it stays within one "
-                            + word(c.group()) + ", the class's dedup group");
+                            + word(c.dedupGroup()) + ", the class's dedup group");
                 }
             }
             // A class that the file does not mention is not checked: there the decision module itself keeps to the dedup window.
--- a/src/main/java/cinderhollow/policy/LoadBalancer.java
+++ b/src/main/java/cinderhollow/policy/LoadBalancer.java
@@ -150,7 +150,7 @@
         rules = settings.rules();
         random = new SplittableRandom(seed);
         sharers = settings.gateways();
-        sweepNanos = Math.max(settings.resolutionNanos(), SWEEP_NANOS);
+        sweepNanos = Math.max(settings.timerResolutionNanos(), SWEEP_NANOS);
         learnClassesAndTenants();
     }
 
@@ -201,11 +201,11 @@
         }
         if (event instanceof RequestArrived e) {
             arrived(e, false);
-        } else if (event instanceof Arriving e) {
+        } else if (event instanceof RequestHeadArrived e) {
             arrived(e.request(), true);
-        } else if (event instanceof Whole e && open.containsKey(e.id())) {
+        } else if (event instanceof RequestBodyReceived e && open.containsKey(e.id())) {
             whole(open.get(e.id()), e.expiresInNanos());
-        } else if (event instanceof Spent e && open.containsKey(e.id())) {
+        } else if (event instanceof RequestNotReplayable e && open.containsKey(e.id())) {
             open.get(e.id()).mostAttempts = open.get(e.id()).attempts.size();
         } else if (event instanceof AttemptEnded e) {
             ended(e);
@@ -217,21 +217,21 @@
             conclude(open.get(e.id()));
         } else if (event instanceof StreamStarted e && open.containsKey(e.id())) {
             open.get(e.id()).streaming = true;
-        } else if (event instanceof Ending e) {
+        } else if (event instanceof ShutdownStarted e) {
             endsAt = now + e.answerWithinNanos();
-        } else if (event instanceof Sharing e) {
+        } else if (event instanceof GatewaysPerServerChanged e) {
             sharers = Math.max(1, e.gateways()) * processes;
-        } else if (event instanceof Overlap e) {
+        } else if (event instanceof ProcessOverlapChanged e) {
             sharers /= processes;
             processes = e.begins() ? 2 : 1;
             sharers *= processes;
-        } else if (event instanceof Recalled e && e.memory().isSane()) {
+        } else if (event instanceof LearnedStateReceived e && e.memory().isSane()) {
             recall(e.memory());
-        } else if (event instanceof Retuned e) {
+        } else if (event instanceof SettingsChanged e) {
             retune(e.settings());
-        } else if (event instanceof Weighed e) {
+        } else if (event instanceof ZoneWeightsChanged e) {
             weigh(e.byZone());
-        } else if (event instanceof Bears e) {
+        } else if (event instanceof WarmServerRateReceived e) {
             bears = e.perSecond();
         }
     }
@@ -311,14 +311,14 @@
         }
         // After shutdown began, a request must be answered before the gateway ends: afterwards nobody could answer it.
         long deadline = Math.min(now + e.expiresInNanos(), endsAt);
-        if (e.course() != null) {
-            e.course().arrived(now);
-            deadline = Math.min(deadline, now + e.course().totalNanos());
+        if (e.routePolicy() != null) {
+            e.routePolicy().recordRequest(now);
+            deadline = Math.min(deadline, now + e.routePolicy().totalTimeoutNanos());
         }
         // A client's retry whose aim passed in its first try is not to be served before fresh requests. It arrives with the rest
         // of its deadline as its timeout, while first tries share one timeout: the difference is the first try's time.
         long firstAsked = now - kind.shorterBy(e.expiresInNanos());
-        Request r = new Request(e.id(), kind, overShare(e.tenant()), e.course(), firstAsked, deadline, mostAttempts(e.course()));
+        Request r = new Request(e.id(), kind, overShare(e.tenant()), e.routePolicy(), firstAsked, deadline, mostAttempts(e.routePolicy()));
         if (arriving) {
             r.arriving = true;
             r.deadline = NEVER;
@@ -361,7 +361,7 @@
     /** Returns the priority: worth (less beyond the tenant's quota or if sure to be late) divided by the class's mean latency. */
     private double value(Request r) {
         RequestClass c = r.kind.spec;
-        double part = hopeless(r) ? c.lateWorth() : r.overShare ? settings.overShareWorth() : 1;
+        double part = hopeless(r) ? c.lateWorth() : r.overShare ? settings.overQuotaWorth() : 1;
         return part * c.worth() / r.kind.latency;
     }
 
@@ -519,7 +519,7 @@
     }
 
     private boolean isKept(Server s) {
-        return s.inFlight == 0 && s.answeredAt > 0 && now - s.answeredAt < settings.allowed().idleNanos() * KEPT_PART;
+        return s.inFlight == 0 && s.answeredAt > 0 && now - s.answeredAt < settings.upstreamOptions().idleNanos() * KEPT_PART;
     }
 
     /** Returns if attempts in flight reach the limit sum plus a margin for chance: one gateway's part varies relatively more. */
@@ -574,7 +574,7 @@
 
     /** Returns a gate that rises with the capacity of a just started server, at its slowest warm-up, to avoid overload. */
     private double coldGate(Server s) {
-        return rules.warmth(s.info.startedAtNanos(), now);
+        return rules.capacityFraction(s.info.startedAtNanos(), now);
     }
 
     /**
@@ -632,9 +632,9 @@
         return RetryRules.mayHave(r, s, now);
     }
 
-    private int mostAttempts(Course course) {
-        int most = Math.min(settings.allowed().maxAttempts(), Long.SIZE - 1);
-        return course == null ? most : Math.min(most, course.attempts());
+    private int mostAttempts(RoutePolicy course) {
+        int most = Math.min(settings.upstreamOptions().maxAttempts(), Long.SIZE - 1);
+        return course == null ? most : Math.min(most, course.maxAttempts());
     }
 
     /** Returns how many requests may go to a cold server now, from the rate that a warm server was seen to bear. */
@@ -665,9 +665,9 @@
         if (s.classes.containsKey(r.kind)) {
             s.classes.get(r.kind).trialAt = s.trialAt;
         }
-        long left = Math.min(r.deadline - now, r.course == null ? Long.MAX_VALUE : r.course.attemptNanos());
+        long left = Math.min(r.deadline - now, r.course == null ? Long.MAX_VALUE : r.course.attemptTimeoutNanos());
         actions.send(r.id, s.info.id(), left, r.repeatableFor(now));
-        long after = r.course == null ? 0 : r.course.copyAfterNanos();
+        long after = r.course == null ? 0 : r.course.hedgeDelayNanos();
         if (after > 0 && !r.copying && r.kind.spec.effect() != Effect.UNSAFE) {
             later(after, r, () -> copy(r));
         }
@@ -701,7 +701,7 @@
         }
         r.copying = true;
         Server s = draw(r);
-        if (s != null && r.course.mayCopy(now)) {
+        if (s != null && r.course.tryWithdrawHedge(now)) {
             send(r, s);
         }
         r.copying = false;
@@ -759,7 +759,7 @@
     private void tryAgainOnItsCourse(Request r, Outcome outcome, boolean may) {
         long most = r.course.backoffNanos(r.attempts.size());
         long wait = most == 0 ? 0 : (long) (most * (1 + random.nextDouble()) / 2);
-        if (!may || now + wait + 2 * sweepNanos >= r.deadline || !r.course.mayRetry(outcome, now)) {
+        if (!may || now + wait + 2 * sweepNanos >= r.deadline || !r.course.tryWithdrawRetry(outcome, now)) {
             finish(r);
         } else if (wait == 0) {
             place(r);
@@ -772,7 +772,7 @@
         if (RetryRules.mayRefuse(r)) {
             refusals++;
             // Without a route policy, no advice to wait: shedding is random, so an immediate retry may be admitted.
-            actions.refuse(r.id, r.course == null ? 0 : r.course.adviceNanos());
+            actions.refuse(r.id, r.course == null ? 0 : r.course.retryAfterNanos());
         } else {
             actions.fail(r.id);
         }
@@ -783,7 +783,7 @@
     private void conclude(Request r) {
         for (Attempt a : r.attempts) {
             if (!r.concluded && !a.ended() && (r.kind.spec.effect() != Effect.SAFE || (r.lost >> a.number() & 1) == 0)
-                    && settings.allowed().cancel() && !r.streaming) {
+                    && settings.upstreamOptions().cancel() && !r.streaming) {
                 actions.cancel(r.id, a.number());
             }
         }
@@ -801,7 +801,7 @@
         servedWarm += served && coldGate(s) >= 1 ? 1 : 0;
         if (a.request().course != null) {
             if (served) {
-                a.request().course.served(elapsedNanos);
+                a.request().course.recordServed(elapsedNanos);
             }
             // A short attempt timeout or early cancelled hedge is no fast answer or bad server: it only proves a longer latency.
             boolean givenUp = outcome == Outcome.TIMED_OUT || outcome == Outcome.CANCELLED;
@@ -964,7 +964,7 @@
         a.server().inFlight--;
         inFlight--;
         mark(a.server());
-        if (r.kind.spec.effect() == Effect.SAFE && settings.allowed().cancel() && !r.concluded && !r.streaming) {
+        if (r.kind.spec.effect() == Effect.SAFE && settings.upstreamOptions().cancel() && !r.concluded && !r.streaming) {
             actions.cancel(r.id, a.number());
         }
     }
@@ -1156,7 +1156,7 @@
         }
         s.info = info;
         s.weight = weight(info.zone());
-        s.like = alike.computeIfAbsent(info.zone() + ' ' + info.kind(), k -> new Pool());
+        s.like = alike.computeIfAbsent(info.zone() + ' ' + info.machineType(), k -> new Pool());
         s.ready = info.readiness() == Readiness.READY;
         return s;
     }
--- a/src/main/java/cinderhollow/policy/Protocol.java
+++ b/src/main/java/cinderhollow/policy/Protocol.java
@@ -39,7 +39,7 @@
     enum Effect { SAFE, KEYED, UNSAFE }
 
     /** The servers that drop a repeat of a keyed request: all, those of one zone, or those of one cell. */
-    enum Group { ALL, ZONE, CELL }
+    enum DedupGroup { ALL, ZONE, CELL }
 
     /** The state of a server according to the server list. */
     enum Readiness { READY, DRAINING, GONE }
@@ -60,7 +60,7 @@
      * @param lateWorth the factor on the worth of an answer after the aim
      * @param stream whether answers are streamed
      */
-    record RequestClass(String name, Effect effect, Group group, long dedupWindowNanos, long aimNanos,
+    record RequestClass(String name, Effect effect, DedupGroup dedupGroup, long dedupWindowNanos, long aimNanos,
                         long deadlineNanos, double worth, double lateWorth, boolean stream) { }
 
     /** A tenant and its quota in requests per second, over all gateways. */
@@ -70,11 +70,11 @@
      * What a gateway may do with attempts: how many a request may have, whether they can be cancelled, and the idle time after
      * which servers close a connection.
      */
-    record Allowed(int maxAttempts, boolean cancel, long idleNanos) {
+    record UpstreamOptions(int maxAttempts, boolean cancel, long idleNanos) {
         private static final long USUAL_IDLE_NANOS = 15_000_000_000L;
 
         /** Creates options with the default idle timeout. */
-        public Allowed(int maxAttempts, boolean cancel) {
+        public UpstreamOptions(int maxAttempts, boolean cancel) {
             this(maxAttempts, cancel, USUAL_IDLE_NANOS);
         }
     }
@@ -97,7 +97,7 @@
          * Returns the fraction of its capacity that a server with this start time has at least, where a start time of 0 means
          * long ago. It rises linearly over the warm-up.
          */
-        public double warmth(long startedAtNanos, long now) {
+        public double capacityFraction(long startedAtNanos, long now) {
             long age = now - startedAtNanos;
             return startedAtNanos == 0 || age >= warmUpNanos ? 1 : coldFrom + (1 - coldFrom) * Math.max(0, age) / warmUpNanos;
         }
@@ -110,12 +110,12 @@
      * @param gatewayNumber this gateway's number among them
      * @param zone the gateway's own zone
      * @param subscribe whether to subscribe to the server list at the start
-     * @param resolutionNanos the resolution of the host's timers
-     * @param overShareWorth the factor on the worth of requests beyond their tenant's quota
+     * @param timerResolutionNanos the resolution of the host's timers
+     * @param overQuotaWorth the factor on the worth of requests beyond their tenant's quota
      */
-    record Settings(int gateways, int gatewayNumber, String zone, boolean subscribe, long resolutionNanos,
-                    List<RequestClass> classes, List<Tenant> tenants, double overShareWorth,
-                    Allowed allowed, Rules rules) {
+    record Settings(int gateways, int gatewayNumber, String zone, boolean subscribe, long timerResolutionNanos,
+                    List<RequestClass> classes, List<Tenant> tenants, double overQuotaWorth,
+                    UpstreamOptions upstreamOptions, Rules rules) {
         /** Checks each figure that a decision divides by or waits for. */
         public Settings {
             classes = List.copyOf(classes);
@@ -127,8 +127,8 @@
                 require(c.deadlineNanos() > 0, c.name() + ".deadlineNanos", c.deadlineNanos());
                 require(c.worth() >= 0, c.name() + ".worth", c.worth());
             }
-            require(resolutionNanos > 0, "resolutionNanos", resolutionNanos);
-            require(allowed.maxAttempts() >= 1, "maxAttempts", allowed.maxAttempts());
+            require(timerResolutionNanos > 0, "resolutionNanos", timerResolutionNanos);
+            require(upstreamOptions.maxAttempts() >= 1, "maxAttempts", upstreamOptions.maxAttempts());
             require(rules.coldFrom() > 0 && rules.coldFrom() <= 1, "coldFrom", rules.coldFrom());
             require(rules.warmUpNanos() >= 0, "warmUpNanos", rules.warmUpNanos());
             require(rules.drainGraceNanos() >= 0, "drainGraceNanos", rules.drainGraceNanos());
@@ -144,7 +144,7 @@
     }
 
     /** One entry of the server list; {@code startedAtNanos} is 0 if the server started long ago. */
-    record ServerInfo(String id, String zone, String kind, int cell, Readiness readiness,
+    record ServerInfo(String id, String zone, String machineType, int cell, Readiness readiness,
                       double capacityHint, long startedAtNanos) { }
 
     /** The load that a server reports of itself; a value that it does not report is NaN. */
@@ -161,36 +161,36 @@
      * The operator's policy for the requests of a route. The module consults it and makes all other decisions itself; its rules
      * on effects, drains and cold servers apply regardless. Times are nanoseconds.
      */
-    interface Course {
+    interface RoutePolicy {
         /** Returns the maximum time from a request's arrival to its final answer. */
-        long totalNanos();
+        long totalTimeoutNanos();
 
         /** Returns the timeout of one attempt. */
-        long attemptNanos();
+        long attemptTimeoutNanos();
 
         /** Returns how many attempts a request may have, hedges included. */
-        int attempts();
+        int maxAttempts();
 
         /** Records that a request of the route has arrived. */
-        void arrived(long now);
+        void recordRequest(long now);
 
         /** Records that an attempt was served, with its latency. */
-        void served(long nanos);
+        void recordServed(long nanos);
 
         /** Returns whether a retry may follow an attempt with this outcome; if so, it is counted against the retry budget. */
-        boolean mayRetry(Outcome outcome, long now);
+        boolean tryWithdrawRetry(Outcome outcome, long now);
 
         /** Returns the maximum backoff before a retry; the first retry has the number 1. */
         long backoffNanos(int retry);
 
         /** Returns the time from an attempt to its hedge, or 0 for no hedge. */
-        long copyAfterNanos();
+        long hedgeDelayNanos();
 
         /** Returns whether a hedge may be sent now; if so, it is counted against the hedge budget. */
-        boolean mayCopy(long now);
+        boolean tryWithdrawHedge(long now);
 
         /** Returns how long a refusal advises the client to wait before a retry, or 0 for no advice. */
-        long adviceNanos();
+        long retryAfterNanos();
     }
 
     /**
@@ -198,7 +198,7 @@
      * {@code routePolicy} is null if the operator has set none for its route.
      */
     record RequestArrived(String id, String requestClass, String tenant, String key, long expiresInNanos,
-                          long workNanos, boolean retry, Course course) implements Event {
+                          long workNanos, boolean retry, RoutePolicy routePolicy) implements Event {
         /** Creates the event of a request without a route policy. */
         public RequestArrived(String id, String requestClass, String tenant, String key, long expiresInNanos,
                               long workNanos, boolean retry) {
@@ -208,17 +208,17 @@
 
     /**
      * The head of a request has arrived, and its body is still being received. The module chooses a server now, but the
-     * request's time limit and its cost to the server begin with {@link Whole}.
+     * request's time limit and its cost to the server begin with {@link RequestBodyReceived}.
      */
-    record Arriving(RequestArrived request) implements Event { }
+    record RequestHeadArrived(RequestArrived request) implements Event { }
 
     /**
-     * The last byte of a request that began with {@link Arriving} has been received; it expires {@code expiresInNanos} from now.
+     * The last byte of a request that began with {@link RequestHeadArrived} has been received; it expires {@code expiresInNanos} from now.
      */
-    record Whole(String id, long expiresInNanos) implements Event { }
+    record RequestBodyReceived(String id, long expiresInNanos) implements Event { }
 
     /** A part of the request's body is no longer buffered, so that it can't be sent to another server. */
-    record Spent(String id) implements Event { }
+    record RequestNotReplayable(String id) implements Event { }
 
     /** The client left, or the time for its answer is over: no answer is needed any more. */
     record ClientLeft(String id) implements Event { }
@@ -231,46 +231,46 @@
                         boolean concluded, LoadReport load) implements Event { }
 
     /** A probe of a server ended. */
-    record Probed(String server, Outcome outcome, long elapsedNanos, LoadReport load) implements Event { }
+    record ProbeEnded(String server, Outcome outcome, long elapsedNanos, LoadReport load) implements Event { }
 
     /** A message of another gateway was received. */
-    record PeerSaid(int gateway, byte[] body) implements Event { }
+    record PeerMessageReceived(int gateway, byte[] body) implements Event { }
 
     /** Shutdown of the gateway started: requests that arrive from now on need their final answer within this time. */
-    record Ending(long answerWithinNanos) implements Event { }
+    record ShutdownStarted(long answerWithinNanos) implements Event { }
 
     /**
      * The number of gateways that share each server changed, where that is not all of them. In-flight limits and trials follow
      * this number, tenants' quotas follow the settings.
      */
-    record Sharing(int gateways) implements Event { }
+    record GatewaysPerServerChanged(int gateways) implements Event { }
 
     /** The settings changed. Open requests keep their class and their maximum number of attempts. */
-    record Retuned(Settings settings) implements Event { }
+    record SettingsChanged(Settings settings) implements Event { }
 
     /** The state that another process of this same gateway learned earlier was received. */
-    record Recalled(LearnedState memory) implements Event { }
+    record LearnedStateReceived(LearnedState memory) implements Event { }
 
     /**
      * Another process of this same gateway began or stopped serving beside this one. Rules and limits treat both as one gateway,
      * so each gets a part of the trials, of tenants' quotas and of what may go to cold servers.
      */
-    record Overlap(boolean begins) implements Event { }
+    record ProcessOverlapChanged(boolean begins) implements Event { }
 
     /**
      * The weights of zones changed: the fraction of its usual load that each zone gets from now on, 0 to 1. Zones that are not
      * named have the weight 1. The servers of a zone that returns to service are no longer suspect, since the cause was their
      * zone.
      */
-    record Weighed(Map<String, Double> byZone) implements Event {
+    record ZoneWeightsChanged(Map<String, Double> byZone) implements Event {
         /** Copies the map. */
-        public Weighed {
+        public ZoneWeightsChanged {
             byZone = Map.copyOf(byZone);
         }
     }
 
     /** The requests per second of this gateway that a warm server bears, as observed by the fleet; 0 if unknown. */
-    record Bears(double perSecond) implements Event { }
+    record WarmServerRateReceived(double perSecond) implements Event { }
 
     /** A timer that the module set has fired. */
     record TimerFired(long token) implements Event { }
@@ -320,7 +320,7 @@
         default void probe(String server) { }
 
         /** Sends a message to all other gateways. */
-        default void tellAll(byte[] body) { }
+        default void broadcast(byte[] body) { }
 
         /** Logs a line for the operators. */
         default void log(String line) { }
--- a/src/main/java/cinderhollow/policy/RetryRules.java
+++ b/src/main/java/cinderhollow/policy/RetryRules.java
@@ -1,7 +1,7 @@
 package cinderhollow.policy;
 
 import cinderhollow.policy.Protocol.Effect;
-import cinderhollow.policy.Protocol.Group;
+import cinderhollow.policy.Protocol.DedupGroup;
 import cinderhollow.policy.Protocol.RequestClass;
 import cinderhollow.policy.State.Attempt;
 import cinderhollow.policy.State.Request;
@@ -72,7 +72,7 @@
             return true;
         }
         boolean dropped = c.effect() == Effect.KEYED && now - first.sentAt() < c.dedupWindowNanos();
-        return dropped && switch (c.group()) {
+        return dropped && switch (c.dedupGroup()) {
             case ALL -> true;
             case ZONE -> s.info.zone().equals(first.server().info.zone());
             case CELL -> s.info.cell() == first.server().info.cell();
@@ -86,6 +86,6 @@
     static boolean mayRefuse(Request r) {
         RequestClass c = r.kind.spec;
         return c.effect() == Effect.SAFE || r.firstThatMayRun() == null
-                || c.effect() == Effect.KEYED && c.group() == Group.ALL;
+                || c.effect() == Effect.KEYED && c.dedupGroup() == DedupGroup.ALL;
     }
 }
--- a/src/main/java/cinderhollow/policy/SettingsReader.java
+++ b/src/main/java/cinderhollow/policy/SettingsReader.java
@@ -1,8 +1,8 @@
 package cinderhollow.policy;
 
-import cinderhollow.policy.Protocol.Allowed;
+import cinderhollow.policy.Protocol.UpstreamOptions;
 import cinderhollow.policy.Protocol.Effect;
-import cinderhollow.policy.Protocol.Group;
+import cinderhollow.policy.Protocol.DedupGroup;
 import cinderhollow.policy.Protocol.RequestClass;
 import cinderhollow.policy.Protocol.Rules;
 import cinderhollow.policy.Protocol.Settings;
@@ -67,12 +67,12 @@
         };
     }
 
-    private Group group(String at) {
+    private DedupGroup group(String at) {
         String value = text(at + "dedup_scope", "all");
         return switch (value) {
-            case "all" -> Group.ALL;
-            case "zone" -> Group.ZONE;
-            case "cell" -> Group.CELL;
+            case "all" -> DedupGroup.ALL;
+            case "zone" -> DedupGroup.ZONE;
+            case "cell" -> DedupGroup.CELL;
             default -> throw new IllegalArgumentException("unknown dedup_scope '" + value + "'");
         };
     }
@@ -87,9 +87,9 @@
         return tenants;
     }
 
-    private Allowed allowed() {
-        Allowed usual = new Allowed((int) number("allowed.max_attempts", 1), flag("allowed.may_cancel", false));
-        return new Allowed(usual.maxAttempts(), usual.cancel(), number("allowed.conn_idle_ns", usual.idleNanos()));
+    private UpstreamOptions allowed() {
+        UpstreamOptions usual = new UpstreamOptions((int) number("allowed.max_attempts", 1), flag("allowed.may_cancel", false));
+        return new UpstreamOptions(usual.maxAttempts(), usual.cancel(), number("allowed.conn_idle_ns", usual.idleNanos()));
     }
 
     private Rules rules() {
--- a/src/main/java/cinderhollow/policy/State.java
+++ b/src/main/java/cinderhollow/policy/State.java
@@ -1,6 +1,6 @@
 package cinderhollow.policy;
 
-import cinderhollow.policy.Protocol.Course;
+import cinderhollow.policy.Protocol.RoutePolicy;
 import cinderhollow.policy.Protocol.Effect;
 import cinderhollow.policy.Protocol.RequestClass;
 import cinderhollow.policy.Protocol.ServerInfo;
@@ -188,7 +188,7 @@
         final Kind kind;
         final boolean overShare;
         /** The operator's policy for its route, or null. */
-        final Course course;
+        final RoutePolicy course;
         /** When the time of its aim began: its arrival or, for a client's retry, the estimated time of the first try. */
         long arrivedAt;
         long deadline;
@@ -216,7 +216,7 @@
         /** Its sequence number among held requests. */
         long turn;
 
-        Request(String id, Kind kind, boolean overShare, Course course, long firstAsked, long deadline,
+        Request(String id, Kind kind, boolean overShare, RoutePolicy course, long firstAsked, long deadline,
                 int mostAttempts) {
             this.id = id;
             this.kind = kind;
--- a/src/main/java/cinderhollow/routes/RouteCourse.java
+++ b/src/main/java/cinderhollow/routes/RouteCourse.java
@@ -1,6 +1,6 @@
 package cinderhollow.routes;
 
-import cinderhollow.policy.Protocol.Course;
+import cinderhollow.policy.Protocol.RoutePolicy;
 import cinderhollow.policy.Protocol.Outcome;
 import cinderhollow.routes.Terms.Copy;
 
@@ -8,7 +8,7 @@
  * Route policy that applies the {@link Terms} of a route, with the state of its budgets and its latency percentile. Used by one
  * thread only.
  */
-public final class RouteCourse implements Course {
+public final class RouteCourse implements RoutePolicy {
     private final int number;
     private final Terms terms;
     private final Budget retries;
@@ -31,22 +31,22 @@
     }
 
     @Override
-    public long totalNanos() {
+    public long totalTimeoutNanos() {
         return terms.totalNanos();
     }
 
     @Override
-    public long attemptNanos() {
+    public long attemptTimeoutNanos() {
         return terms.attemptNanos();
     }
 
     @Override
-    public int attempts() {
+    public int maxAttempts() {
         return terms.attempts();
     }
 
     @Override
-    public void arrived(long now) {
+    public void recordRequest(long now) {
         retries.arrived(now);
         if (copies != null) {
             copies.arrived(now);
@@ -54,14 +54,14 @@
     }
 
     @Override
-    public void served(long nanos) {
+    public void recordServed(long nanos) {
         if (times != null) {
             times.add(nanos);
         }
     }
 
     @Override
-    public boolean mayRetry(Outcome outcome, long now) {
+    public boolean tryWithdrawRetry(Outcome outcome, long now) {
         return terms.retryOn().contains(outcome) && retries.take(now);
     }
 
@@ -72,17 +72,17 @@
     }
 
     @Override
-    public long copyAfterNanos() {
+    public long hedgeDelayNanos() {
         return copies == null ? 0 : times == null ? terms.copy().afterNanos() : times.nanos();
     }
 
     @Override
-    public boolean mayCopy(long now) {
+    public boolean tryWithdrawHedge(long now) {
         return copies != null && copies.take(now);
     }
 
     @Override
-    public long adviceNanos() {
+    public long retryAfterNanos() {
         return terms.adviceNanos();
     }
 }
--- a/src/main/java/cinderhollow/sim/Wire.java
+++ b/src/main/java/cinderhollow/sim/Wire.java
@@ -145,9 +145,9 @@
             case "EXPIRED" -> new ClientLeft(fields.text("rid"));
             case "STREAMING" -> new StreamStarted(fields.text("rid"), fields.integer("send_no"),
                     fields.text("host"));
-            case "PING_RESULT" -> new Probed(fields.text("host"), outcome(), fields.number("delay_seen_ns"),
+            case "PING_RESULT" -> new ProbeEnded(fields.text("host"), outcome(), fields.number("delay_seen_ns"),
                     load(gateway));
-            case "WHISPER" -> new PeerSaid(fields.integer("neighbour"), body());
+            case "WHISPER" -> new PeerMessageReceived(fields.integer("neighbour"), body());
             case "DONE" -> new AttemptEnded(fields.text("rid"), fields.integer("send_no"),
                     fields.text("host"), outcome(), fields.number("delay_seen_ns"),
                     fields.number("over", 0) == 1, load(gateway));
@@ -348,7 +348,7 @@
         }
 
         @Override
-        public void tellAll(byte[] body) {
+        public void broadcast(byte[] body) {
             line("WRITE_PEER").append("\tpeer=all\tbody=")
                     .append(body.length == 0 ? "-" : HEX.formatHex(body)).append('\n');
         }
--- a/src/test/java/cinderhollow/bench/DecisionBenchmark.java
+++ b/src/test/java/cinderhollow/bench/DecisionBenchmark.java
@@ -2,10 +2,10 @@
 
 import cinderhollow.policy.LoadBalancer;
 import cinderhollow.policy.Protocol.Actions;
-import cinderhollow.policy.Protocol.Allowed;
+import cinderhollow.policy.Protocol.UpstreamOptions;
 import cinderhollow.policy.Protocol.AttemptEnded;
 import cinderhollow.policy.Protocol.Effect;
-import cinderhollow.policy.Protocol.Group;
+import cinderhollow.policy.Protocol.DedupGroup;
 import cinderhollow.policy.Protocol.ListKind;
 import cinderhollow.policy.Protocol.ListReceived;
 import cinderhollow.policy.Protocol.Outcome;
@@ -46,7 +46,7 @@
 @Fork(1)
 public class DecisionBenchmark {
     private static final long MS = 1_000_000L, BETWEEN_NANOS = 100_000L, ANSWER_NANOS = 8 * BETWEEN_NANOS;
-    private static final RequestClass READ = new RequestClass("read", Effect.SAFE, Group.ALL, 0, 500 * MS, 2_000 * MS, 1,
+    private static final RequestClass READ = new RequestClass("read", Effect.SAFE, DedupGroup.ALL, 0, 500 * MS, 2_000 * MS, 1,
             0.5, false);
 
     /** Number of servers in the list. */
@@ -63,7 +63,7 @@
     /** Creates a fleet in two zones in which no server is cold. */
     @Setup
     public void start() {
-        Settings settings = new Settings(1, 0, "a", false, 5 * MS, List.of(READ), List.of(), 0.1, new Allowed(4, true),
+        Settings settings = new Settings(1, 0, "a", false, 5 * MS, List.of(READ), List.of(), 0.1, new UpstreamOptions(4, true),
                 new Rules(20 * MS, 250 * MS, 10_000 * MS, 0.2, 20_000 * MS, 2.5, 1_500 * MS));
         choice = new LoadBalancer(settings, 7, new Host());
         List<ServerInfo> list = new ArrayList<>();
--- a/src/test/java/cinderhollow/bench/FleetSimulation.java
+++ b/src/test/java/cinderhollow/bench/FleetSimulation.java
@@ -3,11 +3,11 @@
 import cinderhollow.membership.Subset;
 import cinderhollow.policy.LoadBalancer;
 import cinderhollow.policy.Protocol.Actions;
-import cinderhollow.policy.Protocol.Allowed;
+import cinderhollow.policy.Protocol.UpstreamOptions;
 import cinderhollow.policy.Protocol.AttemptEnded;
 import cinderhollow.policy.Protocol.Effect;
 import cinderhollow.policy.Protocol.Event;
-import cinderhollow.policy.Protocol.Group;
+import cinderhollow.policy.Protocol.DedupGroup;
 import cinderhollow.policy.Protocol.ListKind;
 import cinderhollow.policy.Protocol.ListReceived;
 import cinderhollow.policy.Protocol.Outcome;
@@ -17,7 +17,7 @@
 import cinderhollow.policy.Protocol.Rules;
 import cinderhollow.policy.Protocol.ServerInfo;
 import cinderhollow.policy.Protocol.Settings;
-import cinderhollow.policy.Protocol.Sharing;
+import cinderhollow.policy.Protocol.GatewaysPerServerChanged;
 import cinderhollow.policy.Protocol.TimerFired;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -61,7 +61,7 @@
     private static final double SLOW = 0.6, COLD = 0.3, RESTARTED = 0.01;
     private static final int MOST_QUEUED = 20;
     private static final List<String> ZONES = List.of("a", "b", "c");
-    private static final RequestClass READ = new RequestClass("read", Effect.SAFE, Group.ALL, 0, 500 * MS, 2 * SECOND, 1,
+    private static final RequestClass READ = new RequestClass("read", Effect.SAFE, DedupGroup.ALL, 0, 500 * MS, 2 * SECOND, 1,
             0.5, false);
 
     private final Way way;
@@ -230,9 +230,9 @@
             });
             String zone = ZONES.get(number % ZONES.size());
             choice = new LoadBalancer(new Settings(gateways.length, number, zone, false, 5 * MS, List.of(READ), List.of(), 0.1,
-                    new Allowed(3, true), new Rules(20 * MS, 250 * MS, 10 * SECOND, COLD, WARM_UP, 2.5, 1_500 * MS)),
+                    new UpstreamOptions(3, true), new Rules(20 * MS, 250 * MS, 10 * SECOND, COLD, WARM_UP, 2.5, 1_500 * MS)),
                     seed * 31 + number, this);
-            tell(new Sharing(sharers()));
+            tell(new GatewaysPerServerChanged(sharers()));
             tell(new ListReceived(ListKind.CACHED, list));
             arriveLater();
         }
--- a/src/test/java/cinderhollow/operator/OperatorFileTest.java
+++ b/src/test/java/cinderhollow/operator/OperatorFileTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import cinderhollow.policy.Protocol.Effect;
-import cinderhollow.policy.Protocol.Group;
+import cinderhollow.policy.Protocol.DedupGroup;
 import cinderhollow.policy.Protocol.Outcome;
 import cinderhollow.policy.Protocol.RequestClass;
 import cinderhollow.routes.Route;
@@ -28,9 +28,9 @@
 class OperatorFileTest {
     private static final long MS = 1_000_000L;
     private static final Platform PLATFORM = new Platform(List.of(
-            new RequestClass("status", Effect.SAFE, Group.ALL, 0, 150 * MS, 750 * MS, 1, 0, false),
-            new RequestClass("submit", Effect.UNSAFE, Group.ALL, 0, 100 * MS, 300 * MS, 5, 0, false),
-            new RequestClass("amend", Effect.KEYED, Group.CELL, 400 * MS, 100 * MS, 500 * MS, 2, 0, false)),
+            new RequestClass("status", Effect.SAFE, DedupGroup.ALL, 0, 150 * MS, 750 * MS, 1, 0, false),
+            new RequestClass("submit", Effect.UNSAFE, DedupGroup.ALL, 0, 100 * MS, 300 * MS, 5, 0, false),
+            new RequestClass("amend", Effect.KEYED, DedupGroup.CELL, 400 * MS, 100 * MS, 500 * MS, 2, 0, false)),
             5, true, 400 * MS, 7, 3, "a", true);
     private static final String STATUS = "[class.status]\n", SUBMIT = "[class.submit]\n", AMEND = "[class.amend]\n";
 
--- a/src/test/java/cinderhollow/policy/ChoiceTest.java
+++ b/src/test/java/cinderhollow/policy/ChoiceTest.java
@@ -142,7 +142,7 @@
 
     @Test
     void classesOfUnlikeLengthDontPassForSlowServers() {
-        RequestClass brief = new RequestClass("brief", Effect.SAFE, Group.ALL, 0, 500 * MS, SECOND, 1, 0, false);
+        RequestClass brief = new RequestClass("brief", Effect.SAFE, DedupGroup.ALL, 0, 500 * MS, SECOND, 1, 0, false);
         Fleet fleet = new Fleet(settings(false, 1, List.of(), List.of(READ, brief)), 7).with(2);
         for (int t = 0; t < 6; t++) {
             for (int i = 0; i < 400; i++) { // s0 gets only long work, s1 only short work
@@ -279,7 +279,7 @@
             assertNotEquals(first, second);
             assertEquals(Integer.parseInt(first.substring(1)) % 2, Integer.parseInt(second.substring(1)) % 2);
         }
-        RequestClass brief = new RequestClass("brief", Effect.KEYED, Group.ALL, 50 * MS, 500 * MS, SECOND, 1, 0,
+        RequestClass brief = new RequestClass("brief", Effect.KEYED, DedupGroup.ALL, 50 * MS, 500 * MS, SECOND, 1, 0,
                 false);
         Fleet fleet = new Fleet(settings(false, 1, List.of(), List.of(brief)), 7).with(6);
         String id = fleet.ask(brief);
@@ -465,7 +465,7 @@
 
     @Test
     void whileAnswersTakeHalfTheirAimTheLeastWorthForItsWorkIsShedAndTheMostIsNot() {
-        RequestClass bulk = new RequestClass("bulk", Effect.SAFE, Group.ALL, 0, 500 * MS, SECOND, 1, 0, false);
+        RequestClass bulk = new RequestClass("bulk", Effect.SAFE, DedupGroup.ALL, 0, 500 * MS, SECOND, 1, 0, false);
         for (long elapsed : new long[] {200 * MS, 300 * MS}) {
             Fleet fleet = new Fleet(settings(false, 1, List.of(), List.of(bulk, ORDER)), 7).with(9);
             for (int i = 0; i < 60; i++) {
@@ -646,7 +646,7 @@
 
     @Test
     void anAimThatIsShortForTheWorkDoesNotPinTheLimitToItsFloor() {
-        RequestClass tight = new RequestClass("tight", Effect.SAFE, Group.ALL, 0, 200 * MS, SECOND, 1, 0, false);
+        RequestClass tight = new RequestClass("tight", Effect.SAFE, DedupGroup.ALL, 0, 200 * MS, SECOND, 1, 0, false);
         Fleet fleet = new Fleet(settings(false, 1, List.of(), List.of(tight)), 7).with(1);
         for (int i = 0; i < 14; i++) { // a fifth of the aim is 40 ms, the median at the lowest load is 0.69 * 80 ms
             fleet.serveTogether(tight, 10, (i < 10 ? 80 : 50) * MS);
--- a/src/test/java/cinderhollow/policy/CourseTest.java
+++ b/src/test/java/cinderhollow/policy/CourseTest.java
@@ -29,17 +29,17 @@
     private static final Set<Outcome> ANY = EnumSet.of(Outcome.CONNECT_FAILED, Outcome.FULL, Outcome.ERROR,
             Outcome.RESET, Outcome.TIMED_OUT);
 
-    private static Course copies(long after) {
+    private static RoutePolicy copies(long after) {
         return new RouteCourse(0, new Terms(2 * SECOND, 2 * SECOND, 4, ANY, 0, 0, ALL, new Copy(after, 0, 1, ALL), 0));
     }
 
-    private static Course tries(long attempt, long backoff, Allowance budget) {
+    private static RoutePolicy tries(long attempt, long backoff, Allowance budget) {
         return new RouteCourse(0, new Terms(2 * SECOND, attempt, 4, ANY, backoff, 8 * backoff, budget, null, 30 * MS));
     }
 
     private final Fleet fleet = new Fleet().with(3);
 
-    private String ask(RequestClass c, Course course) {
+    private String ask(RequestClass c, RoutePolicy course) {
         return fleet.ask(c, null, c.deadlineNanos(), course);
     }
 
@@ -155,7 +155,7 @@
 
     @Test
     void copiesStayWithinTheirBudget() {
-        Course course = new RouteCourse(0, new Terms(2 * SECOND, 2 * SECOND, 4, ANY, 0, 0, ALL,
+        RoutePolicy course = new RouteCourse(0, new Terms(2 * SECOND, 2 * SECOND, 4, ANY, 0, 0, ALL,
                 new Copy(10 * MS, 0, 1, new Allowance(0.1, 0)), 0));
         int sent = 0;
         int copied = 0;
@@ -183,7 +183,7 @@
      */
     @Test
     void aRetryStormStaysWithinTheBudgetAndEndsAtOnce() {
-        Course course = tries(2 * SECOND, 0, new Allowance(0.2, 0));
+        RoutePolicy course = tries(2 * SECOND, 0, new Allowance(0.2, 0));
         Map<Long, Integer> sends = new HashMap<>();
         long begin = fleet.now;
         for (int i = 0; i < 1100; i++) {
@@ -273,8 +273,8 @@
     /** One route times out after 8 ms, the other waits. The servers are alike, so their shares must stay alike. */
     @Test
     void aShortTimeOutOfOneRouteSpoilsNoServersShare() {
-        Course hasty = tries(8 * MS, 0, NONE);
-        Course patient = tries(2 * SECOND, 0, NONE);
+        RoutePolicy hasty = tries(8 * MS, 0, NONE);
+        RoutePolicy patient = tries(2 * SECOND, 0, NONE);
         Map<String, Integer> drawn = new HashMap<>();
         for (int i = 0; i < 6000; i++) {
             boolean first = i % 2 == 0;
--- a/src/test/java/cinderhollow/policy/Fleet.java
+++ b/src/test/java/cinderhollow/policy/Fleet.java
@@ -12,13 +12,13 @@
     static final long STEP = 1;
     static final long SWEEP = 2;
     static final long ASK = 3;
-    static final RequestClass READ = new RequestClass("read", Effect.SAFE, Group.ALL, 0, 500 * MS, 2 * SECOND,
+    static final RequestClass READ = new RequestClass("read", Effect.SAFE, DedupGroup.ALL, 0, 500 * MS, 2 * SECOND,
             1, 0.5, false);
-    static final RequestClass ORDER = new RequestClass("order", Effect.UNSAFE, Group.ALL, 0, 500 * MS, 2 * SECOND,
+    static final RequestClass ORDER = new RequestClass("order", Effect.UNSAFE, DedupGroup.ALL, 0, 500 * MS, 2 * SECOND,
             5, 0, false);
-    static final RequestClass FILE = new RequestClass("file", Effect.KEYED, Group.ZONE, 5 * SECOND, 500 * MS,
+    static final RequestClass FILE = new RequestClass("file", Effect.KEYED, DedupGroup.ZONE, 5 * SECOND, 500 * MS,
             2 * SECOND, 2, 0, false);
-    static final Allowed ALL_ALLOWED = new Allowed(4, true);
+    static final UpstreamOptions ALL_ALLOWED = new UpstreamOptions(4, true);
     static final Rules RULES = new Rules(20 * MS, 250 * MS, 10 * SECOND, 0.2, WARM_UP, 2.5, 1500 * MS);
 
     final Recorder host = new Recorder();
@@ -84,7 +84,7 @@
         return ask(c, tenant, expiresIn, null);
     }
 
-    String ask(RequestClass c, String tenant, long expiresIn, Course course) {
+    String ask(RequestClass c, String tenant, long expiresIn, RoutePolicy course) {
         String id = "r" + requests++;
         choice.handle(now, new RequestArrived(id, c.name(), tenant, null, expiresIn, 0, false, course));
         return id;
--- a/src/test/java/cinderhollow/policy/QuickStartTest.java
+++ b/src/test/java/cinderhollow/policy/QuickStartTest.java
@@ -4,10 +4,10 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import cinderhollow.policy.Protocol.Actions;
-import cinderhollow.policy.Protocol.Allowed;
+import cinderhollow.policy.Protocol.UpstreamOptions;
 import cinderhollow.policy.Protocol.AttemptEnded;
 import cinderhollow.policy.Protocol.Effect;
-import cinderhollow.policy.Protocol.Group;
+import cinderhollow.policy.Protocol.DedupGroup;
 import cinderhollow.policy.Protocol.ListKind;
 import cinderhollow.policy.Protocol.ListReceived;
 import cinderhollow.policy.Protocol.Outcome;
@@ -59,9 +59,9 @@
 
     @Test
     void aGatewayEmbedsChoiceInAFewLines() {
-        RequestClass read = new RequestClass("read", Effect.SAFE, Group.ALL, 0, 300 * MS, 1000 * MS, 1, 0, false);
+        RequestClass read = new RequestClass("read", Effect.SAFE, DedupGroup.ALL, 0, 300 * MS, 1000 * MS, 1, 0, false);
         Settings settings = new Settings(1, 0, "zone-a", false, MS, List.of(read), List.of(), 1,
-                new Allowed(3, true),
+                new UpstreamOptions(3, true),
                 new Rules(20 * MS, 250 * MS, 10_000 * MS, 0.2, 20_000 * MS, 2.5, 1000 * MS));
         Host host = new Host();
         LoadBalancer choice = new LoadBalancer(settings, 42, host);
--- a/src/test/java/cinderhollow/policy/RecalledTest.java
+++ b/src/test/java/cinderhollow/policy/RecalledTest.java
@@ -40,7 +40,7 @@
         Fleet old = experienced();
         Fleet next = new Fleet().with(3);
         next.now = old.now;
-        next.choice.handle(next.now, new Recalled(old.choice.learnedState()));
+        next.choice.handle(next.now, new LearnedStateReceived(old.choice.learnedState()));
         assertEquals(old.choice.learnedState().classes(), next.choice.learnedState().classes());
         for (int i = 0; i < 3; i++) {
             assertEquals(old.choice.ready().get(i).share, next.choice.ready().get(i).share, 1e-9);
@@ -59,7 +59,7 @@
         servers.add(new ServerEntry("s1", 77, 0.9, 1, 1, 0, false));
         servers.add(new ServerEntry("s2", 0, 0.6, 2.5, 1, 0, false));
         servers.add(new ServerEntry("unheard-of", 0, 0.1, 1, 1, 0, false));
-        next.choice.handle(next.now, new Recalled(new LearnedState(0, 0, 5, servers,
+        next.choice.handle(next.now, new LearnedStateReceived(new LearnedState(0, 0, 5, servers,
                 List.of(new ClassEntry("read", -1, 0, 5), new ClassEntry("order", 40 * MS, 30 * MS, 5), new ClassEntry("gone", 1, 1, 1)))));
         double total = 1 / 3.0 + 1 / 3.0 + 0.6;
         assertEquals(1 / 3.0 / total, next.choice.ready().get(0).share, 1e-9);
@@ -70,7 +70,7 @@
         assertEquals(40 * MS, next.choice.kind("order").latency);
         LearnedState wrong = new LearnedState(Double.NaN, 0, 5, servers, List.of());
         Fleet plain = new Fleet().with(3);
-        plain.choice.handle(plain.now, new Recalled(wrong));
+        plain.choice.handle(plain.now, new LearnedStateReceived(wrong));
         assertEquals(1 / 3.0, plain.choice.ready().get(2).share, 1e-9);
     }
 
@@ -94,7 +94,7 @@
         sentToCold(fleet, 100);
         fleet.fire(STEP);
         if (overlapping) {
-            fleet.choice.handle(fleet.now, new Overlap(true));
+            fleet.choice.handle(fleet.now, new ProcessOverlapChanged(true));
         }
         fleet.choice.handle(fleet.now, new ListReceived(ListKind.CHANGES, List.of(server("cold", "a", Readiness.READY, fleet.now))));
         return fleet;
@@ -110,7 +110,7 @@
         int both = sentToCold(first, 400) + sentToCold(first, 400) + sentToCold(second, 400) + sentToCold(second, 400);
         assertTrue(alone > 10, alone + " alone");
         assertTrue(both <= alone * 1.2 + 2, both + " by both, and " + alone + " alone");
-        first.choice.handle(first.now, new Overlap(false));
+        first.choice.handle(first.now, new ProcessOverlapChanged(false));
         assertTrue(sentToCold(first, 400) > 0);
     }
 
@@ -119,7 +119,7 @@
     void aColdServerIsOwedNothingAtTheHandOver() {
         Fleet old = withCold(false);
         Fleet next = withCold(true);
-        next.choice.handle(next.now, new Recalled(old.choice.learnedState()));
+        next.choice.handle(next.now, new LearnedStateReceived(old.choice.learnedState()));
         assertEquals(0, next.choice.ready().stream().filter(s -> s.info.id().equals("cold")).findFirst().orElseThrow().cold.tokens);
     }
 }
--- a/src/test/java/cinderhollow/policy/Recorder.java
+++ b/src/test/java/cinderhollow/policy/Recorder.java
@@ -62,7 +62,7 @@
     }
 
     @Override
-    public void tellAll(byte[] body) {
+    public void broadcast(byte[] body) {
         add("tellAll", null, null, body.length);
     }
 
--- a/src/test/java/cinderhollow/policy/RetunedTest.java
+++ b/src/test/java/cinderhollow/policy/RetunedTest.java
@@ -15,12 +15,12 @@
 class RetunedTest {
     private static Settings with(int attempts, RequestClass... classes) {
         Settings s = Fleet.settings(false);
-        return new Settings(s.gateways(), s.gatewayNumber(), s.zone(), s.subscribe(), s.resolutionNanos(), List.of(classes),
-                s.tenants(), s.overShareWorth(), new Allowed(attempts, true), s.rules());
+        return new Settings(s.gateways(), s.gatewayNumber(), s.zone(), s.subscribe(), s.timerResolutionNanos(), List.of(classes),
+                s.tenants(), s.overQuotaWorth(), new UpstreamOptions(attempts, true), s.rules());
     }
 
     private static RequestClass as(RequestClass c, Effect effect) {
-        return new RequestClass(c.name(), effect, c.group(), c.dedupWindowNanos(), c.aimNanos(), c.deadlineNanos(), c.worth(),
+        return new RequestClass(c.name(), effect, c.dedupGroup(), c.dedupWindowNanos(), c.aimNanos(), c.deadlineNanos(), c.worth(),
                 c.lateWorth(), c.stream());
     }
 
@@ -30,7 +30,7 @@
         Fleet fleet = new Fleet(with(4, READ, ORDER), 7).with(3);
         String open = fleet.ask(READ);
         String first = fleet.sentTo();
-        fleet.choice.handle(fleet.now, new Retuned(with(4, as(READ, Effect.UNSAFE), ORDER)));
+        fleet.choice.handle(fleet.now, new SettingsChanged(with(4, as(READ, Effect.UNSAFE), ORDER)));
         fleet.end(open, 0, first, Outcome.RESET, 10 * MS, false);
         assertNotEquals(null, fleet.sentTo(), "it is tried again");
         String next = fleet.ask(READ);
@@ -45,7 +45,7 @@
         Fleet fleet = new Fleet(with(4, READ), 7).with(4);
         String open = fleet.ask(READ);
         String first = fleet.sentTo();
-        fleet.choice.handle(fleet.now, new Retuned(with(1, READ)));
+        fleet.choice.handle(fleet.now, new SettingsChanged(with(1, READ)));
         fleet.end(open, 0, first, Outcome.FULL, MS, false);
         assertNotEquals(null, fleet.sentTo());
         String next = fleet.ask(READ);
@@ -61,7 +61,7 @@
         Fleet fleet = new Fleet(with(4, READ, ORDER), 7);
         fleet.ask(ORDER);
         assertEquals(null, fleet.sentTo(), "no server is known");
-        fleet.choice.handle(fleet.now, new Retuned(with(4, READ)));
+        fleet.choice.handle(fleet.now, new SettingsChanged(with(4, READ)));
         fleet.now += 10 * MS;
         fleet.with(2);
         assertNotEquals(null, fleet.sentTo());
@@ -79,14 +79,14 @@
             fleet.ask(READ, "acme", READ.deadlineNanos());
             fleet.answerAll(MS);
         }
-        fleet.choice.handle(fleet.now, new Retuned(s));
+        fleet.choice.handle(fleet.now, new SettingsChanged(s));
         Fleet other = new Fleet(s, 7).with(3);
         assertEquals(0.0, fleet.choice.left("acme"), 1e-9, "used up before the file, and so after it");
         assertEquals(10.0, other.choice.left("acme"), 1e-9);
         fleet.now += SECOND / 2;
         fleet.fire(Fleet.SWEEP);
         assertEquals(5.0, fleet.choice.left("acme"), 1e-9, "it comes back with time");
-        fleet.choice.handle(fleet.now, new Retuned(Fleet.settings(false, 1, List.of(new Tenant("other", 4)), List.of(READ))));
+        fleet.choice.handle(fleet.now, new SettingsChanged(Fleet.settings(false, 1, List.of(new Tenant("other", 4)), List.of(READ))));
         assertEquals(4.0, fleet.choice.left("other"), 1e-9);
     }
 
@@ -96,8 +96,8 @@
         fleet.serve(READ, Outcome.SERVED, 40 * MS);
         double latency = fleet.choice.kind("read").latency;
         List<Double> shares = fleet.choice.ready().stream().map(s -> s.share).toList();
-        RequestClass longer = new RequestClass("read", Effect.SAFE, Group.ALL, 0, SECOND, 3 * SECOND, 1, 0.5, false);
-        fleet.choice.handle(fleet.now, new Retuned(with(4, longer)));
+        RequestClass longer = new RequestClass("read", Effect.SAFE, DedupGroup.ALL, 0, SECOND, 3 * SECOND, 1, 0.5, false);
+        fleet.choice.handle(fleet.now, new SettingsChanged(with(4, longer)));
         assertEquals(latency, fleet.choice.kind("read").latency);
         assertEquals(shares, fleet.choice.ready().stream().map(s -> s.share).toList());
         assertEquals(3 * SECOND, fleet.choice.kind("read").spec.deadlineNanos());
--- a/src/test/java/cinderhollow/policy/RulesTest.java
+++ b/src/test/java/cinderhollow/policy/RulesTest.java
@@ -31,9 +31,9 @@
 class RulesTest {
     private static final long TICK = 5 * MS;
     private static final long LENGTH = 60 * SECOND;
-    private static final RequestClass CELL_FILE = new RequestClass("cell-file", Effect.KEYED, Group.CELL, SECOND,
+    private static final RequestClass CELL_FILE = new RequestClass("cell-file", Effect.KEYED, DedupGroup.CELL, SECOND,
             300 * MS, 2 * SECOND, 2, 0, false);
-    private static final RequestClass ANY_FILE = new RequestClass("any-file", Effect.KEYED, Group.ALL, SECOND,
+    private static final RequestClass ANY_FILE = new RequestClass("any-file", Effect.KEYED, DedupGroup.ALL, SECOND,
             300 * MS, 2 * SECOND, 2, 0.3, false);
     private static final List<RequestClass> CLASSES = List.of(READ, ORDER, FILE, CELL_FILE, ANY_FILE);
 
@@ -74,13 +74,13 @@
         long length = LENGTH;
 
         /** The operator's route policies by class; may be empty. */
-        final Map<String, Course> courses;
+        final Map<String, RoutePolicy> courses;
 
         World(long seed) {
             this(seed, Map.of());
         }
 
-        World(long seed, Map<String, Course> courses) {
+        World(long seed, Map<String, RoutePolicy> courses) {
             this.courses = courses;
             random = new SplittableRandom(seed);
             choice = new LoadBalancer(settings(false, 1, List.of(new Tenant("t", 20)), CLASSES), seed, host);
@@ -115,8 +115,8 @@
             if (first != null && r.kind.effect() == Effect.KEYED) {
                 ServerInfo at = listed.get(first.server());
                 assertTrue(now - first.at() < r.kind.dedupWindowNanos(), "past its window: " + a);
-                assertTrue(r.kind.group() != Group.ZONE || at.zone().equals(s.zone()), "another zone: " + a);
-                assertTrue(r.kind.group() != Group.CELL || at.cell() == s.cell(), "another cell: " + a);
+                assertTrue(r.kind.dedupGroup() != DedupGroup.ZONE || at.zone().equals(s.zone()), "another zone: " + a);
+                assertTrue(r.kind.dedupGroup() != DedupGroup.CELL || at.cell() == s.cell(), "another cell: " + a);
             }
             assertEquals(first != null && r.kind.effect() == Effect.KEYED ? first.at() + r.kind.dedupWindowNanos() - now
                     : Long.MAX_VALUE, host.goesOutWithin.get(a.id()), "may go out past its window: " + a);
@@ -136,7 +136,7 @@
             assertTrue(now <= r.deadline + RULES.answerSlackNanos(), "answered late: " + a);
             if (a.what().equals("refuse") && r.firstThatMayRun() != null) {
                 assertTrue(r.kind.effect() == Effect.SAFE
-                        || r.kind.effect() == Effect.KEYED && r.kind.group() == Group.ALL, "refused: " + a);
+                        || r.kind.effect() == Effect.KEYED && r.kind.dedupGroup() == DedupGroup.ALL, "refused: " + a);
             }
             r.answered = true;
             finals++;
@@ -262,7 +262,7 @@
                 continue;
             }
             accepted++;
-            Map<String, Course> courses = new HashMap<>();
+            Map<String, RoutePolicy> courses = new HashMap<>();
             file.routes().forEach(route -> courses.put(route.requestClass(), new RouteCourse(0, route.terms())));
             World world = new World(seed * 100 + i, courses);
             world.length = 15 * SECOND;
@@ -304,7 +304,7 @@
     @Test
     void whatComesAtTheEndIsAnsweredBeforeIt() {
         Fleet fleet = new Fleet().with(1);
-        fleet.choice.handle(fleet.now, new Ending(300 * MS));
+        fleet.choice.handle(fleet.now, new ShutdownStarted(300 * MS));
         fleet.ask(READ);
         assertEquals(300 * MS, fleet.host.take("send").get(0).number());
     }
--- a/src/test/java/cinderhollow/policy/WeighedTest.java
+++ b/src/test/java/cinderhollow/policy/WeighedTest.java
@@ -48,14 +48,14 @@
         Fleet fleet = fleet(servers);
         int[] usual = served(fleet);
         assertTrue(usual[0] > 900, "own zone first: " + usual[0]);
-        fleet.choice.handle(fleet.now, new Weighed(Map.of("a", 0.0)));
+        fleet.choice.handle(fleet.now, new ZoneWeightsChanged(Map.of("a", 0.0)));
         int[] left = served(fleet);
         assertEquals(0, left[0]);
         assertTrue(left[1] > 100 && left[2] > 100, left[1] + " and " + left[2]);
-        fleet.choice.handle(fleet.now, new Weighed(Map.of("a", 0.0, "b", 0.0)));
+        fleet.choice.handle(fleet.now, new ZoneWeightsChanged(Map.of("a", 0.0, "b", 0.0)));
         int[] both = served(fleet);
         assertEquals(1_000, both[2]);
-        fleet.choice.handle(fleet.now, new Weighed(Map.of()));
+        fleet.choice.handle(fleet.now, new ZoneWeightsChanged(Map.of()));
         assertTrue(served(fleet)[0] > 900);
     }
 
@@ -63,7 +63,7 @@
     @ValueSource(ints = {9, 300})
     void whereAllAreLeftNoneIs(int servers) {
         Fleet fleet = fleet(servers);
-        fleet.choice.handle(fleet.now, new Weighed(Map.of("a", 0.0, "b", 0.0, "c", 0.0)));
+        fleet.choice.handle(fleet.now, new ZoneWeightsChanged(Map.of("a", 0.0, "b", 0.0, "c", 0.0)));
         served(fleet);
     }
 
@@ -72,7 +72,7 @@
     @ValueSource(ints = {9, 300})
     void aNewServerOfALeftZoneGetsNothing(int servers) {
         Fleet fleet = fleet(servers);
-        fleet.choice.handle(fleet.now, new Weighed(Map.of("b", 0.0)));
+        fleet.choice.handle(fleet.now, new ZoneWeightsChanged(Map.of("b", 0.0)));
         fleet.list(ListKind.CHANGES, server("s" + (3 * servers + 1), "b", Readiness.READY, 0));
         assertEquals(0, served(fleet)[1]);
     }
@@ -92,9 +92,9 @@
             fleet.host.take();
             fleet.now += MS;
         }
-        fleet.choice.handle(fleet.now, new Weighed(Map.of("a", 0.0)));
+        fleet.choice.handle(fleet.now, new ZoneWeightsChanged(Map.of("a", 0.0)));
         served(fleet);
-        fleet.choice.handle(fleet.now, new Weighed(Map.of("a", 1.0)));
+        fleet.choice.handle(fleet.now, new ZoneWeightsChanged(Map.of("a", 1.0)));
         fleet.now += 10 * MS;
         fleet.fire(Fleet.SWEEP);
         assertTrue(served(fleet)[0] > 500, "its servers are still in doubt");
@@ -107,7 +107,7 @@
         Fleet fleet = new Fleet();
         fleet.now += 100 * SECOND;
         fleet.list(ListKind.CACHED, server("s0", "a", Readiness.READY, 0), server("s1", "a", Readiness.READY, fleet.now));
-        fleet.choice.handle(fleet.now, new Bears(perSecond));
+        fleet.choice.handle(fleet.now, new WarmServerRateReceived(perSecond));
         int cold = 0;
         for (int i = 0; i < 20_000; i++) {
             cold += "s1".equals(fleet.serve(READ, Outcome.SERVED, 5 * MS)) ? 1 : 0;
