--- a/src/main/java/cinderhollow/policy/LearnedState.java
+++ b/src/main/java/cinderhollow/policy/LearnedState.java
@@ -11,7 +11,7 @@
  * @param requestRatePerServer requests per second and server that arrived at this gateway
  */
 public record LearnedState(double pressure, double latencyToBudgetRatio, double requestRatePerServer, List<ServerEntry> servers, List<ClassEntry> classes) {
-    private static final double MOST = 1e6;
+    private static final double MAX_PLAUSIBLE = 1e6;
 
     /** Copies the lists. */
     public LearnedState {
@@ -26,8 +26,8 @@
     public record ServerEntry(String id, long startedAtNanos, double share, double inFlightLimit, double recentRelativeLatency, double failureRate,
                            boolean silent) {
         /** Returns whether the values are in their possible ranges. */
-        public boolean isSane() {
-            return share > 0 && share <= 1 && inFlightLimit > 0 && inFlightLimit <= MOST && recentRelativeLatency > 0 && recentRelativeLatency <= MOST && failureRate >= 0
+        public boolean isValid() {
+            return share > 0 && share <= 1 && inFlightLimit > 0 && inFlightLimit <= MAX_PLAUSIBLE && recentRelativeLatency > 0 && recentRelativeLatency <= MAX_PLAUSIBLE && failureRate >= 0
                     && failureRate <= 1;
         }
     }
@@ -35,14 +35,14 @@
     /** What was learned of a class: its mean latency, the minimum of that mean, and the number of served answers behind them. */
     public record ClassEntry(String name, double meanLatencyNanos, double minMeanLatencyNanos, long servedCount) {
         /** Returns whether the values are possible for a class with this deadline. */
-        public boolean isSane(long deadlineNanos) {
+        public boolean isValid(long deadlineNanos) {
             return meanLatencyNanos > 0 && meanLatencyNanos <= deadlineNanos && minMeanLatencyNanos >= 0 && minMeanLatencyNanos <= deadlineNanos
                     && servedCount > 0;
         }
     }
 
     /** Returns whether the values of the whole gateway are in their possible ranges. */
-    public boolean isSane() {
-        return pressure >= 0 && pressure <= MOST && latencyToBudgetRatio >= 0 && latencyToBudgetRatio <= MOST && requestRatePerServer >= 0 && requestRatePerServer <= MOST;
+    public boolean isValid() {
+        return pressure >= 0 && pressure <= MAX_PLAUSIBLE && latencyToBudgetRatio >= 0 && latencyToBudgetRatio <= MAX_PLAUSIBLE && requestRatePerServer >= 0 && requestRatePerServer <= MAX_PLAUSIBLE;
     }
 }
--- a/src/main/java/cinderhollow/policy/LoadBalancer.java
+++ b/src/main/java/cinderhollow/policy/LoadBalancer.java
@@ -28,120 +28,120 @@
  */
 public final class LoadBalancer {
     /** The paper's learning rate. Its interval is a fifth of the paper's, to tell unlike machines apart within seconds. */
-    private static final double ETA = 0.2;
+    private static final double LEARNING_RATE = 0.2;
     private static final long TICK_NANOS = 1_000_000_000L;
     /** One update at most halves a share; none falls below this part of the equal share, so that updates can raise it again. */
-    private static final double LEAST_FACTOR = 0.5, LEAST_SHARE = 0.05;
+    private static final double MIN_STEP_FACTOR = 0.5, MIN_SHARE_RATIO = 0.05;
     /** Weight, in samples, of the prior of a server's mean latency: latencies deviate by about as much as their mean. */
-    private static final double SHRINK_SAMPLES = 5;
+    private static final double PRIOR_SAMPLES = 5;
     /** Factor by which the weight of samples decays with each tick: about five ticks count, which is the paper's interval. */
-    private static final double KEPT = 0.8;
+    private static final double TICK_DECAY_FACTOR = 0.8;
     /** Weight of the newest sample in a server's recent latency; time constant of its return to 1: a queue lasts for seconds. */
-    private static final double NEWEST = 0.65, QUEUE_NANOS = 8e9;
+    private static final double RECENT_LATENCY_WEIGHT = 0.65, QUEUE_DECAY_NANOS = 8e9;
     /** Greatest relative latency without a queue; exponent of the queue gate's fall beyond it; bound on a single sample. */
-    private static final double NO_QUEUE = 0.5, STEEP = 5, MOST_RECENT = 4;
+    private static final double NO_QUEUE_LATENCY_RATIO = 0.5, QUEUE_GATE_EXPONENT = 5, MAX_RELATIVE_LATENCY = 4;
     /** Fraction of a class's aim that an answer should take. The rest is for holding the request, a retry and long work. */
-    private static final double BUDGET_OF_AIM = 0.2;
+    private static final double BUDGET_AIM_FRACTION = 0.2;
     /** An answer that takes longer than this fraction of the aim is late: before it, a retry still fits into the rest. */
-    private static final double PATIENCE_OF_AIM = 0.5;
+    private static final double LATE_AIM_FRACTION = 0.5;
     /** Fraction of its aim after which an attempt counts as lost if a later one was answered: a retry may still be in time. */
-    private static final double OVERTAKEN_OF_AIM = 0.6;
+    private static final double OVERTAKEN_AIM_FRACTION = 0.6;
     /** Upper bound, as a fraction of the aim, on the estimated time of a request: a fresh one is never taken to miss its aim. */
-    private static final double MOST_OF_AIM = 0.9;
+    private static final double MAX_WORK_AIM_FRACTION = 0.9;
     /** Least in-flight limit of a server over all gateways (a request in work, one on its way, one waiting); initial limit. */
-    private static final double LEAST_IN_FLIGHT = 3, FIRST_IN_FLIGHT = 1;
+    private static final double MIN_IN_FLIGHT = 3, INITIAL_IN_FLIGHT = 1;
     /** Standard deviations above its mean that a Poisson count rarely exceeds. */
-    private static final double CHANCE_DEVIATIONS = 2;
+    private static final double POISSON_DEVIATIONS = 2;
     /** Weight of the newest answer in a server's failure rate: about the last five answers count. */
-    private static final double HEALTH_RATE = 0.2;
+    private static final double HEALTH_SAMPLE_WEIGHT = 0.2;
     /**
      * A server is suspect from the first failure rate on, since two failures among the last five are unlikely to be chance, and
      * fails nearly always from the second on. The rates decay slowly enough to outlast several trials.
      */
-    private static final double FAILING = 0.3, SURE = 0.85, FAILURE_MEMORY_NANOS = 20e9;
+    private static final double SUSPECT_FAILURE_RATE = 0.3, CERTAIN_FAILURE_RATE = 0.85, FAILURE_DECAY_NANOS = 20e9;
     /** Error rate of a class at one server from which on the server is taken as unable to serve that class. */
-    private static final double FAILS_CLASS = 0.5;
+    private static final double FAILING_CLASS_ERROR_RATE = 0.5;
     /** Interval, over all gateways, of the trial requests that a suspect server gets so that its recovery is noticed. */
-    private static final long TRIAL_NANOS = 1_000_000_000L;
+    private static final long TRIAL_INTERVAL_NANOS = 1_000_000_000L;
     /** Fraction of what the rule on cold servers allows that is used. The rest is for other gateways and long work. */
-    private static final double COLD_SAFETY = 0.5;
+    private static final double COLD_SAFETY_FACTOR = 0.5;
     /** Retry budget: tokens that a request adds, and the most it holds. One retry for ten requests prevents a retry storm. */
-    private static final double EXTRA_PER_REQUEST = 0.1, MOST_EXTRA = 10;
+    private static final double RETRY_TOKENS_PER_REQUEST = 0.1, MAX_RETRY_TOKENS = 10;
     /** Change of the pressure by a late answer and by one in time: it is in balance where two answers in five are late. */
-    private static final double LATE_STEP = 0.045, IN_TIME_STEP = 0.03;
+    private static final double LATE_PRESSURE_STEP = 0.045, IN_TIME_PRESSURE_STEP = 0.03;
     /**
      * Pressure from which on requests are shed; below it, pressure only opens the other zones. Minimum pressure of a fleet in one
      * zone, which has no others to open; below 1, so that random variation alone sheds nothing.
      */
-    private static final double ZONES_OPEN = 1, CALM = 0.9;
+    private static final double SHED_START_PRESSURE = 1, ONE_ZONE_MIN_PRESSURE = 0.9;
     /** Minimum fraction of its share that a server of another zone gets, and minimum fraction of requests that is admitted. */
-    private static final double LEAST_CROSSING = 1e-3, LEAST_ADMITTED = 0.05;
+    private static final double MIN_CROSS_ZONE_FRACTION = 1e-3, MIN_ADMITTED_FRACTION = 0.05;
     /** Fraction of the servers' idle timeout for which an idle connection counts as reusable. */
-    private static final double KEPT_PART = 0.6;
+    private static final double REUSABLE_IDLE_FRACTION = 0.6;
     /**
      * Exponent with which the draw weight of servers without a reusable connection falls as traffic gets sparse, and minimum of
      * that gate and of a zone's weight.
      */
-    private static final double THIN = 3, LEAST_FRESH = 1e-6;
+    private static final double NEW_CONNECTION_GATE_EXPONENT = 3, MIN_GATE = 1e-6;
     /** A zone whose weight rises to this value or above counts as returned to service. */
-    private static final double BACK = 0.01;
+    private static final double ZONE_RETURNED_WEIGHT = 0.01;
     /** Maximum number of unsuccessful draws for retries in one dispatch; further retries wait for the next event. */
-    private static final int MOST_PASSED_OVER = 8;
+    private static final int MAX_SKIPPED_RETRIES = 8;
     /** Interval of the checks of held requests and overdue attempts; it is short against any aim. */
-    private static final long SWEEP_NANOS = 10_000_000L;
+    private static final long SWEEP_INTERVAL_NANOS = 10_000_000L;
     /**
      * Up to the first number of servers, a draw scans all of them. In a larger fleet, picks by share are tried first: the second
      * number of them, or the number of servers divided by the third if that is more.
      */
-    private static final int FEW = 64, PICKS = 32, PICKS_PART = 16;
-    private static final double SECOND_NANOS = 1e9;
-    private static final long NEVER = Long.MAX_VALUE / 2;
-    private static final long STEP_TOKEN = 1, SWEEP_TOKEN = 2, ASK_TOKEN = 3;
+    private static final int SMALL_FLEET_SIZE = 64, MIN_PICKS = 32, PICKS_FLEET_DIVISOR = 16;
+    private static final double NANOS_PER_SECOND = 1e9;
+    private static final long NO_DEADLINE_NANOS = Long.MAX_VALUE / 2;
+    private static final long SHARE_UPDATE_TOKEN = 1, SWEEP_TOKEN = 2, SUBSCRIBE_TOKEN = 3;
 
     private Settings settings;
     private Rules rules;
     private final Actions actions;
     private final SplittableRandom random;
-    private final long sweepNanos;
-    private final Map<String, Kind> kinds = new LinkedHashMap<>();
+    private final long sweepIntervalNanos;
+    private final Map<String, ClassState> classStates = new LinkedHashMap<>();
     private final Map<String, Quota> quotas = new HashMap<>();
     private final Map<String, Server> servers = new LinkedHashMap<>();
-    private final List<Server> ready = new ArrayList<>();
+    private final List<Server> readyServers = new ArrayList<>();
     /** Latency samples of this tick by zone and machine type, added up over their servers. */
-    private final Map<String, Pool> alike = new HashMap<>();
-    private final Map<String, Request> open = new LinkedHashMap<>();
+    private final Map<String, LatencySamples> samplesByZoneAndType = new HashMap<>();
+    private final Map<String, Request> openRequests = new LinkedHashMap<>();
     /** Requests without a server, by descending priority; among equals, the one that was held last comes first. */
-    private final TreeSet<Request> held = new TreeSet<>(LoadBalancer::worthier);
-    private Map<String, Double> weights = Map.of();
-    private double total = 1, bears, borne, lateness, warmRate, extra = MOST_EXTRA, pressure, leastPressure, bestValue;
+    private final TreeSet<Request> heldRequests = new TreeSet<>(LoadBalancer::comparePriority);
+    private Map<String, Double> zoneWeights = Map.of();
+    private double limitSum = 1, reportedWarmServerRate, observedWarmServerRate, latencyToBudgetRatio, requestRatePerServer, retryTokens = MAX_RETRY_TOKENS, pressure, minPressure, maxPriority;
     /** Numbers of gateways that share each server and of this gateway's overlapping processes, sharing quotas and budgets. */
-    private int sharers, processes = 1;
-    private int inFlight, inDoubt, arrivals, refusals, servedWarm, failedAsks;
-    private long now, tickStart, endsAt = Long.MAX_VALUE;
+    private int gatewaysPerServer, processes = 1;
+    private int inFlight, suspectCount, arrivals, refusals, servedByWarm, failedListCalls;
+    private long now, tickStart, shutdownDeadline = Long.MAX_VALUE;
     /** Actions of timers that belong to single requests, by timer token. */
-    private final Map<Long, Runnable> due = new HashMap<>();
-    private long lastToken = ASK_TOKEN;
+    private final Map<Long, Runnable> timerTasks = new HashMap<>();
+    private long lastToken = SUBSCRIBE_TOKEN;
     private final Shares shares = new Shares();
     /** Servers in warm-up, whose effective in-flight limits rise with time. */
-    private final Set<Server> warming = new LinkedHashSet<>();
+    private final Set<Server> warmingServers = new LinkedHashSet<>();
     /** Number of servers that draws have examined so far; tests read it. */
-    long looks;
+    long examinedServers;
     /** Servers that have or lately had attempts in flight (large fleets only); servers that are or lately were suspect. */
-    private final Set<Server> busy = new LinkedHashSet<>(), suspects = new LinkedHashSet<>();
+    private final Set<Server> busyServers = new LinkedHashSet<>(), suspects = new LinkedHashSet<>();
     /** Sum of a large fleet's effective in-flight limits as they move; added up anew with the shares to bound rounding errors. */
-    private double limits;
+    private double largeFleetLimitSum;
     /** The same sum as if every server were warm and its zone had the weight 1. */
-    private double warmLimits;
+    private double largeFleetWarmLimitSum;
     /** Sequence number of the request that was held last. */
-    private long turns;
+    private long lastHoldSequence;
     /** Sum of the effective in-flight limits of the servers that the last scan examined. */
-    private double walkedLimits;
+    private double scannedLimitSum;
     /** Servers that ended an attempt since a scan of the whole fleet found no server with room; null without such a scan. */
-    private Set<Server> freed;
-    private final Set<Kind> roomless = new HashSet<>();
+    private Set<Server> freedServers;
+    private final Set<ClassState> classesWithoutRoom = new HashSet<>();
     /** Whether a reusable connection is preferred in this tick; a large fleet's {@link #shares} then keeps such servers apart. */
-    private boolean thin;
-    private boolean started, sweeping;
+    private boolean reusableFirst;
+    private boolean started, sweepScheduled;
 
     /** Creates the module of a gateway that knows its settings only; the server list arrives as an event. */
     public LoadBalancer(Settings settings, long seed, Actions actions) {
@@ -149,38 +149,38 @@
         this.actions = actions;
         rules = settings.rules();
         random = new SplittableRandom(seed);
-        sharers = settings.gateways();
-        sweepNanos = Math.max(settings.timerResolutionNanos(), SWEEP_NANOS);
-        learnClassesAndTenants();
+        gatewaysPerServer = settings.gateways();
+        sweepIntervalNanos = Math.max(settings.timerResolutionNanos(), SWEEP_INTERVAL_NANOS);
+        loadClassesAndTenants();
     }
 
-    private void learnClassesAndTenants() {
+    private void loadClassesAndTenants() {
         for (RequestClass c : settings.classes()) {
-            kinds.put(c.name(), new Kind(c, c.aimNanos() * BUDGET_OF_AIM));
+            classStates.put(c.name(), new ClassState(c, c.aimNanos() * BUDGET_AIM_FRACTION));
         }
         for (Tenant t : settings.tenants()) {
-            double part = t.quotaPerSecond() / settings.gateways();
-            Quota before = quotas.get(t.name());
-            quotas.put(t.name(), new Quota(part, before == null ? new Bucket(part, now) : before.bucket()));
+            double quotaPerGateway = t.quotaPerSecond() / settings.gateways();
+            Quota previous = quotas.get(t.name());
+            quotas.put(t.name(), new Quota(quotaPerGateway, previous == null ? new TokenBucket(quotaPerGateway, now) : previous.bucket()));
         }
     }
 
     /** Applies other settings. Open requests keep their class; what was learned of a class stays, even if its figures change. */
-    private void retune(Settings next) {
-        Map<String, Kind> before = new HashMap<>(kinds);
-        sharers = sharers == settings.gateways() * processes ? next.gateways() * processes : sharers;
+    private void applySettings(Settings next) {
+        Map<String, ClassState> previous = new HashMap<>(classStates);
+        gatewaysPerServer = gatewaysPerServer == settings.gateways() * processes ? next.gateways() * processes : gatewaysPerServer;
         settings = next;
         rules = next.rules();
-        kinds.clear();
+        classStates.clear();
         // A tenant's token bucket is kept: otherwise each reload would fill its quota anew.
         quotas.keySet().retainAll(next.tenants().stream().map(Tenant::name).toList());
-        roomless.clear();
-        learnClassesAndTenants();
-        before.forEach((name, old) -> kinds.computeIfPresent(name, (same, fresh) ->
-                old.spec.equals(fresh.spec) ? old : new Kind(fresh.spec, old)));
+        classesWithoutRoom.clear();
+        loadClassesAndTenants();
+        previous.forEach((name, old) -> classStates.computeIfPresent(name, (same, fresh) ->
+                old.requestClass.equals(fresh.requestClass) ? old : new ClassState(fresh.requestClass, old)));
         for (Server s : servers.values()) {
-            s.retune(kinds);
-            mark(s);
+            s.remapClasses(classStates);
+            updateReusable(s);
         }
     }
 
@@ -194,45 +194,45 @@
             started = true;
             tickStart = now;
             // The first update's phase is random: otherwise all gateways would lower a slow server's share at the same instant.
-            actions.setTimer((long) (TICK_NANOS * (1 - random.nextDouble())), STEP_TOKEN);
+            actions.setTimer((long) (TICK_NANOS * (1 - random.nextDouble())), SHARE_UPDATE_TOKEN);
             if (settings.subscribe()) {
                 actions.subscribe();
             }
         }
         if (event instanceof RequestArrived e) {
-            arrived(e, false);
+            onRequestArrived(e, false);
         } else if (event instanceof RequestHeadArrived e) {
-            arrived(e.request(), true);
-        } else if (event instanceof RequestBodyReceived e && open.containsKey(e.id())) {
-            whole(open.get(e.id()), e.expiresInNanos());
-        } else if (event instanceof RequestNotReplayable e && open.containsKey(e.id())) {
-            open.get(e.id()).mostAttempts = open.get(e.id()).attempts.size();
+            onRequestArrived(e.request(), true);
+        } else if (event instanceof RequestBodyReceived e && openRequests.containsKey(e.id())) {
+            onBodyReceived(openRequests.get(e.id()), e.expiresInNanos());
+        } else if (event instanceof RequestNotReplayable e && openRequests.containsKey(e.id())) {
+            openRequests.get(e.id()).maxAttempts = openRequests.get(e.id()).attempts.size();
         } else if (event instanceof AttemptEnded e) {
-            ended(e);
+            onAttemptEnded(e);
         } else if (event instanceof TimerFired e) {
-            timer(e.token());
+            onTimerFired(e.token());
         } else if (event instanceof ListReceived e) {
-            list(e);
-        } else if (event instanceof ClientLeft e && open.containsKey(e.id())) {
-            conclude(open.get(e.id()));
-        } else if (event instanceof StreamStarted e && open.containsKey(e.id())) {
-            open.get(e.id()).streaming = true;
+            onListReceived(e);
+        } else if (event instanceof ClientLeft e && openRequests.containsKey(e.id())) {
+            conclude(openRequests.get(e.id()));
+        } else if (event instanceof StreamStarted e && openRequests.containsKey(e.id())) {
+            openRequests.get(e.id()).streaming = true;
         } else if (event instanceof ShutdownStarted e) {
-            endsAt = now + e.answerWithinNanos();
+            shutdownDeadline = now + e.answerWithinNanos();
         } else if (event instanceof GatewaysPerServerChanged e) {
-            sharers = Math.max(1, e.gateways()) * processes;
+            gatewaysPerServer = Math.max(1, e.gateways()) * processes;
         } else if (event instanceof ProcessOverlapChanged e) {
-            sharers /= processes;
-            processes = e.begins() ? 2 : 1;
-            sharers *= processes;
-        } else if (event instanceof LearnedStateReceived e && e.memory().isSane()) {
-            recall(e.memory());
+            gatewaysPerServer /= processes;
+            processes = e.overlapping() ? 2 : 1;
+            gatewaysPerServer *= processes;
+        } else if (event instanceof LearnedStateReceived e && e.learnedState().isValid()) {
+            restore(e.learnedState());
         } else if (event instanceof SettingsChanged e) {
-            retune(e.settings());
+            applySettings(e.settings());
         } else if (event instanceof ZoneWeightsChanged e) {
-            weigh(e.byZone());
+            applyZoneWeights(e.weightByZone());
         } else if (event instanceof WarmServerRateReceived e) {
-            bears = e.perSecond();
+            reportedWarmServerRate = e.requestsPerSecond();
         }
     }
 
@@ -240,15 +240,15 @@
      * Applies the weights of zones. Servers of a zone that returns to service are no longer suspect: otherwise each would be
      * tried one request at a time. Their cold budgets start at random: otherwise all gateways would spend saved tokens at once.
      */
-    private void weigh(Map<String, Double> byZone) {
-        weights = byZone;
-        for (Server s : ready) {
-            double before = s.weight;
-            s.weight = weight(s.info.zone());
-            if (before < BACK && s.weight >= BACK) {
+    private void applyZoneWeights(Map<String, Double> weightByZone) {
+        zoneWeights = weightByZone;
+        for (Server s : readyServers) {
+            double before = s.zoneWeight;
+            s.zoneWeight = zoneWeight(s.info.zone());
+            if (before < ZONE_RETURNED_WEIGHT && s.zoneWeight >= ZONE_RETURNED_WEIGHT) {
                 s.silent = false;
-                s.failures.set(0, now);
-                s.cold.tokens = random.nextDouble();
+                s.failureRate.set(0, now);
+                s.coldBucket.tokens = random.nextDouble();
             }
         }
         normalise();
@@ -256,94 +256,94 @@
     }
 
     /** Returns the weight of a zone, which is never 0: where all zones are left, all servers are used as before. */
-    private double weight(String zone) {
-        return Math.max(LEAST_FRESH, weights.getOrDefault(zone, 1.0));
+    private double zoneWeight(String zone) {
+        return Math.max(MIN_GATE, zoneWeights.getOrDefault(zone, 1.0));
     }
 
     /** Returns what the module has learned, for another process of this same gateway. */
     public LearnedState learnedState() {
-        return new LearnedState(pressure, lateness, warmRate(), ready.stream().map(s -> new LearnedState.ServerEntry(s.info.id(),
-                s.info.startedAtNanos(), s.share, s.limit, recent(s), failures(s), s.silent)).toList(),
-                kinds.values().stream().map(k -> new LearnedState.ClassEntry(k.spec.name(), k.latency, k.calmest, k.served)).toList());
+        return new LearnedState(pressure, latencyToBudgetRatio, requestRatePerServer(), readyServers.stream().map(s -> new LearnedState.ServerEntry(s.info.id(),
+                s.info.startedAtNanos(), s.share, s.inFlightLimit, recentRelativeLatency(s), failureRate(s), s.silent)).toList(),
+                classStates.values().stream().map(k -> new LearnedState.ClassEntry(k.requestClass.name(), k.meanLatencyNanos, k.minMeanLatencyNanos, k.servedCount)).toList());
     }
 
     /** Takes over what another process learned, but nothing invalid or of a restarted server: it would misdirect traffic. */
-    private void recall(LearnedState m) {
-        pressure = Math.max(leastPressure, Math.min(1 + ZONES_OPEN - LEAST_ADMITTED, m.pressure()));
-        lateness = m.latencyToBudgetRatio();
-        warmRate = m.requestRatePerServer();
+    private void restore(LearnedState m) {
+        pressure = Math.max(minPressure, Math.min(1 + SHED_START_PRESSURE - MIN_ADMITTED_FRACTION, m.pressure()));
+        latencyToBudgetRatio = m.latencyToBudgetRatio();
+        requestRatePerServer = m.requestRatePerServer();
         for (LearnedState.ServerEntry o : m.servers()) {
             Server s = servers.get(o.id());
-            if (s != null && s.info.startedAtNanos() == o.startedAtNanos() && o.isSane()) {
-                s.recall(o, now);
-                if (doubtful(s)) {
+            if (s != null && s.info.startedAtNanos() == o.startedAtNanos() && o.isValid()) {
+                s.restore(o, now);
+                if (isSuspect(s)) {
                     suspects.add(s);
                 }
             }
         }
         for (LearnedState.ClassEntry o : m.classes()) {
-            Kind k = kinds.get(o.name());
-            if (k != null && o.isSane(k.spec.deadlineNanos())) {
-                k.recall(o);
+            ClassState k = classStates.get(o.name());
+            if (k != null && o.isValid(k.requestClass.deadlineNanos())) {
+                k.restore(o);
             }
         }
         normalise();
     }
 
-    private void timer(long token) {
-        if (token == STEP_TOKEN) {
-            step();
+    private void onTimerFired(long token) {
+        if (token == SHARE_UPDATE_TOKEN) {
+            updateShares();
         } else if (token == SWEEP_TOKEN) {
-            sweeping = false;
+            sweepScheduled = false;
             sweep();
-            sweepLater();
-        } else if (token == ASK_TOKEN) {
+            scheduleSweep();
+        } else if (token == SUBSCRIBE_TOKEN) {
             actions.subscribe();
-        } else if (due.containsKey(token)) {
-            due.remove(token).run();
+        } else if (timerTasks.containsKey(token)) {
+            timerTasks.remove(token).run();
         }
     }
 
-    private void arrived(RequestArrived e, boolean arriving) {
-        Kind kind = kinds.get(e.requestClass());
-        if (kind == null) {
+    private void onRequestArrived(RequestArrived e, boolean receivingBody) {
+        ClassState classState = classStates.get(e.requestClass());
+        if (classState == null) {
             throw new IllegalArgumentException("requestClass: unknown class " + e.requestClass());
         }
         // After shutdown began, a request must be answered before the gateway ends: afterwards nobody could answer it.
-        long deadline = Math.min(now + e.expiresInNanos(), endsAt);
+        long deadline = Math.min(now + e.expiresInNanos(), shutdownDeadline);
         if (e.routePolicy() != null) {
             e.routePolicy().recordRequest(now);
             deadline = Math.min(deadline, now + e.routePolicy().totalTimeoutNanos());
         }
         // A client's retry whose aim passed in its first try is not to be served before fresh requests. It arrives with the rest
         // of its deadline as its timeout, while first tries share one timeout: the difference is the first try's time.
-        long firstAsked = now - kind.shorterBy(e.expiresInNanos());
-        Request r = new Request(e.id(), kind, overShare(e.tenant()), e.routePolicy(), firstAsked, deadline, mostAttempts(e.routePolicy()));
-        if (arriving) {
-            r.arriving = true;
-            r.deadline = NEVER;
+        long firstAskedAt = now - classState.estimateElapsedNanos(e.expiresInNanos());
+        Request r = new Request(e.id(), classState, exceedsQuota(e.tenant()), e.routePolicy(), firstAskedAt, deadline, maxAttempts(e.routePolicy()));
+        if (receivingBody) {
+            r.receivingBody = true;
+            r.deadline = NO_DEADLINE_NANOS;
         }
-        open.put(r.id, r);
+        openRequests.put(r.id, r);
         arrivals++;
-        extra = Math.min(MOST_EXTRA, extra + EXTRA_PER_REQUEST);
-        r.value = value(r);
-        if (shed(r)) {
-            finish(r);
+        retryTokens = Math.min(MAX_RETRY_TOKENS, retryTokens + RETRY_TOKENS_PER_REQUEST);
+        r.priority = priorityOf(r);
+        if (shouldShed(r)) {
+            refuseOrFail(r);
         } else {
-            place(r);
+            holdAndDispatch(r);
         }
-        sweepLater();
+        scheduleSweep();
     }
 
     /** Handles the end of a request's body: its time limits start, and an attempt chosen meanwhile counts as in flight. */
-    private void whole(Request r, long expiresInNanos) {
-        r.arriving = false;
-        r.arrivedAt = now;
-        r.deadline = Math.min(now + expiresInNanos, endsAt);
+    private void onBodyReceived(Request r, long expiresInNanos) {
+        r.receivingBody = false;
+        r.aimStartedAt = now;
+        r.deadline = Math.min(now + expiresInNanos, shutdownDeadline);
         for (Attempt a : List.copyOf(r.attempts)) {
-            if (!a.ended()) {
+            if (!a.hasEnded()) {
                 r.attempts.set(a.number(), new Attempt(r, a.server(), a.number(), now));
-                takeUp(r.attempts.get(a.number()));
+                markInFlight(r.attempts.get(a.number()));
             }
         }
     }
@@ -352,61 +352,61 @@
      * Decides at random whether to shed for overload, least priority first: serving everything would answer nothing in time. The
      * best priority is never shed here but held, and {@link #sweep} refuses what has been held for too long.
      */
-    private boolean shed(Request r) {
-        double rank = bestValue / Math.max(r.value, Double.MIN_NORMAL);
-        double admitted = 1 + ZONES_OPEN - pressure;
-        return admitted < 1 && random.nextDouble() >= Math.pow(admitted, Math.max(0, rank - 1));
+    private boolean shouldShed(Request r) {
+        double priorityRatio = maxPriority / Math.max(r.priority, Double.MIN_NORMAL);
+        double admittedFraction = 1 + SHED_START_PRESSURE - pressure;
+        return admittedFraction < 1 && random.nextDouble() >= Math.pow(admittedFraction, Math.max(0, priorityRatio - 1));
     }
 
     /** Returns the priority: worth (less beyond the tenant's quota or if sure to be late) divided by the class's mean latency. */
-    private double value(Request r) {
-        RequestClass c = r.kind.spec;
-        double part = hopeless(r) ? c.lateWorth() : r.overShare ? settings.overQuotaWorth() : 1;
-        return part * c.worth() / r.kind.latency;
+    private double priorityOf(Request r) {
+        RequestClass c = r.classState.requestClass;
+        double worthFactor = willMissAim(r) ? c.lateWorth() : r.overQuota ? settings.overQuotaWorth() : 1;
+        return worthFactor * c.worth() / r.classState.meanLatencyNanos;
     }
 
     /** Updates the pressure: many answers beyond half their aim mean more load than the servers in use can serve in time. */
-    private void feel(Kind kind, Outcome outcome, long elapsedNanos) {
-        boolean late = outcome != Outcome.SERVED || elapsedNanos > kind.spec.aimNanos() * PATIENCE_OF_AIM;
-        pressure = Math.max(leastPressure, Math.min(1 + ZONES_OPEN - LEAST_ADMITTED,
-                pressure + (late ? LATE_STEP : -IN_TIME_STEP)));
+    private void updatePressure(ClassState classState, Outcome outcome, long elapsedNanos) {
+        boolean late = outcome != Outcome.SERVED || elapsedNanos > classState.requestClass.aimNanos() * LATE_AIM_FRACTION;
+        pressure = Math.max(minPressure, Math.min(1 + SHED_START_PRESSURE - MIN_ADMITTED_FRACTION,
+                pressure + (late ? LATE_PRESSURE_STEP : -IN_TIME_PRESSURE_STEP)));
     }
 
-    private boolean overShare(String tenant) {
+    private boolean exceedsQuota(String tenant) {
         Quota q = quotas.get(tenant);
-        return q != null && !q.bucket().take(now, q.perSecond() / SECOND_NANOS / processes, q.perSecond());
+        return q != null && !q.bucket().tryTake(now, q.perSecond() / NANOS_PER_SECOND / processes, q.perSecond());
     }
 
     /**
      * Compares by descending priority, then by descending hold sequence. It is one plain method because it is called for each
      * step through the held requests, and is not yet compiled after a start.
      */
-    private static int worthier(Request a, Request b) {
-        return a.value != b.value ? Double.compare(b.value, a.value) : Long.compare(b.turn, a.turn);
+    private static int comparePriority(Request a, Request b) {
+        return a.priority != b.priority ? Double.compare(b.priority, a.priority) : Long.compare(b.holdSequence, a.holdSequence);
     }
 
     /** Holds a request and dispatches. One without a server that would expire before the next sweep is answered at once. */
-    private void place(Request r) {
-        r.turn = ++turns;
-        held.add(r);
+    private void holdAndDispatch(Request r) {
+        r.holdSequence = ++lastHoldSequence;
+        heldRequests.add(r);
         dispatch();
-        if (r.outstanding == 0 && !r.concluded && endsBeforeSweep(r)) {
-            finish(r);
+        if (r.outstanding == 0 && !r.concluded && expiresBeforeSweep(r)) {
+            refuseOrFail(r);
         }
     }
 
-    private boolean endsBeforeSweep(Request r) {
-        return now + 2 * sweepNanos >= r.deadline;
+    private boolean expiresBeforeSweep(Request r) {
+        return now + 2 * sweepIntervalNanos >= r.deadline;
     }
 
     /**
      * Returns whether a request would miss its aim even if sent now. The estimate is bounded by a fraction of the aim: otherwise
      * a class whose mean latency once exceeded its aim would be shed for good, as no answer would show it to be fast again.
      */
-    private boolean hopeless(Request r) {
-        double aim = r.kind.spec.aimNanos();
-        double needs = Math.min(aim * MOST_OF_AIM, Math.max(r.kind.latency, aim * PATIENCE_OF_AIM));
-        return now + needs > r.arrivedAt + aim;
+    private boolean willMissAim(Request r) {
+        double aim = r.classState.requestClass.aimNanos();
+        double neededNanos = Math.min(aim * MAX_WORK_AIM_FRACTION, Math.max(r.classState.meanLatencyNanos, aim * LATE_AIM_FRACTION));
+        return now + neededNanos > r.aimStartedAt + aim;
     }
 
     /**
@@ -415,19 +415,19 @@
      * pause, its dedup group) is skipped: otherwise it would block all of lower priority until its deadline beside idle servers.
      */
     private void dispatch() {
-        int passedOver = 0;
-        for (Iterator<Request> worthiestFirst = held.iterator(); worthiestFirst.hasNext();) {
-            Request r = worthiestFirst.next();
+        int skippedRetries = 0;
+        for (Iterator<Request> byPriority = heldRequests.iterator(); byPriority.hasNext();) {
+            Request r = byPriority.next();
             boolean triedBefore = !r.attempts.isEmpty();
-            if (triedBefore && passedOver == MOST_PASSED_OVER) {
+            if (triedBefore && skippedRetries == MAX_SKIPPED_RETRIES) {
                 continue;
             }
             Server s = draw(r);
             if (s != null) {
-                worthiestFirst.remove();
+                byPriority.remove();
                 send(r, s);
-            } else if (triedBefore && !crowded()) {
-                passedOver++;
+            } else if (triedBefore && !isAtLimit()) {
+                skippedRetries++;
             } else {
                 return;
             }
@@ -436,74 +436,74 @@
 
     /** Returns a server drawn at random with the weight share x gates, or null if none may take the request now. */
     Server draw(Request r) {
-        if (ready.size() <= FEW) {
-            Server drawn = walk(r, ready);
-            total = walkedLimits;
-            return crowded() ? null : drawn;
+        if (readyServers.size() <= SMALL_FLEET_SIZE) {
+            Server drawn = drawByScan(r, readyServers);
+            limitSum = scannedLimitSum;
+            return isAtLimit() ? null : drawn;
         }
-        total = limits;
-        if (crowded()) {
+        limitSum = largeFleetLimitSum;
+        if (isAtLimit()) {
             return null;
         }
-        double farGate = farGate();
-        double fresh = freshGate();
-        double ofKept = shares.sum(true, farGate);
-        ofKept /= ofKept + fresh * shares.sum(false, farGate);
+        double otherZoneGate = otherZoneGate();
+        double newConnectionGate = newConnectionGate();
+        double reusableFraction = shares.sum(true, otherZoneGate);
+        reusableFraction /= reusableFraction + newConnectionGate * shares.sum(false, otherZoneGate);
         // No gate is above 1, so accepting a pick by share with a probability equal to its gates draws by share x gates.
-        for (int i = 0; i < Math.max(PICKS, ready.size() / PICKS_PART) && freed == null; i++) {
-            boolean kept = ofKept > 0 && random.nextDouble() < ofKept;
-            Server s = shares.pick(random, kept, farGate);
-            if (s != null && s.ready && random.nextDouble() < gates(r, s, kept && !isKept(s) ? fresh : 1, coldGate(s))
+        for (int i = 0; i < Math.max(MIN_PICKS, readyServers.size() / PICKS_FLEET_DIVISOR) && freedServers == null; i++) {
+            boolean fromReusable = reusableFraction > 0 && random.nextDouble() < reusableFraction;
+            Server s = shares.pick(random, fromReusable, otherZoneGate);
+            if (s != null && s.ready && random.nextDouble() < gateProduct(r, s, fromReusable && !hasReusableConnection(s) ? newConnectionGate : 1, coldGate(s))
                     && maySend(r, s)) {
                 return s;
             }
         }
         // Avoids a full scan for each held request while no server has room: since the last full scan, only servers that have
         // ended an attempt can have room; other changes are noticed at the next sweep.
-        boolean looked = freed != null && roomless.contains(r.kind) && r.attempts.isEmpty();
-        Server drawn = walk(r, looked ? freed : ready);
-        if (drawn == null && !looked && r.attempts.isEmpty()) {
-            freed = freed == null ? new LinkedHashSet<>() : freed;
-            roomless.add(r.kind);
+        boolean onlyFreed = freedServers != null && classesWithoutRoom.contains(r.classState) && r.attempts.isEmpty();
+        Server drawn = drawByScan(r, onlyFreed ? freedServers : readyServers);
+        if (drawn == null && !onlyFreed && r.attempts.isEmpty()) {
+            freedServers = freedServers == null ? new LinkedHashSet<>() : freedServers;
+            classesWithoutRoom.add(r.classState);
         }
         return drawn;
     }
 
     /** Returns the servers that are ready; tests compare both ways to draw with it. */
-    List<Server> ready() {
-        return ready;
+    List<Server> readyServers() {
+        return readyServers;
     }
 
     /** Returns the tokens that are left of a tenant's quota now. */
-    double left(String tenant) {
+    double remainingQuota(String tenant) {
         Quota q = quotas.get(tenant);
-        return q.bucket().refill(now, q.perSecond() / SECOND_NANOS / processes, q.perSecond());
+        return q.bucket().refill(now, q.perSecond() / NANOS_PER_SECOND / processes, q.perSecond());
     }
 
-    Kind kind(String name) {
-        return kinds.get(name);
+    ClassState classState(String name) {
+        return classStates.get(name);
     }
 
     /** Draws from the same distribution as {@link #draw} by examining each candidate. */
-    Server walk(Request r, Collection<Server> among) {
+    Server drawByScan(Request r, Collection<Server> candidates) {
         Server drawn = null;
         double sum = 0;
-        double fresh = freshGate();
-        walkedLimits = 0;
-        for (Server s : among) {
-            double cold = coldGate(s);
-            walkedLimits += s.limit * cold * s.weight;
-            double gates = gates(r, s, zoneGate(s), cold) * (fresh < 1 && !isKept(s) ? fresh : 1);
-            double weight = gates > 0 && maySend(r, s) ? s.share * gates : 0;
+        double newConnectionGate = newConnectionGate();
+        scannedLimitSum = 0;
+        for (Server s : candidates) {
+            double coldGate = coldGate(s);
+            scannedLimitSum += s.inFlightLimit * coldGate * s.zoneWeight;
+            double gateProduct = gateProduct(r, s, zoneGate(s), coldGate) * (newConnectionGate < 1 && !hasReusableConnection(s) ? newConnectionGate : 1);
+            double weight = gateProduct > 0 && maySend(r, s) ? s.share * gateProduct : 0;
             sum += weight;
             drawn = weight > 0 && random.nextDouble() * sum < weight ? s : drawn;
         }
         return drawn;
     }
 
-    private double gates(Request r, Server s, double zoneGate, double cold) {
-        looks++;
-        return s.weight * Math.max(0, roomGate(s, cold)) * queueGate(s) * healthGate(s) * classGate(r.kind, s) * zoneGate * cold
+    private double gateProduct(Request r, Server s, double zoneGate, double coldGate) {
+        examinedServers++;
+        return s.zoneWeight * Math.max(0, roomGate(s, coldGate)) * queueGate(s) * healthGate(s) * classGate(r.classState, s) * zoneGate * coldGate
                 * RetryRules.triedGate(r, s);
     }
 
@@ -514,53 +514,53 @@
      * the connections of many gateways would fill the servers' tables. The other servers are used where the preferred ones are
      * slow, failing or gone. It could do harm where gateways are few and unlike: each would crowd its own servers.
      */
-    private double freshGate() {
-        return Math.max(LEAST_FRESH, Math.min(1, Math.pow(warmRate() * TICK_NANOS / SECOND_NANOS, THIN)));
+    private double newConnectionGate() {
+        return Math.max(MIN_GATE, Math.min(1, Math.pow(requestRatePerServer() * TICK_NANOS / NANOS_PER_SECOND, NEW_CONNECTION_GATE_EXPONENT)));
     }
 
-    private boolean isKept(Server s) {
-        return s.inFlight == 0 && s.answeredAt > 0 && now - s.answeredAt < settings.upstreamOptions().idleNanos() * KEPT_PART;
+    private boolean hasReusableConnection(Server s) {
+        return s.inFlight == 0 && s.lastAnswerAt > 0 && now - s.lastAnswerAt < settings.upstreamOptions().idleTimeoutNanos() * REUSABLE_IDLE_FRACTION;
     }
 
     /** Returns if attempts in flight reach the limit sum plus a margin for chance: one gateway's part varies relatively more. */
-    private boolean crowded() {
-        double chance = CHANCE_DEVIATIONS * Math.sqrt(total) * (1 - 1.0 / sharers);
-        return inFlight > 0 && inFlight >= total + chance;
+    private boolean isAtLimit() {
+        double chanceMargin = POISSON_DEVIATIONS * Math.sqrt(limitSum) * (1 - 1.0 / gatewaysPerServer);
+        return inFlight > 0 && inFlight >= limitSum + chanceMargin;
     }
 
     /** Updates a server's contribution to the limit sums of a large fleet. */
-    private void count(Server s) {
-        double counted = s.limit * coldGate(s) * s.weight;
-        limits += counted - s.counted;
-        warmLimits += s.limit - s.countedWarm;
-        s.counted = counted;
-        s.countedWarm = s.limit;
+    private void updateLimitSums(Server s) {
+        double effectiveLimit = s.inFlightLimit * coldGate(s) * s.zoneWeight;
+        largeFleetLimitSum += effectiveLimit - s.countedLimit;
+        largeFleetWarmLimitSum += s.inFlightLimit - s.countedWarmLimit;
+        s.countedLimit = effectiveLimit;
+        s.countedWarmLimit = s.inFlightLimit;
     }
 
     /** Recomputes what depends on time (a large fleet's limits in warm-up) and lets the next draw scan the whole fleet again. */
-    private void survey() {
-        freed = null;
-        roomless.clear();
-        warming.forEach(this::count);
-        warming.removeIf(s -> coldGate(s) >= 1);
+    private void refreshCapacity() {
+        freedServers = null;
+        classesWithoutRoom.clear();
+        warmingServers.forEach(this::updateLimitSums);
+        warmingServers.removeIf(s -> coldGate(s) >= 1);
     }
 
     /** Returns the zone's gate: low for others while the own answers most requests within half their aim: nothing to gain. */
     private double zoneGate(Server s) {
-        return near(s) ? 1 : farGate();
+        return isInOwnZone(s) ? 1 : otherZoneGate();
     }
 
-    private double farGate() {
-        return Math.max(1 - weight(settings.zone()), Math.max(LEAST_CROSSING, Math.min(1, pressure)));
+    private double otherZoneGate() {
+        return Math.max(1 - zoneWeight(settings.zone()), Math.max(MIN_CROSS_ZONE_FRACTION, Math.min(1, pressure)));
     }
 
-    private boolean near(Server s) {
+    private boolean isInOwnZone(Server s) {
         return s.info.zone().equals(settings.zone());
     }
 
-    /** Returns a gate that falls to 0 at the server's limit of attempts in flight, set by {@link #adapt}: none is overloaded. */
-    private double roomGate(Server s, double cold) {
-        return Math.min(1, s.inFlight == 0 ? s.limit * ready.size() / total : s.limit * cold - s.inFlight);
+    /** Returns a gate that falls to 0 at the server's limit of attempts in flight, set by {@link #adjustLimit}: none is overloaded. */
+    private double roomGate(Server s, double coldGate) {
+        return Math.min(1, s.inFlight == 0 ? s.inFlightLimit * readyServers.size() / limitSum : s.inFlightLimit * coldGate - s.inFlight);
     }
 
     /**
@@ -569,7 +569,7 @@
      * load is mostly what others sent; but a queue lasts for many requests: the last answer predicts the next.
      */
     private double queueGate(Server s) {
-        return Math.pow(Math.max(1, recent(s) + 1 - NO_QUEUE), -STEEP);
+        return Math.pow(Math.max(1, recentRelativeLatency(s) + 1 - NO_QUEUE_LATENCY_RATIO), -QUEUE_GATE_EXPONENT);
     }
 
     /** Returns a gate that rises with the capacity of a just started server, at its slowest warm-up, to avoid overload. */
@@ -583,7 +583,7 @@
      * zone), only those that fail nearly always stay excluded; where all are suspect, none is.
      */
     private double healthGate(Server s) {
-        return now >= s.trialAt || serves(s) || !doubtful(s) ? 1 : 0;
+        return now >= s.nextTrialAt || isUsedWhenMostSuspect(s) || !isSuspect(s) ? 1 : 0;
     }
 
     /**
@@ -591,102 +591,102 @@
      * broken, its release can't do it, or a store behind it is gone. Only errors count: they are explicit; slowness and overload
      * have other causes. It could do harm where the few that still serve it can't bear all; where none does, all are tried.
      */
-    private double classGate(Kind kind, Server s) {
-        ClassHealth h = s.classes.get(kind);
-        return h == null || now >= h.trialAt || kind.failsEverywhere || !fails(s, kind) ? 1 : 0;
+    private double classGate(ClassState classState, Server s) {
+        ClassHealth h = s.healthByClass.get(classState);
+        return h == null || now >= h.nextTrialAt || classState.failsEverywhere || !failsClass(s, classState) ? 1 : 0;
     }
 
-    private double errors(ClassHealth h) {
-        return h.errors.at(now, FAILURE_MEMORY_NANOS);
+    private double errorRate(ClassHealth h) {
+        return h.errorRate.valueAt(now, FAILURE_DECAY_NANOS);
     }
 
     /** Returns whether a server fails this class but not all of them; {@link #healthGate} covers one that fails all. */
-    private boolean fails(Server s, Kind kind) {
-        ClassHealth h = s.classes.get(kind);
-        return h != null && errors(h) >= FAILS_CLASS && s.classes.values().stream().anyMatch(o -> errors(o) < FAILING);
+    private boolean failsClass(Server s, ClassState classState) {
+        ClassHealth h = s.healthByClass.get(classState);
+        return h != null && errorRate(h) >= FAILING_CLASS_ERROR_RATE && s.healthByClass.values().stream().anyMatch(o -> errorRate(o) < SUSPECT_FAILURE_RATE);
     }
 
     /** Returns how many servers are in use now. Ready servers that it does not count are avoided as suspect. */
     public int usableServerCount() {
-        return (int) ready.stream().filter(s -> serves(s) || !doubtful(s)).count();
+        return (int) readyServers.stream().filter(s -> isUsedWhenMostSuspect(s) || !isSuspect(s)).count();
     }
 
-    private boolean serves(Server s) {
-        return 2 * inDoubt > ready.size() && (inDoubt == ready.size() || failures(s) < SURE);
+    private boolean isUsedWhenMostSuspect(Server s) {
+        return 2 * suspectCount > readyServers.size() && (suspectCount == readyServers.size() || failureRate(s) < CERTAIN_FAILURE_RATE);
     }
 
-    private boolean doubtful(Server s) {
-        return s.silent || failures(s) >= FAILING;
+    private boolean isSuspect(Server s) {
+        return s.silent || failureRate(s) >= SUSPECT_FAILURE_RATE;
     }
 
     /** Returns whether a request may go to a server now. Every send is checked: drains, retries, effects, the cold budget. */
     private boolean maySend(Request r, Server s) {
         if (!s.ready || r.concluded || r.streaming || now >= r.deadline
-                || r.attempts.size() >= r.mostAttempts || r.outstanding > (r.copying ? 1 : 0) || coldBudget(s) < 1) {
+                || r.attempts.size() >= r.maxAttempts || r.outstanding > (r.hedging ? 1 : 0) || coldBudget(s) < 1) {
             return false;
         }
         // A hedge is not sent to a cold server: its budget is small, and another server already works on the request.
-        if (r.copying && coldGate(s) < 1) {
+        if (r.hedging && coldGate(s) < 1) {
             return false;
         }
-        return RetryRules.mayHave(r, s, now);
+        return RetryRules.maySendTo(r, s, now);
     }
 
-    private int mostAttempts(RoutePolicy course) {
-        int most = Math.min(settings.upstreamOptions().maxAttempts(), Long.SIZE - 1);
-        return course == null ? most : Math.min(most, course.maxAttempts());
+    private int maxAttempts(RoutePolicy course) {
+        int allowedAttempts = Math.min(settings.upstreamOptions().maxAttempts(), Long.SIZE - 1);
+        return course == null ? allowedAttempts : Math.min(allowedAttempts, course.maxAttempts());
     }
 
     /** Returns how many requests may go to a cold server now, from the rate that a warm server was seen to bear. */
     private double coldBudget(Server s) {
-        double gate = coldGate(s);
-        if (gate >= 1) {
+        double coldGate = coldGate(s);
+        if (coldGate >= 1) {
             return 1;
         }
-        double ofWarm = bears > 0 ? bears : borne > 0 ? borne : warmRate();
-        double perNano = COLD_SAFETY * rules.overloadFactor() * gate * ofWarm / SECOND_NANOS / processes;
-        return s.cold.refill(now, perNano, Math.max(1, perNano * rules.overloadForNanos() / 2));
+        double warmServerRate = reportedWarmServerRate > 0 ? reportedWarmServerRate : observedWarmServerRate > 0 ? observedWarmServerRate : requestRatePerServer();
+        double perNano = COLD_SAFETY_FACTOR * rules.overloadFactor() * coldGate * warmServerRate / NANOS_PER_SECOND / processes;
+        return s.coldBucket.refill(now, perNano, Math.max(1, perNano * rules.overloadWindowNanos() / 2));
     }
 
-    private double warmRate() {
-        double seconds = Math.max(1, (now - tickStart) / SECOND_NANOS);
-        return Math.max(warmRate, arrivals / (seconds * Math.max(1, ready.size())));
+    private double requestRatePerServer() {
+        double seconds = Math.max(1, (now - tickStart) / NANOS_PER_SECOND);
+        return Math.max(requestRatePerServer, arrivals / (seconds * Math.max(1, readyServers.size())));
     }
 
     private void send(Request r, Server s) {
         Attempt a = new Attempt(r, s, r.attempts.size(), now);
         r.attempts.add(a);
         r.outstanding++;
-        if (!r.arriving) {
-            takeUp(a);
+        if (!r.receivingBody) {
+            markInFlight(a);
         }
-        s.cold.tokens--;
-        s.trialAt = now + (long) Math.min(FAILURE_MEMORY_NANOS, TRIAL_NANOS * sharers);
-        if (s.classes.containsKey(r.kind)) {
-            s.classes.get(r.kind).trialAt = s.trialAt;
+        s.coldBucket.tokens--;
+        s.nextTrialAt = now + (long) Math.min(FAILURE_DECAY_NANOS, TRIAL_INTERVAL_NANOS * gatewaysPerServer);
+        if (s.healthByClass.containsKey(r.classState)) {
+            s.healthByClass.get(r.classState).nextTrialAt = s.nextTrialAt;
         }
-        long left = Math.min(r.deadline - now, r.course == null ? Long.MAX_VALUE : r.course.attemptTimeoutNanos());
-        actions.send(r.id, s.info.id(), left, r.repeatableFor(now));
-        long after = r.course == null ? 0 : r.course.hedgeDelayNanos();
-        if (after > 0 && !r.copying && r.kind.spec.effect() != Effect.UNSAFE) {
-            later(after, r, () -> copy(r));
+        long timeoutNanos = Math.min(r.deadline - now, r.routePolicy == null ? Long.MAX_VALUE : r.routePolicy.attemptTimeoutNanos());
+        actions.send(r.id, s.info.id(), timeoutNanos, r.startWithinNanos(now));
+        long hedgeDelayNanos = r.routePolicy == null ? 0 : r.routePolicy.hedgeDelayNanos();
+        if (hedgeDelayNanos > 0 && !r.hedging && r.classState.requestClass.effect() != Effect.UNSAFE) {
+            schedule(hedgeDelayNanos, r, () -> hedge(r));
         }
     }
 
     /** Counts an attempt as in flight at its server. */
-    private void takeUp(Attempt a) {
-        a.server().waiting.add(a);
-        if (a.server().slot >= 0) {
-            busy.add(a.server());
+    private void markInFlight(Attempt a) {
+        a.server().awaitedAttempts.add(a);
+        if (a.server().leafIndex >= 0) {
+            busyServers.add(a.server());
         }
         a.server().inFlight++;
         inFlight++;
-        mark(a.server());
+        updateReusable(a.server());
     }
 
     /** Runs the action for the request after a delay, unless the request is concluded by then. */
-    private void later(long nanos, Request r, Runnable work) {
-        due.put(++lastToken, () -> {
+    private void schedule(long nanos, Request r, Runnable work) {
+        timerTasks.put(++lastToken, () -> {
             if (!r.concluded) {
                 work.run();
             }
@@ -695,44 +695,44 @@
     }
 
     /** Sends a slow request's hedge to a warm, untried server with room, unless the first attempt ended or time is too short. */
-    private void copy(Request r) {
-        if (r.outstanding != 1 || r.streaming || now + r.kind.latency > r.deadline) {
+    private void hedge(Request r) {
+        if (r.outstanding != 1 || r.streaming || now + r.classState.meanLatencyNanos > r.deadline) {
             return;
         }
-        r.copying = true;
+        r.hedging = true;
         Server s = draw(r);
-        if (s != null && r.course.tryWithdrawHedge(now)) {
+        if (s != null && r.routePolicy.tryWithdrawHedge(now)) {
             send(r, s);
         }
-        r.copying = false;
+        r.hedging = false;
     }
 
-    private void ended(AttemptEnded e) {
-        Request r = open.get(e.id());
+    private void onAttemptEnded(AttemptEnded e) {
+        Request r = openRequests.get(e.id());
         Attempt a = r == null || e.attempt() >= r.attempts.size() ? null : r.attempts.get(e.attempt());
-        if (a == null || a.ended()) {
+        if (a == null || a.hasEnded()) {
             return;
         }
-        r.ended |= 1L << a.number();
-        r.neverRan |= (e.outcome().provesItNeverRan() ? 1L : 0) << a.number();
-        boolean unreached = e.outcome() == Outcome.CONNECT_FAILED || e.outcome() == Outcome.NOT_SENT;
-        r.neverReached |= (unreached ? 1L : 0) << a.number();
+        r.endedMask |= 1L << a.number();
+        r.neverRanMask |= (e.outcome().provesItNeverRan() ? 1L : 0) << a.number();
+        boolean neverReached = e.outcome() == Outcome.CONNECT_FAILED || e.outcome() == Outcome.NOT_SENT;
+        r.neverReachedMask |= (neverReached ? 1L : 0) << a.number();
         r.outstanding--;
-        if (!r.arriving && (r.lost >> a.number() & 1) == 0) {
+        if (!r.receivingBody && (r.lostMask >> a.number() & 1) == 0) {
             a.server().inFlight--;
             inFlight--;
         }
-        if (freed != null) {
-            freed.add(a.server());
+        if (freedServers != null) {
+            freedServers.add(a.server());
         }
         if (e.outcome() != Outcome.NOT_SENT) {
-            learn(a, e.outcome(), e.elapsedNanos());
+            recordOutcome(a, e.outcome(), e.elapsedNanos());
         }
-        mark(a.server());
+        updateReusable(a.server());
         if (e.concluded() || r.concluded) {
             conclude(r);
         } else if (r.outstanding == 0) {
-            tryAgain(r, e.outcome());
+            retry(r, e.outcome());
         }
         dispatch();
     }
@@ -741,38 +741,38 @@
      * Retries a request after an attempt ended, or answers it. A retry that may repeat work costs a token of the retry budget.
      * {@link #maySend} decides where it may go.
      */
-    private void tryAgain(Request r, Outcome outcome) {
-        double cost = outcome.provesItNeverRan() ? 0 : 1;
-        boolean may = r.kind.spec.effect() != Effect.UNSAFE || r.firstThatMayRun() == null;
-        boolean left = r.attempts.size() < r.mostAttempts && now < r.deadline && !RetryRules.isExhausted(r, ready, now);
-        if (r.course != null) {
-            tryAgainOnItsCourse(r, outcome, may && left);
-        } else if (may && left && extra >= cost) {
-            extra -= cost;
-            place(r);
+    private void retry(Request r, Outcome outcome) {
+        double tokenCost = outcome.provesItNeverRan() ? 0 : 1;
+        boolean effectAllows = r.classState.requestClass.effect() != Effect.UNSAFE || r.firstThatMayRun() == null;
+        boolean attemptsLeft = r.attempts.size() < r.maxAttempts && now < r.deadline && !RetryRules.isExhausted(r, readyServers, now);
+        if (r.routePolicy != null) {
+            retryByRoutePolicy(r, outcome, effectAllows && attemptsLeft);
+        } else if (effectAllows && attemptsLeft && retryTokens >= tokenCost) {
+            retryTokens -= tokenCost;
+            holdAndDispatch(r);
         } else {
-            finish(r);
+            refuseOrFail(r);
         }
     }
 
     /** Retries within the route policy's limits after a jittered backoff; if that outlasts the deadline, answers at once. */
-    private void tryAgainOnItsCourse(Request r, Outcome outcome, boolean may) {
-        long most = r.course.backoffNanos(r.attempts.size());
-        long wait = most == 0 ? 0 : (long) (most * (1 + random.nextDouble()) / 2);
-        if (!may || now + wait + 2 * sweepNanos >= r.deadline || !r.course.tryWithdrawRetry(outcome, now)) {
-            finish(r);
-        } else if (wait == 0) {
-            place(r);
+    private void retryByRoutePolicy(Request r, Outcome outcome, boolean allowed) {
+        long maxBackoffNanos = r.routePolicy.backoffNanos(r.attempts.size());
+        long backoffNanos = maxBackoffNanos == 0 ? 0 : (long) (maxBackoffNanos * (1 + random.nextDouble()) / 2);
+        if (!allowed || now + backoffNanos + 2 * sweepIntervalNanos >= r.deadline || !r.routePolicy.tryWithdrawRetry(outcome, now)) {
+            refuseOrFail(r);
+        } else if (backoffNanos == 0) {
+            holdAndDispatch(r);
         } else {
-            later(wait, r, () -> place(r));
+            schedule(backoffNanos, r, () -> holdAndDispatch(r));
         }
     }
 
-    private void finish(Request r) {
+    private void refuseOrFail(Request r) {
         if (RetryRules.mayRefuse(r)) {
             refusals++;
             // Without a route policy, no advice to wait: shedding is random, so an immediate retry may be admitted.
-            actions.refuse(r.id, r.course == null ? 0 : r.course.retryAfterNanos());
+            actions.refuse(r.id, r.routePolicy == null ? 0 : r.routePolicy.retryAfterNanos());
         } else {
             actions.fail(r.id);
         }
@@ -782,61 +782,61 @@
     /** Marks a request as concluded and cancels its attempts in flight, once; removes it when no attempt is in flight. */
     private void conclude(Request r) {
         for (Attempt a : r.attempts) {
-            if (!r.concluded && !a.ended() && (r.kind.spec.effect() != Effect.SAFE || (r.lost >> a.number() & 1) == 0)
-                    && settings.upstreamOptions().cancel() && !r.streaming) {
+            if (!r.concluded && !a.hasEnded() && (r.classState.requestClass.effect() != Effect.SAFE || (r.lostMask >> a.number() & 1) == 0)
+                    && settings.upstreamOptions().mayCancel() && !r.streaming) {
                 actions.cancel(r.id, a.number());
             }
         }
         r.concluded = true;
-        held.remove(r);
+        heldRequests.remove(r);
         if (r.outstanding == 0) {
-            open.remove(r.id);
+            openRequests.remove(r.id);
         }
     }
 
-    private void learn(Attempt a, Outcome outcome, long elapsedNanos) {
+    private void recordOutcome(Attempt a, Outcome outcome, long elapsedNanos) {
         Server s = a.server();
-        Kind kind = a.request().kind;
+        ClassState classState = a.request().classState;
         boolean served = outcome == Outcome.SERVED;
-        servedWarm += served && coldGate(s) >= 1 ? 1 : 0;
-        if (a.request().course != null) {
+        servedByWarm += served && coldGate(s) >= 1 ? 1 : 0;
+        if (a.request().routePolicy != null) {
             if (served) {
-                a.request().course.recordServed(elapsedNanos);
+                a.request().routePolicy.recordServed(elapsedNanos);
             }
             // A short attempt timeout or early cancelled hedge is no fast answer or bad server: it only proves a longer latency.
-            boolean givenUp = outcome == Outcome.TIMED_OUT || outcome == Outcome.CANCELLED;
-            if (givenUp && elapsedNanos < Math.max(kind.latency, kind.spec.aimNanos() * PATIENCE_OF_AIM)) {
-                if (elapsedNanos > kind.latency) {
-                    hear(s, kind, outcome, elapsedNanos);
+            boolean cutShort = outcome == Outcome.TIMED_OUT || outcome == Outcome.CANCELLED;
+            if (cutShort && elapsedNanos < Math.max(classState.meanLatencyNanos, classState.requestClass.aimNanos() * LATE_AIM_FRACTION)) {
+                if (elapsedNanos > classState.meanLatencyNanos) {
+                    recordLatency(s, classState, outcome, elapsedNanos);
                 }
                 return;
             }
         }
         // Relative to the class's mean: otherwise a server that got more long or short requests would pass for slow or fast.
-        hear(s, kind, outcome, elapsedNanos);
+        recordLatency(s, classState, outcome, elapsedNanos);
         if (served) {
-            kind.took(elapsedNanos);
+            classState.recordLatency(elapsedNanos);
         }
         if (served || outcome == Outcome.ERROR || outcome == Outcome.FULL) {
-            s.answeredAt = now;
-            s.answeredSentAt = Math.max(s.answeredSentAt, a.sentAt());
+            s.lastAnswerAt = now;
+            s.newestAnsweredSentAt = Math.max(s.newestAnsweredSentAt, a.sentAt());
             s.silent = false;
         }
         if (outcome != Outcome.CANCELLED && outcome != Outcome.FULL) {
-            if (s.failures.add(served ? 0 : 1, HEALTH_RATE, now, FAILURE_MEMORY_NANOS) >= FAILING) {
+            if (s.failureRate.add(served ? 0 : 1, HEALTH_SAMPLE_WEIGHT, now, FAILURE_DECAY_NANOS) >= SUSPECT_FAILURE_RATE) {
                 suspects.add(s);
             }
         }
         if (served || outcome == Outcome.ERROR) {
-            ClassHealth h = s.classes.computeIfAbsent(kind, k -> new ClassHealth());
-            if (h.errors.add(served ? 0 : 1, HEALTH_RATE, now, FAILURE_MEMORY_NANOS) >= FAILS_CLASS) {
-                kind.failing.add(s);
+            ClassHealth h = s.healthByClass.computeIfAbsent(classState, k -> new ClassHealth());
+            if (h.errorRate.add(served ? 0 : 1, HEALTH_SAMPLE_WEIGHT, now, FAILURE_DECAY_NANOS) >= FAILING_CLASS_ERROR_RATE) {
+                classState.failingServers.add(s);
             }
         }
         if (served || outcome == Outcome.FULL || outcome == Outcome.TIMED_OUT
                 || outcome == Outcome.CANCELLED) {
-            feel(kind, outcome, elapsedNanos);
-            adapt(s, outcome == Outcome.FULL ? 2 : elapsedNanos / budget(kind));
+            updatePressure(classState, outcome, elapsedNanos);
+            adjustLimit(s, outcome == Outcome.FULL ? 2 : elapsedNanos / latencyBudgetNanos(classState));
         }
     }
 
@@ -844,108 +844,108 @@
      * Records an attempt's latency relative to its class's mean, which is 1 ns at least: decaying samples never lose the result
      * of a division by 0. For the queue gate, an error or a full server is no fast answer: it would pass for one without a queue.
      */
-    private void hear(Server s, Kind kind, Outcome outcome, long elapsedNanos) {
-        double latency = elapsedNanos / Math.max(1, kind.latency);
-        s.tick.add(latency, 1);
-        s.heard = true;
-        double before = recent(s);
-        double told = Math.min(MOST_RECENT, outcome == Outcome.FULL ? MOST_RECENT
-                : outcome == Outcome.SERVED ? latency : Math.max(before, latency));
-        s.recent.add(told, NEWEST, now, QUEUE_NANOS);
+    private void recordLatency(Server s, ClassState classState, Outcome outcome, long elapsedNanos) {
+        double relativeLatency = elapsedNanos / Math.max(1, classState.meanLatencyNanos);
+        s.latencySamples.add(relativeLatency, 1);
+        s.sampledThisTick = true;
+        double before = recentRelativeLatency(s);
+        double sample = Math.min(MAX_RELATIVE_LATENCY, outcome == Outcome.FULL ? MAX_RELATIVE_LATENCY
+                : outcome == Outcome.SERVED ? relativeLatency : Math.max(before, relativeLatency));
+        s.recentRelativeLatency.add(sample, RECENT_LATENCY_WEIGHT, now, QUEUE_DECAY_NANOS);
     }
 
     /** Returns a server's last latencies relative to the usual one; with age the value returns to 1. */
-    private double recent(Server s) {
-        return s.recent.at(now, QUEUE_NANOS);
+    private double recentRelativeLatency(Server s) {
+        return s.recentRelativeLatency.valueAt(now, QUEUE_DECAY_NANOS);
     }
 
     /**
      * Returns the time that an answer of the class should take. It is not below the minimum mean latency of the class, up to
      * half the aim, so that an aim that is short for the work does not keep the limits at their minimum.
      */
-    private static double budget(Kind kind) {
-        double aim = kind.spec.aimNanos();
-        return Math.max(aim * BUDGET_OF_AIM, Math.min(aim * PATIENCE_OF_AIM, kind.calmest));
+    private static double latencyBudgetNanos(ClassState classState) {
+        double aim = classState.requestClass.aimNanos();
+        return Math.max(aim * BUDGET_AIM_FRACTION, Math.min(aim * LATE_AIM_FRACTION, classState.minMeanLatencyNanos));
     }
 
-    private double failures(Server s) {
-        return s.failures.at(now, FAILURE_MEMORY_NANOS);
+    private double failureRate(Server s) {
+        return s.failureRate.valueAt(now, FAILURE_DECAY_NANOS);
     }
 
     /**
      * Adjusts a server's in-flight limit by latency / budget; where its answers are rare, mostly by the fleet's. It rises only
      * while it is used and the gateway is at its limit: risen unused in calm times, it would overload the rest if a zone is lost.
      */
-    private void adapt(Server s, double late) {
-        s.lateness += HEALTH_RATE * (late - s.lateness);
-        lateness += HEALTH_RATE / 4 * (late - lateness);
-        double own = Math.min(1, s.limit);
-        double seen = own * s.lateness + (1 - own) * lateness;
-        if (seen > 1) {
-            double lower = s.limit - own * Math.min(1, seen - 1) / 2;
-            s.limit = Math.max(LEAST_IN_FLIGHT / sharers, lower);
-        } else if (s.inFlight + 1 >= s.limit - 1 && inFlight + 1 >= total) {
-            s.limit += own / Math.max(1, s.limit);
+    private void adjustLimit(Server s, double sampleRatio) {
+        s.latencyToBudgetRatio += HEALTH_SAMPLE_WEIGHT * (sampleRatio - s.latencyToBudgetRatio);
+        latencyToBudgetRatio += HEALTH_SAMPLE_WEIGHT / 4 * (sampleRatio - latencyToBudgetRatio);
+        double ownWeight = Math.min(1, s.inFlightLimit);
+        double blendedRatio = ownWeight * s.latencyToBudgetRatio + (1 - ownWeight) * latencyToBudgetRatio;
+        if (blendedRatio > 1) {
+            double loweredLimit = s.inFlightLimit - ownWeight * Math.min(1, blendedRatio - 1) / 2;
+            s.inFlightLimit = Math.max(MIN_IN_FLIGHT / gatewaysPerServer, loweredLimit);
+        } else if (s.inFlight + 1 >= s.inFlightLimit - 1 && inFlight + 1 >= limitSum) {
+            s.inFlightLimit += ownWeight / Math.max(1, s.inFlightLimit);
         }
-        if (s.slot >= 0) {
-            count(s);
+        if (s.leafIndex >= 0) {
+            updateLimitSums(s);
         }
     }
 
-    private void sweepLater() {
-        if (!sweeping && !open.isEmpty()) {
-            sweeping = true;
-            actions.setTimer(sweepNanos, SWEEP_TOKEN);
+    private void scheduleSweep() {
+        if (!sweepScheduled && !openRequests.isEmpty()) {
+            sweepScheduled = true;
+            actions.setTimer(sweepIntervalNanos, SWEEP_TOKEN);
         }
     }
 
     private void sweep() {
-        survey();
-        (ready.size() <= FEW ? ready : List.copyOf(busy)).forEach(this::listen);
-        busy.removeIf(s -> !s.ready || s.waiting.isEmpty());
-        bestValue = kinds.values().stream().mapToDouble(k -> k.spec.worth() / k.latency).max().orElse(0);
-        suspects.removeIf(s -> !s.ready || !doubtful(s));
-        inDoubt = suspects.size();
-        for (Kind k : kinds.values()) {
+        refreshCapacity();
+        (readyServers.size() <= SMALL_FLEET_SIZE ? readyServers : List.copyOf(busyServers)).forEach(this::checkOverdueAttempts);
+        busyServers.removeIf(s -> !s.ready || s.awaitedAttempts.isEmpty());
+        maxPriority = classStates.values().stream().mapToDouble(k -> k.requestClass.worth() / k.meanLatencyNanos).max().orElse(0);
+        suspects.removeIf(s -> !s.ready || !isSuspect(s));
+        suspectCount = suspects.size();
+        for (ClassState k : classStates.values()) {
             // All servers can only fail a class if each is among those that failed it at some time.
-            k.failsEverywhere = k.failing.size() >= ready.size() && ready.stream().allMatch(s -> fails(s, k));
+            k.failsEverywhere = k.failingServers.size() >= readyServers.size() && readyServers.stream().allMatch(s -> failsClass(s, k));
         }
-        if (held.isEmpty()) {
+        if (heldRequests.isEmpty()) {
             return;
         }
-        List<Request> waiting = new ArrayList<>(held);
-        waiting.sort((a, b) -> Long.compare(a.turn, b.turn));
-        held.clear();
-        for (Request r : waiting) {
-            r.value = value(r);
-            if (endsBeforeSweep(r) || hopeless(r) && r.kind.spec.lateWorth() == 0 || RetryRules.isExhausted(r, ready, now)) {
-                finish(r);
+        List<Request> oldestFirst = new ArrayList<>(heldRequests);
+        oldestFirst.sort((a, b) -> Long.compare(a.holdSequence, b.holdSequence));
+        heldRequests.clear();
+        for (Request r : oldestFirst) {
+            r.priority = priorityOf(r);
+            if (expiresBeforeSweep(r) || willMissAim(r) && r.classState.requestClass.lateWorth() == 0 || RetryRules.isExhausted(r, readyServers, now)) {
+                refuseOrFail(r);
             } else {
-                held.add(r);
+                heldRequests.add(r);
             }
         }
         dispatch();
     }
 
     /** Marks a server as silent when attempts are overdue and none was answered since they were sent, before they time out. */
-    private void listen(Server s) {
+    private void checkOverdueAttempts(Server s) {
         int overdue = 0;
-        double slowness = Math.max(1, lateness);
-        for (Iterator<Attempt> i = s.waiting.iterator(); i.hasNext();) {
+        double slowdown = Math.max(1, latencyToBudgetRatio);
+        for (Iterator<Attempt> i = s.awaitedAttempts.iterator(); i.hasNext();) {
             Attempt a = i.next();
-            if (a.ended()) {
+            if (a.hasEnded()) {
                 i.remove();
                 continue;
             }
-            double outOfAim = (now - a.sentAt()) / (slowness * a.request().kind.spec.aimNanos());
-            if (outOfAim > OVERTAKEN_OF_AIM && a.sentAt() < s.answeredSentAt) {
+            double aimFraction = (now - a.sentAt()) / (slowdown * a.request().classState.requestClass.aimNanos());
+            if (aimFraction > OVERTAKEN_AIM_FRACTION && a.sentAt() < s.newestAnsweredSentAt) {
                 i.remove();
-                lose(a);
-            } else if (outOfAim > PATIENCE_OF_AIM && a.sentAt() >= s.answeredAt) {
+                markLost(a);
+            } else if (aimFraction > LATE_AIM_FRACTION && a.sentAt() >= s.lastAnswerAt) {
                 overdue++;
             }
         }
-        if (overdue >= (rare() ? 1 : 2) && !s.silent) {
+        if (overdue >= (isTrafficSparse() ? 1 : 2) && !s.silent) {
             s.silent = true;
             suspects.add(s);
             actions.log("server " + s.info.id() + " is silent: no answer to " + overdue + " overdue attempts, now suspect");
@@ -958,151 +958,151 @@
      * server. An attempt of a safe request is cancelled and retried. It could do harm where work differs so much that long
      * requests are overtaken as a rule: they would run twice, within the retry budget.
      */
-    private void lose(Attempt a) {
+    private void markLost(Attempt a) {
         Request r = a.request();
-        r.lost |= 1L << a.number();
+        r.lostMask |= 1L << a.number();
         a.server().inFlight--;
         inFlight--;
-        mark(a.server());
-        if (r.kind.spec.effect() == Effect.SAFE && settings.upstreamOptions().cancel() && !r.concluded && !r.streaming) {
+        updateReusable(a.server());
+        if (r.classState.requestClass.effect() == Effect.SAFE && settings.upstreamOptions().mayCancel() && !r.concluded && !r.streaming) {
             actions.cancel(r.id, a.number());
         }
     }
 
     /** Returns whether this gateway sends a server less than one request a tick, and so seldom has two in flight at one. */
-    private boolean rare() {
-        return warmRate() * TICK_NANOS < SECOND_NANOS;
+    private boolean isTrafficSparse() {
+        return requestRatePerServer() * TICK_NANOS < NANOS_PER_SECOND;
     }
 
     /** Updates shares each tick. Algorithm 1: D_j *= 1 + eta F_j |l_mean - l_j| / l_mean, F_j |l_mean - l_j| = l_mean - l_j. */
-    private void step() {
-        actions.setTimer(TICK_NANOS, STEP_TOKEN); // Set first, so that a fault below does not end all updates.
-        alike.values().forEach(Pool::clear);
-        Pool fleet = new Pool();
-        for (Server s : ready) {
-            s.like.add(s.tick.sum, s.tick.samples);
-            fleet.add(s.tick.sum, s.tick.samples);
+    private void updateShares() {
+        actions.setTimer(TICK_NANOS, SHARE_UPDATE_TOKEN); // Set first, so that a fault below does not end all updates.
+        samplesByZoneAndType.values().forEach(LatencySamples::clear);
+        LatencySamples fleetSamples = new LatencySamples();
+        for (Server s : readyServers) {
+            s.similarSamples.add(s.latencySamples.sum, s.latencySamples.sampleCount);
+            fleetSamples.add(s.latencySamples.sum, s.latencySamples.sampleCount);
         }
         // With too few samples for a mean of its own, a server without a sample moves as similar servers do.
-        boolean few = fleet.samples < SHRINK_SAMPLES * ready.size();
-        double mean = 0;
-        int counted = 0;
-        for (Server s : ready) {
-            s.sampled = s.heard || few && s.like.samples > 0;
-            s.heard = false;
+        boolean tooFewSamples = fleetSamples.sampleCount < PRIOR_SAMPLES * readyServers.size();
+        double meanLatency = 0;
+        int sampledServers = 0;
+        for (Server s : readyServers) {
+            s.sampled = s.sampledThisTick || tooFewSamples && s.similarSamples.sampleCount > 0;
+            s.sampledThisTick = false;
             if (s.sampled) {
-                s.latency = s.tick.mixed(s.like.mixed(fleet.mean(), SHRINK_SAMPLES), SHRINK_SAMPLES);
-                mean += s.latency;
-                counted++;
+                s.relativeLatency = s.latencySamples.shrunkMean(s.similarSamples.shrunkMean(fleetSamples.mean(), PRIOR_SAMPLES), PRIOR_SAMPLES);
+                meanLatency += s.relativeLatency;
+                sampledServers++;
             }
-            s.tick.fade(KEPT);
+            s.latencySamples.decay(TICK_DECAY_FACTOR);
         }
-        mean /= Math.max(1, counted);
-        for (Server s : ready) {
-            if (s.sampled && mean > 0) {
-                s.share *= Math.max(LEAST_FACTOR, 1 + ETA * (mean - s.latency) / mean);
+        meanLatency /= Math.max(1, sampledServers);
+        for (Server s : readyServers) {
+            if (s.sampled && meanLatency > 0) {
+                s.share *= Math.max(MIN_STEP_FACTOR, 1 + LEARNING_RATE * (meanLatency - s.relativeLatency) / meanLatency);
             }
         }
         if (refusals > 0) {
             actions.log("refused " + refusals + " requests in this tick, " + arrivals + " arrived");
         }
-        warmRate = Math.max(warmRate * 0.95, warmRate());
+        requestRatePerServer = Math.max(requestRatePerServer * 0.95, requestRatePerServer());
         // Per warm server only: where most are lost, the load of the rest is not what one bears, and would overload cold ones.
-        long warm = ready.stream().filter(s -> coldGate(s) >= 1).count();
-        borne = Math.max(borne * 0.95, servedWarm / Math.max(1.0, warm));
-        arrivals = refusals = servedWarm = 0;
+        long warmServers = readyServers.stream().filter(s -> coldGate(s) >= 1).count();
+        observedWarmServerRate = Math.max(observedWarmServerRate * 0.95, servedByWarm / Math.max(1.0, warmServers));
+        arrivals = refusals = servedByWarm = 0;
         tickStart = now;
         normalise();
     }
 
     private void normalise() {
-        double sum = ready.stream().mapToDouble(s -> s.share).sum();
-        for (Server s : ready) {
-            s.share = sum > 0 ? Math.max(s.share / sum, LEAST_SHARE / ready.size()) : 1.0 / ready.size();
-        }
-        warming.clear();
-        busy.clear();
-        limits = 0;
-        warmLimits = 0;
-        for (int i = 0; i < ready.size(); i++) {
-            Server s = ready.get(i);
-            s.place = i;
-            s.slot = -1;
-            s.counted = 0;
-            s.countedWarm = 0;
-            if (ready.size() > FEW) {
-                s.near = near(s);
-                enter(s);
+        double sum = readyServers.stream().mapToDouble(s -> s.share).sum();
+        for (Server s : readyServers) {
+            s.share = sum > 0 ? Math.max(s.share / sum, MIN_SHARE_RATIO / readyServers.size()) : 1.0 / readyServers.size();
+        }
+        warmingServers.clear();
+        busyServers.clear();
+        largeFleetLimitSum = 0;
+        largeFleetWarmLimitSum = 0;
+        for (int i = 0; i < readyServers.size(); i++) {
+            Server s = readyServers.get(i);
+            s.readyIndex = i;
+            s.leafIndex = -1;
+            s.countedLimit = 0;
+            s.countedWarmLimit = 0;
+            if (readyServers.size() > SMALL_FLEET_SIZE) {
+                s.inOwnZone = isInOwnZone(s);
+                addToSums(s);
             }
         }
-        shares.build(ready.size() > FEW ? ready : List.of());
-        thin = freshGate() < 1;
-        ready.forEach(this::mark);
-        survey();
+        shares.build(readyServers.size() > SMALL_FLEET_SIZE ? readyServers : List.of());
+        reusableFirst = newConnectionGate() < 1;
+        readyServers.forEach(this::updateReusable);
+        refreshCapacity();
     }
 
     /** Updates in {@link #shares} if a server's connection is reusable; called when attempts in flight or last answer change. */
-    private void mark(Server s) {
-        if (s.slot >= 0) {
-            shares.keep(s, thin && isKept(s));
+    private void updateReusable(Server s) {
+        if (s.leafIndex >= 0) {
+            shares.setReusable(s, reusableFirst && hasReusableConnection(s));
         }
     }
 
     /** Adds a ready server to the sums that draws over a large fleet use. */
-    private void enter(Server s) {
-        count(s);
+    private void addToSums(Server s) {
+        updateLimitSums(s);
         if (coldGate(s) < 1) {
-            warming.add(s);
+            warmingServers.add(s);
         }
-        if (!s.waiting.isEmpty()) {
-            busy.add(s);
+        if (!s.awaitedAttempts.isEmpty()) {
+            busyServers.add(s);
         }
     }
 
     /** Removes a server from the sums that draws over a large fleet use. */
-    private void leave(Server s) {
+    private void removeFromSums(Server s) {
         shares.remove(s);
-        limits -= s.counted;
-        warmLimits -= s.countedWarm;
-        s.counted = 0;
-        s.countedWarm = 0;
-        warming.remove(s);
+        largeFleetLimitSum -= s.countedLimit;
+        largeFleetWarmLimitSum -= s.countedWarmLimit;
+        s.countedLimit = 0;
+        s.countedWarmLimit = 0;
+        warmingServers.remove(s);
     }
 
-    private void list(ListReceived e) {
-        failedAsks = e.kind() == ListKind.FAILED ? failedAsks + 1 : 0;
+    private void onListReceived(ListReceived e) {
+        failedListCalls = e.kind() == ListKind.FAILED ? failedListCalls + 1 : 0;
         if (e.kind() == ListKind.FAILED) {
             // Retries a failed list call with backoff and jitter, early enough for the time within which the rules require a
             // new call. Where lists are pushed, an agent of the gateway's own answers, and the backoff does not grow.
-            double backoff = SECOND_NANOS / 5 * (settings.subscribe() ? 1 << Math.min(failedAsks, 8) : 1);
-            double wait = Math.min(rules.askWithinNanos() / 2.0, backoff);
-            actions.setTimer((long) (wait * (1 + random.nextDouble()) / 2), ASK_TOKEN);
+            double backoff = NANOS_PER_SECOND / 5 * (settings.subscribe() ? 1 << Math.min(failedListCalls, 8) : 1);
+            double maxDelayNanos = Math.min(rules.discoveryRetryWithinNanos() / 2.0, backoff);
+            actions.setTimer((long) (maxDelayNanos * (1 + random.nextDouble()) / 2), SUBSCRIBE_TOKEN);
             return;
         }
-        if (e.kind() == ListKind.CHANGES && ready.size() - e.servers().size() > FEW) {
-            change(e.servers());
+        if (e.kind() == ListKind.CHANGES && readyServers.size() - e.servers().size() > SMALL_FLEET_SIZE) {
+            applyChanges(e.servers());
         } else {
-            replace(e);
+            rebuildFromList(e);
         }
         dispatch();
-        sweepLater();
+        scheduleSweep();
     }
 
-    private void replace(ListReceived e) {
+    private void rebuildFromList(ListReceived e) {
         if (e.kind() != ListKind.CHANGES) {
             servers.values().forEach(s -> s.ready = false);
         }
-        double mean = ready.stream().mapToDouble(s -> s.share).average().orElse(1);
+        double meanShare = readyServers.stream().mapToDouble(s -> s.share).average().orElse(1);
         // New servers get the average limit: with the initial one, replacing all servers in turn would hold back all traffic.
-        double first = Math.max(FIRST_IN_FLIGHT / sharers,
-                ready.stream().mapToDouble(s -> s.limit).average().orElse(0));
-        e.servers().forEach(info -> update(info, mean, first));
+        double initialLimit = Math.max(INITIAL_IN_FLIGHT / gatewaysPerServer,
+                readyServers.stream().mapToDouble(s -> s.inFlightLimit).average().orElse(0));
+        e.servers().forEach(info -> updateServer(info, meanShare, initialLimit));
         // Servers that are no longer ready are removed, so that memory does not grow with each machine that was ever listed.
         servers.values().removeIf(s -> !s.ready);
-        kinds.values().forEach(k -> k.failing.removeIf(s -> !s.ready));
-        ready.clear();
-        ready.addAll(servers.values());
-        leastPressure = ready.stream().allMatch(this::near) ? CALM : 0;
+        classStates.values().forEach(k -> k.failingServers.removeIf(s -> !s.ready));
+        readyServers.clear();
+        readyServers.addAll(servers.values());
+        minPressure = readyServers.stream().allMatch(this::isInOwnZone) ? ONE_ZONE_MIN_PRESSURE : 0;
         normalise();
     }
 
@@ -1110,53 +1110,53 @@
      * Applies a few changes to a large fleet in time that depends on their number only. The shares add up to 1 and respect their
      * minimum again from the next update on; a draw needs neither.
      */
-    private void change(List<ServerInfo> changes) {
-        double mean = (shares.sum(true, 1) + shares.sum(false, 1)) / ready.size();
-        double first = Math.max(FIRST_IN_FLIGHT / sharers, warmLimits / ready.size());
+    private void applyChanges(List<ServerInfo> changes) {
+        double meanShare = (shares.sum(true, 1) + shares.sum(false, 1)) / readyServers.size();
+        double initialLimit = Math.max(INITIAL_IN_FLIGHT / gatewaysPerServer, largeFleetWarmLimitSum / readyServers.size());
         for (ServerInfo info : changes) {
             Server old = servers.get(info.id());
             if (old != null) {
-                Server last = ready.remove(ready.size() - 1);
+                Server last = readyServers.remove(readyServers.size() - 1);
                 if (last != old) {
-                    ready.set(old.place, last);
-                    last.place = old.place;
+                    readyServers.set(old.readyIndex, last);
+                    last.readyIndex = old.readyIndex;
                 }
-                leave(old);
+                removeFromSums(old);
             }
-            Server s = update(info, mean, first);
+            Server s = updateServer(info, meanShare, initialLimit);
             if (s.ready) {
-                s.place = ready.size();
-                ready.add(s);
-                s.near = near(s);
+                s.readyIndex = readyServers.size();
+                readyServers.add(s);
+                s.inOwnZone = isInOwnZone(s);
                 shares.add(s);
-                enter(s);
-                mark(s);
-                if (freed != null) {
-                    freed.add(s);
+                addToSums(s);
+                updateReusable(s);
+                if (freedServers != null) {
+                    freedServers.add(s);
                 }
             } else {
                 servers.remove(info.id());
             }
             if (old != null && !old.ready) {
-                kinds.values().forEach(k -> k.failing.remove(old));
+                classStates.values().forEach(k -> k.failingServers.remove(old));
             }
         }
-        leastPressure = shares.allNear() ? CALM : 0;
+        minPressure = shares.areAllInOwnZone() ? ONE_ZONE_MIN_PRESSURE : 0;
     }
 
     /** Creates or updates the server of a list entry. A restarted server starts without any learned state. */
-    private Server update(ServerInfo info, double share, double limit) {
+    private Server updateServer(ServerInfo info, double share, double inFlightLimit) {
         Server s = servers.get(info.id());
         if (s == null || s.info.startedAtNanos() != info.startedAtNanos()) {
             if (s != null) {
                 s.ready = false;
             }
-            s = new Server(new Bucket(random.nextDouble(), now), share, limit);
+            s = new Server(new TokenBucket(random.nextDouble(), now), share, inFlightLimit);
             servers.put(info.id(), s);
         }
         s.info = info;
-        s.weight = weight(info.zone());
-        s.like = alike.computeIfAbsent(info.zone() + ' ' + info.machineType(), k -> new Pool());
+        s.zoneWeight = zoneWeight(info.zone());
+        s.similarSamples = samplesByZoneAndType.computeIfAbsent(info.zone() + ' ' + info.machineType(), k -> new LatencySamples());
         s.ready = info.readiness() == Readiness.READY;
         return s;
     }
--- a/src/main/java/cinderhollow/policy/Protocol.java
+++ b/src/main/java/cinderhollow/policy/Protocol.java
@@ -70,12 +70,12 @@
      * What a gateway may do with attempts: how many a request may have, whether they can be cancelled, and the idle time after
      * which servers close a connection.
      */
-    record UpstreamOptions(int maxAttempts, boolean cancel, long idleNanos) {
-        private static final long USUAL_IDLE_NANOS = 15_000_000_000L;
+    record UpstreamOptions(int maxAttempts, boolean mayCancel, long idleTimeoutNanos) {
+        private static final long DEFAULT_IDLE_TIMEOUT_NANOS = 15_000_000_000L;
 
         /** Creates options with the default idle timeout. */
-        public UpstreamOptions(int maxAttempts, boolean cancel) {
-            this(maxAttempts, cancel, USUAL_IDLE_NANOS);
+        public UpstreamOptions(int maxAttempts, boolean mayCancel) {
+            this(maxAttempts, mayCancel, DEFAULT_IDLE_TIMEOUT_NANOS);
         }
     }
 
@@ -85,21 +85,21 @@
      *
      * @param answerSlackNanos how long after its deadline a request may still be answered
      * @param drainGraceNanos how long after a server was first listed as not ready sends to it are tolerated
-     * @param askWithinNanos the time after a failed list call within which the next must follow
-     * @param coldFrom the fraction of its capacity that a server has at its start
+     * @param discoveryRetryWithinNanos the time after a failed list call within which the next must follow
+     * @param coldCapacityFraction the fraction of its capacity that a server has at its start
      * @param warmUpNanos the time from its start until a server has its full capacity
      * @param overloadFactor the multiple of its capacity that a cold server may get
-     * @param overloadForNanos the length of the window over which that is measured
+     * @param overloadWindowNanos the length of the window over which that is measured
      */
-    record Rules(long answerSlackNanos, long drainGraceNanos, long askWithinNanos, double coldFrom,
-                 long warmUpNanos, double overloadFactor, long overloadForNanos) {
+    record Rules(long answerSlackNanos, long drainGraceNanos, long discoveryRetryWithinNanos, double coldCapacityFraction,
+                 long warmUpNanos, double overloadFactor, long overloadWindowNanos) {
         /**
          * Returns the fraction of its capacity that a server with this start time has at least, where a start time of 0 means
          * long ago. It rises linearly over the warm-up.
          */
         public double capacityFraction(long startedAtNanos, long now) {
             long age = now - startedAtNanos;
-            return startedAtNanos == 0 || age >= warmUpNanos ? 1 : coldFrom + (1 - coldFrom) * Math.max(0, age) / warmUpNanos;
+            return startedAtNanos == 0 || age >= warmUpNanos ? 1 : coldCapacityFraction + (1 - coldCapacityFraction) * Math.max(0, age) / warmUpNanos;
         }
     }
 
@@ -129,11 +129,11 @@
             }
             require(timerResolutionNanos > 0, "resolutionNanos", timerResolutionNanos);
             require(upstreamOptions.maxAttempts() >= 1, "maxAttempts", upstreamOptions.maxAttempts());
-            require(rules.coldFrom() > 0 && rules.coldFrom() <= 1, "coldFrom", rules.coldFrom());
+            require(rules.coldCapacityFraction() > 0 && rules.coldCapacityFraction() <= 1, "coldFrom", rules.coldCapacityFraction());
             require(rules.warmUpNanos() >= 0, "warmUpNanos", rules.warmUpNanos());
             require(rules.drainGraceNanos() >= 0, "drainGraceNanos", rules.drainGraceNanos());
             require(rules.overloadFactor() > 0, "overloadFactor", rules.overloadFactor());
-            require(rules.overloadForNanos() > 0, "overloadForNanos", rules.overloadForNanos());
+            require(rules.overloadWindowNanos() > 0, "overloadForNanos", rules.overloadWindowNanos());
         }
 
         private static void require(boolean holds, String field, Object value) {
@@ -249,28 +249,28 @@
     record SettingsChanged(Settings settings) implements Event { }
 
     /** The state that another process of this same gateway learned earlier was received. */
-    record LearnedStateReceived(LearnedState memory) implements Event { }
+    record LearnedStateReceived(LearnedState learnedState) implements Event { }
 
     /**
      * Another process of this same gateway began or stopped serving beside this one. Rules and limits treat both as one gateway,
      * so each gets a part of the trials, of tenants' quotas and of what may go to cold servers.
      */
-    record ProcessOverlapChanged(boolean begins) implements Event { }
+    record ProcessOverlapChanged(boolean overlapping) implements Event { }
 
     /**
      * The weights of zones changed: the fraction of its usual load that each zone gets from now on, 0 to 1. Zones that are not
      * named have the weight 1. The servers of a zone that returns to service are no longer suspect, since the cause was their
      * zone.
      */
-    record ZoneWeightsChanged(Map<String, Double> byZone) implements Event {
+    record ZoneWeightsChanged(Map<String, Double> weightByZone) implements Event {
         /** Copies the map. */
         public ZoneWeightsChanged {
-            byZone = Map.copyOf(byZone);
+            weightByZone = Map.copyOf(weightByZone);
         }
     }
 
     /** The requests per second of this gateway that a warm server bears, as observed by the fleet; 0 if unknown. */
-    record WarmServerRateReceived(double perSecond) implements Event { }
+    record WarmServerRateReceived(double requestsPerSecond) implements Event { }
 
     /** A timer that the module set has fired. */
     record TimerFired(long token) implements Event { }
@@ -291,7 +291,7 @@
          * {@code startWithinNanos}; after that time nothing may be sent, and the attempt ends as not sent. A host whose sends
          * take no time can ignore the condition.
          */
-        default void send(String request, String server, long timeoutNanos, long withinNanos) {
+        default void send(String request, String server, long timeoutNanos, long startWithinNanos) {
             send(request, server, timeoutNanos);
         }
 
@@ -299,7 +299,7 @@
          * Refuses the request as its final answer: it was not served, and a retry is harmless, preferably after the pause (0: no
          * advice).
          */
-        void refuse(String request, long pauseNanos);
+        void refuse(String request, long retryAfterNanos);
 
         /** Fails the request as its final answer: it may have run. */
         void fail(String request);
--- a/src/main/java/cinderhollow/policy/RetryRules.java
+++ b/src/main/java/cinderhollow/policy/RetryRules.java
@@ -14,15 +14,15 @@
  */
 final class RetryRules {
     /** Pause before a server is retried to which no connection could be opened; doubled with each such attempt. */
-    private static final long RETRY_PAUSE_NANOS = 20_000_000L;
+    private static final long RECONNECT_PAUSE_NANOS = 20_000_000L;
     /** Gate of a server that had the request already: it is drawn only if no other server may have it. */
-    private static final double LEAST_AGAIN = 1e-9;
+    private static final double TRIED_SERVER_GATE = 1e-9;
 
     private RetryRules() { }
 
     /** Returns whether the request may be sent to the server now, given its class's effect and its earlier attempts. */
-    static boolean mayHave(Request r, Server s, long now) {
-        return effectAllows(r, s, now) && mayTry(r, s, now);
+    static boolean maySendTo(Request r, Server s, long now) {
+        return effectAllows(r, s, now) && mayRetryServer(r, s, now);
     }
 
     /**
@@ -31,34 +31,34 @@
      * ever tried twice, a moment without sockets would use up all servers of a small fleet, and the request would be held until
      * half of its aim is over and then refused. A server that has turned the request away is not asked again.
      */
-    private static boolean mayTry(Request r, Server s, long now) {
-        int before = 0;
-        long newest = 0;
+    private static boolean mayRetryServer(Request r, Server s, long now) {
+        int earlierAttempts = 0;
+        long newestSentAt = 0;
         for (int i = 0; i < r.attempts.size(); i++) {
             Attempt a = r.attempts.get(i);
             if (a.server() == s) {
                 if (!a.neverReached()) {
                     return false;
                 }
-                before++;
-                newest = a.sentAt();
+                earlierAttempts++;
+                newestSentAt = a.sentAt();
             }
         }
-        return before == 0 || now - newest >= RETRY_PAUSE_NANOS << before - 1;
+        return earlierAttempts == 0 || now - newestSentAt >= RECONNECT_PAUSE_NANOS << earlierAttempts - 1;
     }
 
     /**
      * Returns whether no server may ever take the request: each has failed it or turned it away, or is excluded by its effect.
      * Such a request would be held for nothing, and its client would learn only at half of its aim that it should ask elsewhere.
      */
-    static boolean isExhausted(Request r, List<Server> ready, long now) {
-        return !r.attempts.isEmpty() && !ready.isEmpty() && ready.stream().noneMatch(s -> effectAllows(r, s, now)
+    static boolean isExhausted(Request r, List<Server> readyServers, long now) {
+        return !r.attempts.isEmpty() && !readyServers.isEmpty() && readyServers.stream().noneMatch(s -> effectAllows(r, s, now)
                 && r.attempts.stream().allMatch(a -> a.server() != s || a.neverReached()));
     }
 
     /** Returns the gate that keeps a server from being retried while another has not been tried. */
     static double triedGate(Request r, Server s) {
-        return !r.attempts.isEmpty() && r.attempts.stream().anyMatch(a -> a.server() == s) ? LEAST_AGAIN : 1;
+        return !r.attempts.isEmpty() && r.attempts.stream().anyMatch(a -> a.server() == s) ? TRIED_SERVER_GATE : 1;
     }
 
     /**
@@ -66,13 +66,13 @@
      * it as a repeat, within the dedup window and group of the first attempt that may have run.
      */
     private static boolean effectAllows(Request r, Server s, long now) {
-        RequestClass c = r.kind.spec;
+        RequestClass c = r.classState.requestClass;
         Attempt first = r.firstThatMayRun();
         if (c.effect() == Effect.SAFE || first == null) {
             return true;
         }
-        boolean dropped = c.effect() == Effect.KEYED && now - first.sentAt() < c.dedupWindowNanos();
-        return dropped && switch (c.dedupGroup()) {
+        boolean repeatIsDropped = c.effect() == Effect.KEYED && now - first.sentAt() < c.dedupWindowNanos();
+        return repeatIsDropped && switch (c.dedupGroup()) {
             case ALL -> true;
             case ZONE -> s.info.zone().equals(first.server().info.zone());
             case CELL -> s.info.cell() == first.server().info.cell();
@@ -84,7 +84,7 @@
      * that a retry is harmless.
      */
     static boolean mayRefuse(Request r) {
-        RequestClass c = r.kind.spec;
+        RequestClass c = r.classState.requestClass;
         return c.effect() == Effect.SAFE || r.firstThatMayRun() == null
                 || c.effect() == Effect.KEYED && c.dedupGroup() == DedupGroup.ALL;
     }
--- a/src/main/java/cinderhollow/policy/SettingsReader.java
+++ b/src/main/java/cinderhollow/policy/SettingsReader.java
@@ -28,7 +28,7 @@
     public Settings read() {
         return new Settings((int) number("group_size"), (int) number("my_number"), text("zone", ""),
                 text("discovery").equals("subscribe"), number("resolution_ns"), classes(), tenants(),
-                decimal("over_share_worth", 1), allowed(), rules());
+                decimal("over_share_worth", 1), upstreamOptions(), rules());
     }
 
     /**
@@ -49,16 +49,16 @@
         List<RequestClass> classes = new ArrayList<>();
         long count = number("grades.count");
         for (int i = 0; i < count; i++) {
-            String at = "grades." + i + ".";
-            classes.add(new RequestClass(text(at + "name"), effect(at), group(at),
-                    number(at + "window_ns", 0), number(at + "aim_ns"), number(at + "deadline_ns"),
-                    decimal(at + "value", 1), decimal(at + "late_worth", 0), flag(at + "stream", false)));
+            String prefix = "grades." + i + ".";
+            classes.add(new RequestClass(text(prefix + "name"), effect(prefix), dedupGroup(prefix),
+                    number(prefix + "window_ns", 0), number(prefix + "aim_ns"), number(prefix + "deadline_ns"),
+                    decimal(prefix + "value", 1), decimal(prefix + "late_worth", 0), flag(prefix + "stream", false)));
         }
         return classes;
     }
 
-    private Effect effect(String at) {
-        String value = text(at + "semantics");
+    private Effect effect(String prefix) {
+        String value = text(prefix + "semantics");
         return switch (value) {
             case "safe" -> Effect.SAFE;
             case "keyed" -> Effect.KEYED;
@@ -67,8 +67,8 @@
         };
     }
 
-    private DedupGroup group(String at) {
-        String value = text(at + "dedup_scope", "all");
+    private DedupGroup dedupGroup(String prefix) {
+        String value = text(prefix + "dedup_scope", "all");
         return switch (value) {
             case "all" -> DedupGroup.ALL;
             case "zone" -> DedupGroup.ZONE;
@@ -87,9 +87,9 @@
         return tenants;
     }
 
-    private UpstreamOptions allowed() {
-        UpstreamOptions usual = new UpstreamOptions((int) number("allowed.max_attempts", 1), flag("allowed.may_cancel", false));
-        return new UpstreamOptions(usual.maxAttempts(), usual.cancel(), number("allowed.conn_idle_ns", usual.idleNanos()));
+    private UpstreamOptions upstreamOptions() {
+        UpstreamOptions defaults = new UpstreamOptions((int) number("allowed.max_attempts", 1), flag("allowed.may_cancel", false));
+        return new UpstreamOptions(defaults.maxAttempts(), defaults.mayCancel(), number("allowed.conn_idle_ns", defaults.idleTimeoutNanos()));
     }
 
     private Rules rules() {
@@ -107,27 +107,27 @@
         return value;
     }
 
-    private String text(String name, String absent) {
-        return values.getOrDefault(name, absent);
+    private String text(String name, String defaultValue) {
+        return values.getOrDefault(name, defaultValue);
     }
 
     /** Returns the whole number under a key, or the default value if the key is missing. */
-    public long number(String name, long absent) {
-        return values.containsKey(name) ? number(name) : absent;
+    public long number(String name, long defaultValue) {
+        return values.containsKey(name) ? number(name) : defaultValue;
     }
 
-    private double decimal(String name, double absent) {
+    private double decimal(String name, double defaultValue) {
         String value = values.get(name);
         try {
-            return value == null ? absent : Double.parseDouble(value);
+            return value == null ? defaultValue : Double.parseDouble(value);
         } catch (NumberFormatException e) {
             throw new IllegalArgumentException(name + " is not a number: '" + value + "'", e);
         }
     }
 
     /** Returns whether a flag is set ("true" or "1"), or the default value if the key is missing. */
-    public boolean flag(String name, boolean absent) {
-        String value = text(name, absent ? "true" : "false");
+    public boolean flag(String name, boolean defaultValue) {
+        String value = text(name, defaultValue ? "true" : "false");
         return value.equals("true") || value.equals("1");
     }
 }
--- a/src/main/java/cinderhollow/policy/Shares.java
+++ b/src/main/java/cinderhollow/policy/Shares.java
@@ -12,13 +12,13 @@
  * apart from the rest.
  */
 final class Shares {
-    private final List<Side> sides = List.of(new Side(), new Side(), new Side(), new Side());
+    private final List<SumTree> trees = List.of(new SumTree(), new SumTree(), new SumTree(), new SumTree());
 
     /** A complete binary tree in one array: each node is the sum of its two children, the leaves are the shares. */
-    private static final class Side {
-        private static final int FIRST_LEAVES = 64;
-        private Server[] servers = new Server[FIRST_LEAVES];
-        private double[] sums = new double[2 * FIRST_LEAVES];
+    private static final class SumTree {
+        private static final int INITIAL_LEAVES = 64;
+        private Server[] servers = new Server[INITIAL_LEAVES];
+        private double[] sums = new double[2 * INITIAL_LEAVES];
         private int size;
 
         void clear() {
@@ -34,14 +34,14 @@
                 servers = Arrays.copyOf(servers, 2 * size);
                 sums = new double[4 * size];
                 System.arraycopy(leaves, 0, sums, 2 * size, size);
-                sumUp();
+                rebuildSums();
             }
-            s.slot = size++;
-            servers[s.slot] = s;
-            sums[servers.length + s.slot] = s.share;
+            s.leafIndex = size++;
+            servers[s.leafIndex] = s;
+            sums[servers.length + s.leafIndex] = s.share;
         }
 
-        void sumUp() {
+        void rebuildSums() {
             for (int i = servers.length - 1; i > 0; i--) {
                 sums[i] = sums[2 * i] + sums[2 * i + 1];
             }
@@ -50,17 +50,17 @@
         /** Removes a server; the last leaf moves into its place. */
         void remove(Server s) {
             Server last = servers[--size];
-            servers[s.slot] = last;
-            last.slot = s.slot;
-            set(s.slot, last.share);
+            servers[s.leafIndex] = last;
+            last.leafIndex = s.leafIndex;
+            set(s.leafIndex, last.share);
             servers[size] = null;
             set(size, 0);
-            s.slot = -1;
+            s.leafIndex = -1;
         }
 
         /** Sets a leaf. The sums above it are computed anew, so that rounding errors do not accumulate. */
-        private void set(int slot, double share) {
-            int i = servers.length + slot;
+        private void set(int leafIndex, double share) {
+            int i = servers.length + leafIndex;
             sums[i] = share;
             for (i /= 2; i > 0; i /= 2) {
                 sums[i] = sums[2 * i] + sums[2 * i + 1];
@@ -68,14 +68,14 @@
         }
 
         /** Returns the server in whose interval of the added-up shares the point lies. */
-        Server at(double drawn) {
+        Server serverAt(double point) {
             int i = 1;
-            double left = drawn;
+            double remainder = point;
             while (i < servers.length) {
                 i *= 2;
                 // Rounding must not lead into an empty subtree.
-                if (left >= sums[i] && sums[i + 1] > 0) {
-                    left -= sums[i++];
+                if (remainder >= sums[i] && sums[i + 1] > 0) {
+                    remainder -= sums[i++];
                 }
             }
             return servers[i - servers.length];
@@ -83,67 +83,67 @@
     }
 
     /** Replaces the content by these servers, with their current shares and all without a reusable connection. */
-    void build(List<Server> ready) {
-        sides.forEach(Side::clear);
-        for (Server s : ready) {
-            s.kept = false;
-            side(s).add(s);
+    void build(List<Server> readyServers) {
+        trees.forEach(SumTree::clear);
+        for (Server s : readyServers) {
+            s.connectionReusable = false;
+            tree(s).add(s);
         }
-        sides.forEach(Side::sumUp);
+        trees.forEach(SumTree::rebuildSums);
     }
 
     /** Adds a server. */
     void add(Server s) {
-        Side side = side(s);
-        side.add(s);
-        side.set(s.slot, s.share);
+        SumTree tree = tree(s);
+        tree.add(s);
+        tree.set(s.leafIndex, s.share);
     }
 
     void remove(Server s) {
-        side(s).remove(s);
+        tree(s).remove(s);
     }
 
     /** Sets whether a server has a reusable connection. */
-    void keep(Server s, boolean kept) {
-        if (s.kept != kept) {
+    void setReusable(Server s, boolean reusable) {
+        if (s.connectionReusable != reusable) {
             remove(s);
-            s.kept = kept;
+            s.connectionReusable = reusable;
             add(s);
         }
     }
 
-    private Side side(Server s) {
-        return side(s.near, s.kept);
+    private SumTree tree(Server s) {
+        return tree(s.inOwnZone, s.connectionReusable);
     }
 
-    private Side side(boolean near, boolean kept) {
-        return sides.get((near ? 2 : 0) + (kept ? 1 : 0));
+    private SumTree tree(boolean inOwnZone, boolean reusable) {
+        return trees.get((inOwnZone ? 2 : 0) + (reusable ? 1 : 0));
     }
 
     /** Returns whether all servers are in the gateway's zone. */
-    boolean allNear() {
-        return side(false, false).size + side(false, true).size == 0;
+    boolean areAllInOwnZone() {
+        return tree(false, false).size + tree(false, true).size == 0;
     }
 
     /**
      * Returns the sum of the shares of the servers with or without a reusable connection; those of other zones are multiplied by
      * {@code otherZoneGate}.
      */
-    double sum(boolean kept, double farGate) {
-        return side(true, kept).sums[1] + side(false, kept).sums[1] * farGate;
+    double sum(boolean reusable, double otherZoneGate) {
+        return tree(true, reusable).sums[1] + tree(false, reusable).sums[1] * otherZoneGate;
     }
 
     /**
      * Returns a random server of these with a probability in proportion to its share, where shares of other zones are multiplied
      * by {@code otherZoneGate}; null if there is none.
      */
-    Server pick(SplittableRandom random, boolean kept, double farGate) {
-        double near = side(true, kept).sums[1];
-        double others = side(false, kept).sums[1] * farGate;
-        double drawn = random.nextDouble() * (near + others);
-        if (drawn < near) {
-            return side(true, kept).at(drawn);
+    Server pick(SplittableRandom random, boolean reusable, double otherZoneGate) {
+        double ownZoneSum = tree(true, reusable).sums[1];
+        double otherZonesSum = tree(false, reusable).sums[1] * otherZoneGate;
+        double point = random.nextDouble() * (ownZoneSum + otherZonesSum);
+        if (point < ownZoneSum) {
+            return tree(true, reusable).serverAt(point);
         }
-        return others > 0 ? side(false, kept).at((drawn - near) / farGate) : null;
+        return otherZonesSum > 0 ? tree(false, reusable).serverAt((point - ownZoneSum) / otherZoneGate) : null;
     }
 }
--- a/src/main/java/cinderhollow/policy/State.java
+++ b/src/main/java/cinderhollow/policy/State.java
@@ -22,80 +22,80 @@
     final class Server {
         ServerInfo info;
         /** The latency samples of all servers of this zone and machine type. */
-        Pool like;
+        LatencySamples similarSamples;
         boolean ready;
         /** The index among the ready servers, and the leaf index in {@link Shares}, or -1 in a small fleet. */
-        int place;
-        int slot = -1;
+        int readyIndex;
+        int leafIndex = -1;
         /** Whether it is in the gateway's own zone. Set in large fleets only, like the next field. */
-        boolean near;
+        boolean inOwnZone;
         /** Whether it is kept in {@link Shares} among those with a reusable connection. */
-        boolean kept;
+        boolean connectionReusable;
         /** The fraction of its usual load that its zone gets. */
-        double weight = 1;
+        double zoneWeight = 1;
         /** Its part of the requests before gates apply; the shares of the ready servers add up to about 1. */
         double share;
         /** Latency samples of this tick and, with decaying weight, of earlier ones, as multiples of their classes' means. */
-        final Pool tick = new Pool();
+        final LatencySamples latencySamples = new LatencySamples();
         /** The estimate of its mean latency from the last tick, as a multiple of its classes' means. */
-        double latency;
+        double relativeLatency;
         /** Whether the last tick had a sample of it, or of servers like it where samples were too few. */
         boolean sampled;
         /** Whether this tick has a latency sample of it. */
-        boolean heard;
+        boolean sampledThisTick;
         /** Average of the last few latencies, as multiples of their classes' means; with age it returns to 1. */
-        final Fading recent = new Fading(1);
+        final DecayingAverage recentRelativeLatency = new DecayingAverage(1);
         int inFlight;
         /** The maximum of attempts in flight from this gateway; may be a fraction of 1 where gateways are many. */
-        double limit;
+        double inFlightLimit;
         /** The contribution to the sum of a large fleet's effective limits, and to that of the limits of warm servers. */
-        double counted;
-        double countedWarm;
+        double countedLimit;
+        double countedWarmLimit;
         /** Average ratio of latencies to their classes' latency budgets; above 1 the limit falls. */
-        double lateness;
+        double latencyToBudgetRatio;
         /** Part of the last attempts that failed; it decays to 0. */
-        final Fading failures = new Fading(0);
+        final DecayingAverage failureRate = new DecayingAverage(0);
         /** Time of the last answer, or 0. */
-        long answeredAt;
+        long lastAnswerAt;
         /** The latest send time among its answered attempts. */
-        long answeredSentAt;
+        long newestAnsweredSentAt;
         /** Whether attempts were overdue without an answer; ends with the next answer. */
         boolean silent;
         /** Time from which on it may get the next trial request while it is suspect. */
-        long trialAt;
-        final Map<Kind, ClassHealth> classes = new HashMap<>();
+        long nextTrialAt;
+        final Map<ClassState, ClassHealth> healthByClass = new HashMap<>();
         /** Tokens for requests to it during its warm-up. */
-        final Bucket cold;
+        final TokenBucket coldBucket;
         /**
          * Attempts whose end is awaited. The initial capacity is small: there are few at a time, and there may be thousands of
          * servers.
          */
-        final ArrayDeque<Attempt> waiting = new ArrayDeque<>(2);
+        final ArrayDeque<Attempt> awaitedAttempts = new ArrayDeque<>(2);
 
-        Server(Bucket cold, double share, double limit) {
-            this.cold = cold;
+        Server(TokenBucket coldBucket, double share, double inFlightLimit) {
+            this.coldBucket = coldBucket;
             this.share = share;
-            this.limit = limit;
+            this.inFlightLimit = inFlightLimit;
         }
 
         /** Takes over what another process has learned of this server. */
-        void recall(LearnedState.ServerEntry o, long now) {
+        void restore(LearnedState.ServerEntry o, long now) {
             share = o.share();
-            limit = o.inFlightLimit();
-            recent.set(o.recentRelativeLatency(), now);
-            failures.set(o.failureRate(), now);
+            inFlightLimit = o.inFlightLimit();
+            recentRelativeLatency.set(o.recentRelativeLatency(), now);
+            failureRate.set(o.failureRate(), now);
             silent = o.silent();
             // The other process has already sent what a cold server may get by now.
-            cold.tokens = 0;
+            coldBucket.tokens = 0;
         }
 
         /** Moves the health of each class to the class of the same name in the new settings. */
-        void retune(Map<String, Kind> kinds) {
-            Map<Kind, ClassHealth> known = new HashMap<>(classes);
-            classes.clear();
-            known.forEach((kind, health) -> {
-                if (kinds.containsKey(kind.spec.name())) {
-                    classes.put(kinds.get(kind.spec.name()), health);
+        void remapClasses(Map<String, ClassState> classStates) {
+            Map<ClassState, ClassHealth> previous = new HashMap<>(healthByClass);
+            healthByClass.clear();
+            previous.forEach((kind, health) -> {
+                if (classStates.containsKey(kind.requestClass.name())) {
+                    healthByClass.put(classStates.get(kind.requestClass.name()), health);
                 }
             });
         }
@@ -103,133 +103,133 @@
 
     /** How a server has answered one class: the rate of errors, and the time from which on the next trial may be sent. */
     final class ClassHealth {
-        final Fading errors = new Fading(0);
-        long trialAt;
+        final DecayingAverage errorRate = new DecayingAverage(0);
+        long nextTrialAt;
     }
 
     /** An average of the newest samples that returns exponentially to its rest value as it ages. */
-    final class Fading {
-        private final double rest;
+    final class DecayingAverage {
+        private final double restValue;
         private double value;
-        private long at;
+        private long updatedAt;
 
-        Fading(double rest) {
-            this.rest = rest;
-            value = rest;
+        DecayingAverage(double restValue) {
+            this.restValue = restValue;
+            value = restValue;
         }
 
         /**
          * Returns the average at this time. Its distance from the rest value falls by a factor of e in each
          * {@code timeConstantNanos}.
          */
-        double at(long now, double memory) {
-            return value == rest ? rest : rest + (value - rest) * Math.exp((at - now) / memory);
+        double valueAt(long now, double timeConstantNanos) {
+            return value == restValue ? restValue : restValue + (value - restValue) * Math.exp((updatedAt - now) / timeConstantNanos);
         }
 
         /** Adds a sample with this weight and returns the new average. */
-        double add(double sample, double weight, long now, double memory) {
-            double before = at(now, memory);
+        double add(double sample, double weight, long now, double timeConstantNanos) {
+            double before = valueAt(now, timeConstantNanos);
             set(before + weight * (sample - before), now);
             return value;
         }
 
         void set(double average, long now) {
             value = average;
-            at = now;
+            updatedAt = now;
         }
     }
 
     /** A sum of latency samples and their number. */
-    final class Pool {
+    final class LatencySamples {
         double sum;
-        double samples;
+        double sampleCount;
 
         void add(double latencies, double count) {
             sum += latencies;
-            samples += count;
+            sampleCount += count;
         }
 
         /** Multiplies the weight of all samples by a factor. */
-        void fade(double kept) {
-            sum *= kept;
-            samples *= kept;
+        void decay(double factor) {
+            sum *= factor;
+            sampleCount *= factor;
         }
 
         void clear() {
             sum = 0;
-            samples = 0;
+            sampleCount = 0;
         }
 
         double mean() {
-            return sum / Math.max(1, samples);
+            return sum / Math.max(1, sampleCount);
         }
 
         /** Returns the mean shrunk towards a prior mean that weighs as much as this number of samples. */
-        double mixed(double prior, double weight) {
-            return (sum + weight * prior) / (samples + weight);
+        double shrunkMean(double priorMean, double priorSamples) {
+            return (sum + priorSamples * priorMean) / (sampleCount + priorSamples);
         }
     }
 
     /** One sending of a request to a server. */
     record Attempt(Request request, Server server, int number, long sentAt) {
-        boolean ended() {
-            return (request.ended >> number & 1) == 1;
+        boolean hasEnded() {
+            return (request.endedMask >> number & 1) == 1;
         }
 
         /** Returns whether it has ended without a connection to its server, which therefore never received any of it. */
         boolean neverReached() {
-            return (request.neverReached >> number & 1) == 1;
+            return (request.neverReachedMask >> number & 1) == 1;
         }
     }
 
     /** A request that needs an answer, or that has attempts in flight. */
     final class Request {
         final String id;
-        final Kind kind;
-        final boolean overShare;
+        final ClassState classState;
+        final boolean overQuota;
         /** The operator's policy for its route, or null. */
-        final RoutePolicy course;
+        final RoutePolicy routePolicy;
         /** When the time of its aim began: its arrival or, for a client's retry, the estimated time of the first try. */
-        long arrivedAt;
+        long aimStartedAt;
         long deadline;
         /** Whether its body is still being received; until then its attempts do not count as in flight. */
-        boolean arriving;
+        boolean receivingBody;
         /** The maximum number of attempts. */
-        int mostAttempts;
+        int maxAttempts;
         final List<Attempt> attempts = new ArrayList<>(2);
         /** One bit for each attempt that has ended, and for each that is proved never to have run. */
-        long ended;
-        long neverRan;
+        long endedMask;
+        long neverRanMask;
         /** One bit for each attempt that ended without a connection to its server. */
-        long neverReached;
+        long neverReachedMask;
         /** One bit for each attempt that is taken as lost and no longer counts as in flight. */
-        long lost;
+        long lostMask;
         /** The number of attempts that have not ended. */
         int outstanding;
         /** Whether it has its final answer or needs none any more. */
         boolean concluded;
         boolean streaming;
         /** Whether a server for a hedge is being chosen. */
-        boolean copying;
+        boolean hedging;
         /** The worth of its answer for the work it takes; held requests are sent by descending priority. */
-        double value;
+        double priority;
         /** Its sequence number among held requests. */
-        long turn;
+        long holdSequence;
 
-        Request(String id, Kind kind, boolean overShare, RoutePolicy course, long firstAsked, long deadline,
-                int mostAttempts) {
+        Request(String id, ClassState classState, boolean overQuota, RoutePolicy routePolicy, long firstAskedAt, long deadline,
+                int maxAttempts) {
             this.id = id;
-            this.kind = kind;
-            this.overShare = overShare;
-            this.course = course;
-            arrivedAt = firstAsked;
+            this.classState = classState;
+            this.overQuota = overQuota;
+            this.routePolicy = routePolicy;
+            aimStartedAt = firstAskedAt;
             this.deadline = deadline;
-            this.mostAttempts = mostAttempts;
+            this.maxAttempts = maxAttempts;
         }
 
         /** Returns the first attempt that may have run or may yet run, or null. */
         Attempt firstThatMayRun() {
-            int i = Long.numberOfTrailingZeros(~neverRan);
+            int i = Long.numberOfTrailingZeros(~neverRanMask);
             return i < attempts.size() ? attempts.get(i) : null;
         }
 
@@ -237,66 +237,66 @@
          * Returns for how many nanoseconds from now sending the newest attempt may still start. A repeat of a keyed request that
          * waits for its connection beyond the dedup window of an earlier attempt would have its effect twice.
          */
-        long repeatableFor(long now) {
+        long startWithinNanos(long now) {
             Attempt first = firstThatMayRun();
-            return kind.spec.effect() != Effect.KEYED || first == attempts.get(attempts.size() - 1) ? Long.MAX_VALUE
-                    : first.sentAt() + kind.spec.dedupWindowNanos() - now;
+            return classState.requestClass.effect() != Effect.KEYED || first == attempts.get(attempts.size() - 1) ? Long.MAX_VALUE
+                    : first.sentAt() + classState.requestClass.dedupWindowNanos() - now;
         }
     }
 
     /** A class of requests and what this gateway has learned of it. */
-    final class Kind {
+    final class ClassState {
         /**
          * Timeouts that differ by at most this fraction of the deadline count as equal, since the way to the gateway takes a
          * varying time.
          */
-        private static final double SAME_TIME_OUT = 0.02;
+        private static final double SAME_TIMEOUT_FRACTION = 0.02;
         /**
          * Maximum number of votes for the usual timeout, and number of answers from which on the mean latency counts as known.
          */
-        private static final int MOST_VOTES = 40, LEAST_SAMPLES = 20;
+        private static final int MAX_VOTES = 40, MIN_SAMPLES = 20;
         /** Number of answers over which the mean latency is averaged. */
-        private static final double MEAN_SAMPLES = 100;
-        final RequestClass spec;
+        private static final double MEAN_WINDOW_SAMPLES = 100;
+        final RequestClass requestClass;
         /** The mean latency in nanoseconds, and its minimum so far. */
-        double latency;
-        double calmest;
-        long served;
-        private long usualTimeOut;
+        double meanLatencyNanos;
+        double minMeanLatencyNanos;
+        long servedCount;
+        private long usualTimeoutNanos;
         private int votes;
         /** Whether all ready servers fail this class. */
         boolean failsEverywhere;
         /** Servers that answered this class mostly with errors at some time. */
-        final Set<Server> failing = new LinkedHashSet<>();
+        final Set<Server> failingServers = new LinkedHashSet<>();
 
-        Kind(RequestClass spec, double firstLatency) {
-            this.spec = spec;
-            latency = firstLatency;
+        ClassState(RequestClass requestClass, double initialLatencyNanos) {
+            this.requestClass = requestClass;
+            meanLatencyNanos = initialLatencyNanos;
         }
 
         /** Creates the state of a class whose figures changed, with what was learned of it before. */
-        Kind(RequestClass spec, Kind before) {
-            this(spec, before.latency);
-            calmest = before.calmest;
-            served = before.served;
-            failing.addAll(before.failing);
+        ClassState(RequestClass requestClass, ClassState previous) {
+            this(requestClass, previous.meanLatencyNanos);
+            minMeanLatencyNanos = previous.minMeanLatencyNanos;
+            servedCount = previous.servedCount;
+            failingServers.addAll(previous.failingServers);
         }
 
         /** Takes over what another process has learned of this class. */
-        void recall(LearnedState.ClassEntry o) {
-            latency = o.meanLatencyNanos();
-            calmest = o.minMeanLatencyNanos();
-            served = o.servedCount();
+        void restore(LearnedState.ClassEntry o) {
+            meanLatencyNanos = o.meanLatencyNanos();
+            minMeanLatencyNanos = o.minMeanLatencyNanos();
+            servedCount = o.servedCount();
         }
 
         /**
          * Adds the latency of a served answer to the class's mean, which covers about the last hundred answers, and to the
          * minimum of that mean once it is known.
          */
-        void took(long nanos) {
-            served++;
-            latency += (nanos - latency) * Math.max(1 / MEAN_SAMPLES, 1.0 / served);
-            calmest = served < LEAST_SAMPLES ? latency : Math.min(calmest, latency);
+        void recordLatency(long latencyNanos) {
+            servedCount++;
+            meanLatencyNanos += (latencyNanos - meanLatencyNanos) * Math.max(1 / MEAN_WINDOW_SAMPLES, 1.0 / servedCount);
+            minMeanLatencyNanos = servedCount < MIN_SAMPLES ? meanLatencyNanos : Math.min(minMeanLatencyNanos, meanLatencyNanos);
         }
 
         /**
@@ -304,43 +304,43 @@
          * the difference to the deadline where the timeout is shorter than the usual one, and 0 while no usual timeout is known.
          * A majority vote finds the timeout that more than a third of requests have, in one pass and without a list.
          */
-        long shorterBy(long timeOut) {
-            if (Math.abs(timeOut - usualTimeOut) <= spec.deadlineNanos() * SAME_TIME_OUT) {
-                votes = Math.min(MOST_VOTES, votes + 2);
+        long estimateElapsedNanos(long timeoutNanos) {
+            if (Math.abs(timeoutNanos - usualTimeoutNanos) <= requestClass.deadlineNanos() * SAME_TIMEOUT_FRACTION) {
+                votes = Math.min(MAX_VOTES, votes + 2);
                 return 0;
             } else if (--votes < 0) {
-                usualTimeOut = timeOut;
+                usualTimeoutNanos = timeoutNanos;
                 votes = 0;
             }
-            return votes > MOST_VOTES / 2 ? spec.deadlineNanos() - timeOut : 0;
+            return votes > MAX_VOTES / 2 ? requestClass.deadlineNanos() - timeoutNanos : 0;
         }
     }
 
     /** A tenant's quota at this gateway in requests per second, and the tokens that are left of it. */
-    record Quota(double perSecond, Bucket bucket) { }
+    record Quota(double perSecond, TokenBucket bucket) { }
 
     /** A token bucket that is refilled at a rate up to a capacity. */
-    final class Bucket {
+    final class TokenBucket {
         double tokens;
-        private long at;
+        private long refilledAt;
 
-        Bucket(double tokens, long now) {
+        TokenBucket(double tokens, long now) {
             this.tokens = tokens;
-            at = now;
+            refilledAt = now;
         }
 
         /** Refills the bucket up to this time and returns its tokens. */
-        double refill(long now, double perNano, double most) {
-            tokens = Math.min(most, tokens + (now - at) * perNano);
-            at = now;
+        double refill(long now, double perNano, double capacity) {
+            tokens = Math.min(capacity, tokens + (now - refilledAt) * perNano);
+            refilledAt = now;
             return tokens;
         }
 
         /** Takes a token and returns true if there is one. */
-        boolean take(long now, double perNano, double most) {
-            boolean there = refill(now, perNano, most) >= 1;
-            tokens -= there ? 1 : 0;
-            return there;
+        boolean tryTake(long now, double perNano, double capacity) {
+            boolean available = refill(now, perNano, capacity) >= 1;
+            tokens -= available ? 1 : 0;
+            return available;
         }
     }
 }
--- a/src/test/java/cinderhollow/policy/HeldRequestTest.java
+++ b/src/test/java/cinderhollow/policy/HeldRequestTest.java
@@ -1,9 +1,9 @@
 package cinderhollow.policy;
 
-import static cinderhollow.policy.Fleet.MS;
-import static cinderhollow.policy.Fleet.ORDER;
-import static cinderhollow.policy.Fleet.READ;
-import static cinderhollow.policy.Fleet.SWEEP;
+import static cinderhollow.policy.GatewayHarness.MS;
+import static cinderhollow.policy.GatewayHarness.ORDER;
+import static cinderhollow.policy.GatewayHarness.READ;
+import static cinderhollow.policy.GatewayHarness.SWEEP_TOKEN;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -24,30 +24,30 @@
     private static final int SERVERS = 2;
     private static final long SWEEP_MILLIS = 10;
 
-    private Fleet fleet = new Fleet().with(SERVERS);
+    private GatewayHarness gateway = new GatewayHarness().withServers(SERVERS);
 
     /** Returns the module's actions within this time from now. */
-    private List<Recorder.Action> soon() {
-        List<Recorder.Action> actions = new ArrayList<>(fleet.host.take());
+    private List<Recorder.Action> runSweeps() {
+        List<Recorder.Action> actions = new ArrayList<>(gateway.recorder.take());
         for (long waited = 0; waited < SOON_MILLIS; waited += SWEEP_MILLIS) {
-            fleet.now += SWEEP_MILLIS * MS;
-            fleet.fire(SWEEP);
-            actions.addAll(fleet.host.take());
+            gateway.now += SWEEP_MILLIS * MS;
+            gateway.fireTimer(SWEEP_TOKEN);
+            actions.addAll(gateway.recorder.take());
         }
         return actions;
     }
 
-    private List<Recorder.Action> only(List<Recorder.Action> actions, String... what) {
-        return actions.stream().filter(action -> List.of(what).contains(action.what())).toList();
+    private List<Recorder.Action> filterByCall(List<Recorder.Action> actions, String... calls) {
+        return actions.stream().filter(action -> List.of(calls).contains(action.call())).toList();
     }
 
     /** Submits a request, ends an attempt at each server with this outcome, and returns the request's id. */
-    private String askedOfAll(Protocol.RequestClass requestClass, Outcome outcome) {
-        String id = fleet.ask(requestClass);
+    private String submitAndEndAtAllServers(Protocol.RequestClass requestClass, Outcome outcome) {
+        String id = gateway.submit(requestClass);
         for (int attempt = 0; attempt < SERVERS; attempt++) {
-            String server = fleet.sentTo();
+            String server = gateway.takeSendTarget();
             assertNotNull(server, "attempt " + attempt);
-            fleet.end(id, attempt, server, outcome, MS);
+            gateway.endAttempt(id, attempt, server, outcome, MS);
         }
         return id;
     }
@@ -55,46 +55,46 @@
     @Test
     void aRequestThatReachedNoServerIsTriedAgainSoon() {
         for (Protocol.RequestClass requestClass : List.of(READ, ORDER)) {
-            fleet = new Fleet().with(SERVERS); // a gateway whose servers have no failures yet
-            String id = askedOfAll(requestClass, Outcome.CONNECT_FAILED);
-            assertNull(fleet.sentTo(), "not retried at the same instant");
-            List<Recorder.Action> next = only(soon(), "send");
+            gateway = new GatewayHarness().withServers(SERVERS); // a gateway whose servers have no failures yet
+            String id = submitAndEndAtAllServers(requestClass, Outcome.CONNECT_FAILED);
+            assertNull(gateway.takeSendTarget(), "not retried at the same instant");
+            List<Recorder.Action> next = filterByCall(runSweeps(), "send");
             assertEquals(List.of(id), next.stream().map(Recorder.Action::id).toList());
         }
     }
 
     @Test
     void aRequestThatNoServerCanConnectForIsRefusedSoonAndAfterTheAllowedAttempts() {
-        String id = askedOfAll(ORDER, Outcome.CONNECT_FAILED);
+        String id = submitAndEndAtAllServers(ORDER, Outcome.CONNECT_FAILED);
         List<Recorder.Action> seen = new ArrayList<>();
-        for (int attempt = SERVERS; attempt < Fleet.ALL_ALLOWED.maxAttempts(); attempt++) {
-            List<Recorder.Action> next = only(soon(), "send");
+        for (int attempt = SERVERS; attempt < GatewayHarness.UPSTREAM_OPTIONS.maxAttempts(); attempt++) {
+            List<Recorder.Action> next = filterByCall(runSweeps(), "send");
             assertEquals(1, next.size(), "attempt " + attempt);
             seen.addAll(next);
-            fleet.end(id, attempt, next.get(0).server(), Outcome.CONNECT_FAILED, MS);
+            gateway.endAttempt(id, attempt, next.get(0).server(), Outcome.CONNECT_FAILED, MS);
         }
-        assertEquals(List.of(id), only(fleet.host.take(), "refuse").stream().map(Recorder.Action::id).toList());
+        assertEquals(List.of(id), filterByCall(gateway.recorder.take(), "refuse").stream().map(Recorder.Action::id).toList());
     }
 
     /** Each server has failed the request or turned it away, so none may have it again. */
     @Test
     void aRequestThatNoServerMayHaveAgainIsAnsweredAtOnce() {
         for (Outcome outcome : List.of(Outcome.ERROR, Outcome.FULL)) {
-            fleet = new Fleet().with(SERVERS);
+            gateway = new GatewayHarness().withServers(SERVERS);
             for (int i = 0; i < 20; i++) {
-                fleet.serve(READ, Outcome.SERVED, MS); // fills the budget of retries that may repeat work
+                gateway.submitAndEnd(READ, Outcome.SERVED, MS); // fills the budget of retries that may repeat work
             }
-            String id = askedOfAll(READ, outcome);
-            List<Recorder.Action> actions = fleet.host.take();
-            assertTrue(only(actions, "refuse", "fail").stream().anyMatch(action -> action.id().equals(id)), actions::toString);
+            String id = submitAndEndAtAllServers(READ, outcome);
+            List<Recorder.Action> actions = gateway.recorder.take();
+            assertTrue(filterByCall(actions, "refuse", "fail").stream().anyMatch(action -> action.id().equals(id)), actions::toString);
         }
     }
 
     /** A request of higher priority that waits for its retry must not block another request. */
     @Test
-    void aRequestThatCannotBeSentHoldsUpNoOther() {
-        askedOfAll(ORDER, Outcome.CONNECT_FAILED);
-        String other = fleet.ask(READ);
-        assertEquals(List.of(other), only(fleet.host.take(), "send").stream().map(Recorder.Action::id).toList());
+    void aRequestThatCannotBeSentDoesNotDelayOthers() {
+        submitAndEndAtAllServers(ORDER, Outcome.CONNECT_FAILED);
+        String other = gateway.submit(READ);
+        assertEquals(List.of(other), filterByCall(gateway.recorder.take(), "send").stream().map(Recorder.Action::id).toList());
     }
 }
--- a/src/test/java/cinderhollow/policy/QuickStartTest.java
+++ b/src/test/java/cinderhollow/policy/QuickStartTest.java
@@ -27,22 +27,22 @@
 
     /** The host's side of the interface; a real gateway opens connections and sets timers here. */
     private static final class Host implements Actions {
-        final List<String> sent = new ArrayList<>();
+        final List<String> calls = new ArrayList<>();
         long timers;
 
         @Override
         public void send(String request, String server, long timeoutNanos) {
-            sent.add(request + " to " + server);
+            calls.add(request + " to " + server);
         }
 
         @Override
         public void refuse(String request, long pauseNanos) {
-            sent.add(request + " refused");
+            calls.add(request + " refused");
         }
 
         @Override
         public void fail(String request) {
-            sent.add(request + " failed");
+            calls.add(request + " failed");
         }
 
         @Override
@@ -58,21 +58,21 @@
     }
 
     @Test
-    void aGatewayEmbedsChoiceInAFewLines() {
+    void aGatewayEmbedsLoadBalancerInAFewLines() {
         RequestClass read = new RequestClass("read", Effect.SAFE, DedupGroup.ALL, 0, 300 * MS, 1000 * MS, 1, 0, false);
         Settings settings = new Settings(1, 0, "zone-a", false, MS, List.of(read), List.of(), 1,
                 new UpstreamOptions(3, true),
                 new Rules(20 * MS, 250 * MS, 10_000 * MS, 0.2, 20_000 * MS, 2.5, 1000 * MS));
         Host host = new Host();
-        LoadBalancer choice = new LoadBalancer(settings, 42, host);
+        LoadBalancer balancer = new LoadBalancer(settings, 42, host);
 
         long now = 5_000 * MS; // in a gateway: System.nanoTime()
         ServerInfo server = new ServerInfo("10.0.0.7:80", "zone-a", "m5", 0, Readiness.READY, 1, 0);
-        choice.handle(now, new ListReceived(ListKind.WHOLE, List.of(server)));
-        choice.handle(now, new RequestArrived("r1", "read", null, null, 1000 * MS, 0, false));
-        choice.handle(now + 20 * MS, new AttemptEnded("r1", 0, "10.0.0.7:80", Outcome.SERVED, 20 * MS, true, null));
+        balancer.handle(now, new ListReceived(ListKind.WHOLE, List.of(server)));
+        balancer.handle(now, new RequestArrived("r1", "read", null, null, 1000 * MS, 0, false));
+        balancer.handle(now + 20 * MS, new AttemptEnded("r1", 0, "10.0.0.7:80", Outcome.SERVED, 20 * MS, true, null));
 
-        assertEquals(List.of("r1 to 10.0.0.7:80"), host.sent);
+        assertEquals(List.of("r1 to 10.0.0.7:80"), host.calls);
         assertTrue(host.timers > 0, "the module asks to be woken");
     }
 }
--- a/src/test/java/cinderhollow/policy/Recorder.java
+++ b/src/test/java/cinderhollow/policy/Recorder.java
@@ -9,14 +9,14 @@
 /** A host that only records the actions that the module requests. */
 final class Recorder implements Actions {
     /** One action; fields that an action lacks are null or 0. A timer has its token as id. */
-    record Action(String what, String id, String server, long number) { }
+    record Action(String call, String id, String server, long value) { }
 
     final List<Action> actions = new ArrayList<>();
     /** For each request, the time within which its newest attempt must be sent. */
-    final Map<String, Long> goesOutWithin = new HashMap<>();
+    final Map<String, Long> startWithinNanos = new HashMap<>();
 
-    private void add(String what, String id, String server, long number) {
-        actions.add(new Action(what, id, server, number));
+    private void add(String call, String id, String server, long value) {
+        actions.add(new Action(call, id, server, value));
     }
 
     /** Removes and returns all actions recorded since the last call. */
@@ -26,8 +26,8 @@
         return taken;
     }
 
-    List<Action> take(String what) {
-        return take().stream().filter(a -> a.what().equals(what)).toList();
+    List<Action> take(String call) {
+        return take().stream().filter(a -> a.call().equals(call)).toList();
     }
 
     @Override
@@ -37,7 +37,7 @@
 
     @Override
     public void send(String request, String server, long timeoutNanos, long withinNanos) {
-        goesOutWithin.put(request, withinNanos);
+        startWithinNanos.put(request, withinNanos);
         send(request, server, timeoutNanos);
     }
 
--- a/src/test/java/cinderhollow/policy/ThinTrafficTest.java
+++ b/src/test/java/cinderhollow/policy/SparseTrafficTest.java
@@ -1,9 +1,9 @@
 package cinderhollow.policy;
 
-import static cinderhollow.policy.Fleet.MS;
-import static cinderhollow.policy.Fleet.READ;
-import static cinderhollow.policy.Fleet.SECOND;
-import static cinderhollow.policy.Fleet.settings;
+import static cinderhollow.policy.GatewayHarness.MS;
+import static cinderhollow.policy.GatewayHarness.READ;
+import static cinderhollow.policy.GatewayHarness.SECOND;
+import static cinderhollow.policy.GatewayHarness.settings;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import cinderhollow.bench.FleetSimulation;
@@ -16,63 +16,63 @@
 /**
  * Sparse traffic, where each of many gateways sends a server about one request a second: what was learned must outlast a tick.
  */
-class ThinTrafficTest {
+class SparseTrafficTest {
     private static final int GATEWAYS = 14;
     private static final int SERVERS = 60;
     private static final int DRAWS = 600;
 
-    private static Fleet one(int servers) {
-        return new Fleet(settings(false, GATEWAYS, List.of(), List.of(READ)), 7).with(servers);
+    private static GatewayHarness newGateway(int servers) {
+        return new GatewayHarness(settings(false, GATEWAYS, List.of(), List.of(READ)), 7).withServers(servers);
     }
 
-    private static double share(Fleet fleet, String server) {
-        return fleet.choice.ready().stream().filter(s -> s.info.id().equals(server)).findFirst().orElseThrow().share
-                * fleet.choice.ready().size();
+    private static double relativeShare(GatewayHarness gateway, String server) {
+        return gateway.balancer.readyServers().stream().filter(s -> s.info.id().equals(server)).findFirst().orElseThrow().share
+                * gateway.balancer.readyServers().size();
     }
 
     /** Each server gives one answer a tick, too few to show anything alone; one server takes four times as long. */
     @Test
-    void aSlowServerLosesShareByWhatSeveralTicksTellTogether() {
-        Fleet fleet = one(SERVERS);
+    void aSlowServerLosesShareBySamplesOfSeveralTicks() {
+        GatewayHarness gateway = newGateway(SERVERS);
         String slow = null;
         for (int answers = 0; answers < 5;) {
             for (int i = 0; i < SERVERS; i++) {
-                String id = fleet.ask(READ);
-                String to = fleet.sentTo();
+                String id = gateway.submit(READ);
+                String to = gateway.takeSendTarget();
                 slow = slow == null ? to : slow;
                 answers += to.equals(slow) ? 1 : 0;
-                fleet.end(id, 0, to, Outcome.SERVED, (to.equals(slow) ? 400 : 100) * MS);
-                fleet.now += 20 * SECOND;
+                gateway.endAttempt(id, 0, to, Outcome.SERVED, (to.equals(slow) ? 400 : 100) * MS);
+                gateway.now += 20 * SECOND;
             }
-            fleet.fire(Fleet.STEP);
+            gateway.fireTimer(GatewayHarness.SHARE_UPDATE_TOKEN);
         }
-        assertTrue(share(fleet, slow) < 0.3, "share " + share(fleet, slow));
+        assertTrue(relativeShare(gateway, slow) < 0.3, "share " + relativeShare(gateway, slow));
     }
 
     /** Shares do not change within a tick, but a server that was just slow is avoided for some seconds. */
     @Test
-    void theLastAnswerSpeaksOfTheNextUntilItIsOld() {
-        Fleet fleet = one(2);
+    void aSlowLastAnswerLowersTheDrawWeightUntilItDecays() {
+        GatewayHarness gateway = newGateway(2);
         
-        fleet.end(fleet.ask(READ), 0, fleet.sentTo(), Outcome.SERVED, 100 * MS);
-        String id = fleet.ask(READ);
-        String slow = fleet.sentTo();
-        fleet.end(id, 0, slow, Outcome.SERVED, 300 * MS);
-        int after = drawn(fleet, slow);
+        gateway.endAttempt(gateway.submit(READ), 0, gateway.takeSendTarget(), Outcome.SERVED, 100 * MS);
+        String id = gateway.submit(READ);
+        String slow = gateway.takeSendTarget();
+        gateway.endAttempt(id, 0, slow, Outcome.SERVED, 300 * MS);
+        int after = countDrawn(gateway, slow);
         assertTrue(after < DRAWS / 5, "drawn " + after);
-        fleet.now += 100 * SECOND;
-        int later = drawn(fleet, slow);
+        gateway.now += 100 * SECOND;
+        int later = countDrawn(gateway, slow);
         assertTrue(later > DRAWS / 3, "drawn " + later);
     }
 
     /** Counts how often a server is drawn, with outcomes from which nothing is learned. */
-    private static int drawn(Fleet fleet, String server) {
+    private static int countDrawn(GatewayHarness gateway, String server) {
         int drawn = 0;
         for (int i = 0; i < DRAWS; i++) {
-            String id = fleet.ask(READ);
-            String to = fleet.sentTo();
+            String id = gateway.submit(READ);
+            String to = gateway.takeSendTarget();
             drawn += to.equals(server) ? 1 : 0;
-            fleet.end(id, 0, to, Outcome.NOT_SENT, 0, true);
+            gateway.endAttempt(id, 0, to, Outcome.NOT_SENT, 0, true);
         }
         return drawn;
     }
