--- a/src/main/java/cinderhollow/http1/HostPool.java
+++ b/src/main/java/cinderhollow/http1/HostPool.java
@@ -409,7 +409,7 @@
          */
         void turnBack() {
             Attempt waits = attempt;
-            if (waits != null && !waits.lifecycle.hasBegun()) {
+            if (waits != null && !waits.lifecycle.isWritingOrWritten()) {
                 attempt = null;
                 waits.connection = null;
                 loop.execute(() -> waits.end(Outcome.CONNECT_FAILED, null, null));
@@ -472,7 +472,7 @@
             next.connection = this;
             HttpRequest request = next.request;
             next.request = null;
-            next.lifecycle.become(AttemptState.WRITING);
+            next.lifecycle.transitionTo(AttemptState.WRITING);
             next.tellDeadline(request);
             if (next.upload == null) {
                 channel.writeAndFlush(request).addListener(write -> next.written(write.isSuccess(), channel));
@@ -549,7 +549,7 @@
 
         @Override
         public boolean waits() {
-            return attempt != null && attempt.lifecycle.hasBegun() || passage != null;
+            return attempt != null && attempt.lifecycle.isWritingOrWritten() || passage != null;
         }
 
         @Override
@@ -611,7 +611,7 @@
             Attempt answered = attempt;
             attempt = null;
             channel.close();
-            boolean unasked = passage == null && (answered == null || !answered.lifecycle.hasBegun());
+            boolean unasked = passage == null && (answered == null || !answered.lifecycle.isWritingOrWritten());
             if (unasked) {
                 untidyUntil = clock.nanos() + UNTIDY_NANOS;
             }
@@ -747,7 +747,7 @@
         private void written(boolean done, Channel channel) {
             if (done) {
                 if (!lifecycle.isEnded()) {
-                    lifecycle.become(AttemptState.WRITTEN);
+                    lifecycle.transitionTo(AttemptState.WRITTEN);
                 }
                 listener.written();
             } else {
@@ -801,7 +801,7 @@
         private void abandon() {
             if (!lifecycle.isEnded() && connection != null) {
                 connection.attempt = null;
-                if (lifecycle.hasBegun()) {
+                if (lifecycle.isWritingOrWritten()) {
                     Dials.close(connection.channel);
                 }
                 connection = null;
@@ -817,7 +817,7 @@
         }
 
         private void over(Outcome how) {
-            lifecycle.become(AttemptState.ENDED);
+            lifecycle.transitionTo(AttemptState.ENDED);
             outcome = how;
             if (sheet != null) {
                 out[listener.account()]--;
--- a/src/main/java/cinderhollow/lifecycle/AttemptLifecycle.java
+++ b/src/main/java/cinderhollow/lifecycle/AttemptLifecycle.java
@@ -24,7 +24,7 @@
      * Changes to the state and returns true. A transition that {@link AttemptState} does not allow is reported to the monitor;
      * then the state stays as it is, and the result is false.
      */
-    public boolean become(AttemptState next) {
+    public boolean transitionTo(AttemptState next) {
         if (!state.mayBecome(next)) {
             monitor.forbidden("an attempt of request " + request, state, next);
             return false;
@@ -40,7 +40,7 @@
     }
 
     /** Returns whether bytes of the attempt have been passed to its connection; false again once the attempt has ended. */
-    public boolean hasBegun() {
+    public boolean isWritingOrWritten() {
         return state == AttemptState.WRITING || state == AttemptState.WRITTEN;
     }
 
--- a/src/test/java/cinderhollow/lifecycle/RequestLifecycleTest.java
+++ b/src/test/java/cinderhollow/lifecycle/RequestLifecycleTest.java
@@ -69,18 +69,18 @@
     @Test
     void anAttemptMayHaveRunOnceTheSystemHasItsLastByte() {
         AttemptLifecycle attempt = new AttemptLifecycle("r", monitor);
-        attempt.become(AttemptState.WRITING);
+        attempt.transitionTo(AttemptState.WRITING);
         assertFalse(attempt.mayHaveRun());
-        attempt.become(AttemptState.WRITTEN);
-        attempt.become(AttemptState.ENDED);
+        attempt.transitionTo(AttemptState.WRITTEN);
+        attempt.transitionTo(AttemptState.ENDED);
         assertTrue(attempt.mayHaveRun() && attempt.isEnded());
     }
 
     @Test
     void anAttemptThatEndedWhileItWaitedNeverRanAndIsNeverWritten() {
         AttemptLifecycle attempt = new AttemptLifecycle("r", monitor);
-        attempt.become(AttemptState.ENDED);
+        attempt.transitionTo(AttemptState.ENDED);
         assertFalse(attempt.mayHaveRun());
-        assertThrows(IllegalStateException.class, () -> attempt.become(AttemptState.WRITING));
+        assertThrows(IllegalStateException.class, () -> attempt.transitionTo(AttemptState.WRITING));
     }
 }
