--- a/src/main/java/cinderhollow/daemon/Gateway.java
+++ b/src/main/java/cinderhollow/daemon/Gateway.java
@@ -983,7 +983,7 @@
                 if (entry != null) {
                     entry.over(End.SERVED);
                 }
-                lifecycle.become(RequestState.RESPONDING);
+                lifecycle.transitionTo(RequestState.RESPONDING);
                 reply.begin(length, source);
             }
             forgetIfOver();
@@ -1083,7 +1083,7 @@
         /** Marks the request completed; of several answers only the first counts. */
         private void complete() {
             if (lifecycle.state() != RequestState.COMPLETED && lifecycle.state() != RequestState.ABANDONED) {
-                lifecycle.become(RequestState.COMPLETED);
+                lifecycle.transitionTo(RequestState.COMPLETED);
             }
         }
 
@@ -1104,7 +1104,7 @@
 
         void clientLeft() {
             if (lifecycle.state() != RequestState.COMPLETED) {
-                lifecycle.become(RequestState.ABANDONED);
+                lifecycle.transitionTo(RequestState.ABANDONED);
             }
             if (entry != null) {
                 entry.over(End.ABANDONED);
--- a/src/main/java/cinderhollow/lifecycle/RequestLifecycle.java
+++ b/src/main/java/cinderhollow/lifecycle/RequestLifecycle.java
@@ -43,7 +43,7 @@
 
     /** Records that the whole body has been received, and that the client waits until this deadline. */
     public void received(long newDeadline) {
-        if (become(RequestState.PENDING)) {
+        if (transitionTo(RequestState.PENDING)) {
             deadline = newDeadline;
         }
     }
@@ -52,7 +52,7 @@
      * Changes to the state and returns true. A transition that {@link RequestState} does not allow is reported to the monitor;
      * then the state stays as it is, and the result is false.
      */
-    public boolean become(RequestState next) {
+    public boolean transitionTo(RequestState next) {
         if (!state.mayBecome(next)) {
             monitor.forbidden("request " + id, state, next);
             return false;
--- a/src/test/java/cinderhollow/lifecycle/RequestLifecycleTest.java
+++ b/src/test/java/cinderhollow/lifecycle/RequestLifecycleTest.java
@@ -42,7 +42,7 @@
     @EnumSource(value = RequestState.class, names = {"RESPONDING", "COMPLETED", "ABANDONED"})
     void noAttemptIsSentOnceTheAnswerHasBegunOrTheClientHasLeft(RequestState state) {
         RequestLifecycle lifecycle = pending();
-        lifecycle.become(state);
+        lifecycle.transitionTo(state);
         assertEquals(SendDecision.REQUEST_OVER, lifecycle.decideSend(0, PRESENT, AVAILABLE));
     }
 
@@ -59,8 +59,8 @@
     @EnumSource(RequestState.class)
     void aCompletedRequestGoesOverToNothingElse(RequestState next) {
         RequestLifecycle lifecycle = pending();
-        lifecycle.become(RequestState.COMPLETED);
-        assertThrows(IllegalStateException.class, () -> lifecycle.become(next));
+        lifecycle.transitionTo(RequestState.COMPLETED);
+        assertThrows(IllegalStateException.class, () -> lifecycle.transitionTo(next));
         assertEquals(RequestState.COMPLETED, lifecycle.state());
         assertEquals(1, monitor.forbidden());
         assertTrue(log.get(0).contains("request r: COMPLETED to " + next), log.get(0));
