--- a/src/main/java/cinderhollow/daemon/Gateway.java
+++ b/src/main/java/cinderhollow/daemon/Gateway.java
@@ -1066,7 +1066,7 @@
         private void logIfLate(HttpResponseStatus status) {
             long waited = clock.nanos() - openedAt;
             if (waited >= WORTH_TELLING_NANOS && !attempts.isEmpty()) {
-                lateRefusals.add(() -> "request " + id + " was answered " + status.code() + " after "
+                lateRefusals.logSampled(() -> "request " + id + " was answered " + status.code() + " after "
                         + TimeUnit.NANOSECONDS.toMillis(waited) + " ms; attempts: " + tried());
             }
         }
--- a/src/main/java/cinderhollow/lifecycle/SampledLog.java
+++ b/src/main/java/cinderhollow/lifecycle/SampledLog.java
@@ -20,7 +20,7 @@
     }
 
     /** Counts one occurrence and logs it if it belongs to the sample; only then is the line built. */
-    public void add(Supplier<String> line) {
+    public void logSampled(Supplier<String> line) {
         count++;
         if (count <= LOGGED_EACH || count % LOGGED_SELDOM == 0) {
             log.accept(line.get() + " (" + count + " so far)");
--- a/src/main/java/cinderhollow/lifecycle/TransitionMonitor.java
+++ b/src/main/java/cinderhollow/lifecycle/TransitionMonitor.java
@@ -29,7 +29,7 @@
     /** Records a transition that the table of states does not allow; {@code subject} names the request or the attempt. */
     void forbidden(String subject, Enum<?> from, Enum<?> to) {
         String line = "forbidden transition of " + subject + ": " + from + " to " + to;
-        forbidden.add(() -> line);
+        forbidden.logSampled(() -> line);
         if (STRICT) {
             throw new IllegalStateException(line);
         }
@@ -37,12 +37,12 @@
 
     /** Records that an attempt of the request with this id is not sent, and why. */
     void withheld(String request, SendDecision decision) {
-        withheld.get(decision).add(() -> "attempt of request " + request + " not sent: " + decision.reason());
+        withheld.get(decision).logSampled(() -> "attempt of request " + request + " not sent: " + decision.reason());
     }
 
     /** Records that no connection to this server could be opened, so that the attempts waiting for one were not sent. */
     public void connectFailed(String server, Throwable cause) {
-        connectFailures.add(() -> "can't connect to server " + server + ": " + cause);
+        connectFailures.logSampled(() -> "can't connect to server " + server + ": " + cause);
     }
 
     /** Returns how many forbidden transitions were requested so far. */
