--- a/src/main/java/cinderhollow/core/Dials.java
+++ b/src/main/java/cinderhollow/core/ConnectFutures.java
@@ -9,14 +9,14 @@
  * ENOBUFS). The future's channel was then never registered with an event loop: its close future is never completed, closing it
  * throws an exception, and the future's listeners are called on another thread.
  */
-public final class Dials {
-    private Dials() { }
+public final class ConnectFutures {
+    private ConnectFutures() { }
 
     /**
      * Runs the action on the event loop once the connecting channel has closed, also if it failed for lack of a socket. Tasks
      * that the event loop already has for the closing itself run first. The action may be run twice.
      */
-    public static void onEnd(ChannelFuture dial, EventLoop loop, Runnable action) {
+    public static void onClose(ChannelFuture dial, EventLoop loop, Runnable action) {
         dial.channel().closeFuture().addListener(closed -> loop.execute(action));
         dial.addListener(done -> {
             if (!done.isSuccess() && !dial.channel().isRegistered()) {
@@ -26,7 +26,7 @@
     }
 
     /** Closes the channel if it is open. A channel that never had a socket is left alone: closing it would throw an exception. */
-    public static void close(Channel channel) {
+    public static void closeIfOpen(Channel channel) {
         if (channel.isOpen()) {
             channel.close();
         }
--- a/src/main/java/cinderhollow/http1/HostPool.java
+++ b/src/main/java/cinderhollow/http1/HostPool.java
@@ -1,6 +1,6 @@
 package cinderhollow.http1;
 
-import cinderhollow.core.Dials;
+import cinderhollow.core.ConnectFutures;
 import cinderhollow.core.GatewayClock;
 import cinderhollow.core.LagAwareTimers;
 import cinderhollow.core.Transport;
@@ -335,7 +335,7 @@
             connection.channel = dial.channel();
             // Runs after the channel's last read: a response that is delimited by the end of the connection is completed in a
             // task of its own.
-            Dials.onEnd(dial, loop, () -> loop.execute(connection::closed));
+            ConnectFutures.onClose(dial, loop, () -> loop.execute(connection::closed));
             dial.addListener(done -> {
                 if (!done.isSuccess()) {
                     // If no socket could be created, the future is completed on another thread.
@@ -375,7 +375,7 @@
         void breakBefore(long startOfNext) {
             for (Connection connection : List.copyOf(all)) {
                 if (connection.openedAt < startOfNext) {
-                    Dials.close(connection.channel);
+                    ConnectFutures.closeIfOpen(connection.channel);
                 }
             }
         }
@@ -418,7 +418,7 @@
 
         void dialled(Future<?> done) {
             if (!done.isSuccess()) {
-                Dials.close(channel);
+                ConnectFutures.closeIfOpen(channel);
                 return;
             }
             if (attempt == null) {
@@ -802,7 +802,7 @@
             if (!lifecycle.isEnded() && connection != null) {
                 connection.attempt = null;
                 if (lifecycle.isWritingOrWritten()) {
-                    Dials.close(connection.channel);
+                    ConnectFutures.closeIfOpen(connection.channel);
                 }
                 connection = null;
             }
--- a/src/main/java/cinderhollow/membership/Discovery.java
+++ b/src/main/java/cinderhollow/membership/Discovery.java
@@ -1,6 +1,6 @@
 package cinderhollow.membership;
 
-import cinderhollow.core.Dials;
+import cinderhollow.core.ConnectFutures;
 import cinderhollow.core.Json;
 import cinderhollow.core.SocketReads;
 import cinderhollow.core.Transport;
@@ -137,7 +137,7 @@
         watch = dial.channel();
         endedFor = null;
         // The close future, unlike a handler's channelInactive, also completes if the connect failed.
-        Dials.onEnd(dial, loop, () -> ended(dial));
+        ConnectFutures.onClose(dial, loop, () -> ended(dial));
     }
 
     /** Reads at once what has arrived on the watch's socket, without waiting for the event loop's next poll. */
@@ -152,7 +152,7 @@
         Channel old = watch;
         watch = null;
         if (old != null) {
-            Dials.close(old);
+            ConnectFutures.closeIfOpen(old);
         }
     }
 
