--- a/src/main/java/cinderhollow/core/EventLoopLag.java
+++ b/src/main/java/cinderhollow/core/EventLoopLag.java
@@ -15,13 +15,13 @@
  */
 public final class EventLoopLag {
     /** Time between two ticks; input may have been waiting in a socket for as long before it is read. */
-    public static final long BEAT_NANOS = TimeUnit.MILLISECONDS.toNanos(20);
+    public static final long TICK_INTERVAL_NANOS = TimeUnit.MILLISECONDS.toNanos(20);
     /** A tick that is late by no more than this is on time: timers are coarse, and each task before it takes some time. */
     private static final long ON_TIME_NANOS = TimeUnit.MILLISECONDS.toNanos(10);
     /** Half-life of the decaying peak lag. */
     private static final double HALF_NANOS = TimeUnit.SECONDS.toNanos(3);
     /** Three ticks that are on time lie within this time; if the third last tick is older, the known socket state is stale. */
-    private static final long FRESH_NANOS = 3 * BEAT_NANOS + 2 * ON_TIME_NANOS;
+    private static final long FRESH_NANOS = 3 * TICK_INTERVAL_NANOS + 2 * ON_TIME_NANOS;
     private static final long NEVER = Long.MIN_VALUE / 2;
 
     private long due = Long.MAX_VALUE;
@@ -32,12 +32,12 @@
     private long latestAt;
 
     /** Sets when the next tick is due. */
-    public void expect(long at) {
+    public void expectTick(long at) {
         due = at;
     }
 
     /** Records that the due tick has come now, and returns how late it is. */
-    public long beat(long now) {
+    public long recordTick(long now) {
         thirdBeat = secondBeat;
         secondBeat = newestBeat;
         newestBeat = now;
@@ -53,7 +53,7 @@
      * Returns the largest lag of the last seconds, which decays with a half-life of 3 s. It is for code that must not trust its
      * own observations while the event loop itself is late.
      */
-    public long recent(long now) {
+    public long recentPeakLag(long now) {
         return (long) latest(now);
     }
 
@@ -67,12 +67,12 @@
      * is read after such a tick may therefore have been waiting as long as input that is read before it.
      */
     public long earliestArrival(long now) {
-        boolean newestWasLate = secondBeat != NEVER && newestBeat - secondBeat > BEAT_NANOS + ON_TIME_NANOS;
+        boolean newestWasLate = secondBeat != NEVER && newestBeat - secondBeat > TICK_INTERVAL_NANOS + ON_TIME_NANOS;
         if (newestWasLate) {
             return secondBeat;
         }
         boolean overdue = due != Long.MAX_VALUE && now - due > ON_TIME_NANOS;
-        return overdue ? due - BEAT_NANOS : now;
+        return overdue ? due - TICK_INTERVAL_NANOS : now;
     }
 
     /**
--- a/src/main/java/cinderhollow/daemon/Gateway.java
+++ b/src/main/java/cinderhollow/daemon/Gateway.java
@@ -276,23 +276,23 @@
     }
 
     private void beatLater() {
-        lag.expect(clock.nanos() + EventLoopLag.BEAT_NANOS);
+        lag.expectTick(clock.nanos() + EventLoopLag.TICK_INTERVAL_NANOS);
         loop.schedule(() -> {
             long now = clock.nanos();
-            long late = lag.beat(now);
+            long late = lag.recordTick(now);
             // Scheduled before anything that can fail: the heartbeat is the last safeguard of all open requests.
             beatLater();
             if (late >= WORTH_TELLING_NANOS) {
                 log("the event loop was late by " + TimeUnit.NANOSECONDS.toMillis(late) + " ms");
             }
             if (talk != null) {
-                talk.late(lag.recent(now));
+                talk.late(lag.recentPeakLag(now));
             }
             if (now >= looksAt || ending) {
                 looksAt = now + OVERDUE_LOOK_NANOS;
                 timers.afterALook(this::answerOverdue);
             }
-        }, EventLoopLag.BEAT_NANOS, TimeUnit.NANOSECONDS);
+        }, EventLoopLag.TICK_INTERVAL_NANOS, TimeUnit.NANOSECONDS);
     }
 
     /**
--- a/src/main/java/cinderhollow/http1/ClientServer.java
+++ b/src/main/java/cinderhollow/http1/ClientServer.java
@@ -868,7 +868,7 @@
         }
 
         private long earliestArrival(long now) {
-            return openSince < dueSince && now - dueSince <= EventLoopLag.BEAT_NANOS ? openSince : lag.earliestArrival(now);
+            return openSince < dueSince && now - dueSince <= EventLoopLag.TICK_INTERVAL_NANOS ? openSince : lag.earliestArrival(now);
         }
 
         /**
--- a/src/test/java/cinderhollow/core/EventLoopLagTest.java
+++ b/src/test/java/cinderhollow/core/EventLoopLagTest.java
@@ -12,10 +12,10 @@
     private long now = 100_000 * MS;
 
     private void beat(long late) {
-        lag.expect(now + EventLoopLag.BEAT_NANOS);
-        now += EventLoopLag.BEAT_NANOS + late;
-        lag.beat(now);
-        lag.expect(now + EventLoopLag.BEAT_NANOS);
+        lag.expectTick(now + EventLoopLag.TICK_INTERVAL_NANOS);
+        now += EventLoopLag.TICK_INTERVAL_NANOS + late;
+        lag.recordTick(now);
+        lag.expectTick(now + EventLoopLag.TICK_INTERVAL_NANOS);
     }
 
     @Test
@@ -23,9 +23,9 @@
         for (int i = 0; i < 100; i++) {
             beat(i % 3 * MS);
             assertEquals(now, lag.earliestArrival(now));
-            assertTrue(lag.recent(now) <= 2 * MS);
+            assertTrue(lag.recentPeakLag(now) <= 2 * MS);
         }
-        now += EventLoopLag.BEAT_NANOS / 2;
+        now += EventLoopLag.TICK_INTERVAL_NANOS / 2;
         assertEquals(now, lag.earliestArrival(now), "the next tick is not due yet");
     }
 
@@ -34,7 +34,7 @@
     void aBeatThatIsOverdueTellsHowLongItMayHaveWaitedUnread() {
         beat(0);
         long last = now;
-        now += EventLoopLag.BEAT_NANOS + 300 * MS;
+        now += EventLoopLag.TICK_INTERVAL_NANOS + 300 * MS;
         assertEquals(last, lag.earliestArrival(now));
     }
 
@@ -53,19 +53,19 @@
     @Test
     void whatWasSeenLatelyCountsForSomeSeconds() {
         beat(300 * MS);
-        assertEquals(300 * MS, lag.recent(now));
+        assertEquals(300 * MS, lag.recentPeakLag(now));
         beat(100 * MS);
-        assertTrue(lag.recent(now) > 280 * MS, "the largest lag counts, not the last");
-        long before = lag.recent(now);
+        assertTrue(lag.recentPeakLag(now) > 280 * MS, "the largest lag counts, not the last");
+        long before = lag.recentPeakLag(now);
         now += 3_000 * MS;
-        assertEquals(before / 2, lag.recent(now), MS);
+        assertEquals(before / 2, lag.recentPeakLag(now), MS);
         now += 200_000 * MS;
-        assertEquals(0, lag.recent(now));
+        assertEquals(0, lag.recentPeakLag(now));
     }
 
     @Test
     void beforeTheFirstBeatNothingIsKnown() {
-        assertEquals(0, lag.recent(now));
+        assertEquals(0, lag.recentPeakLag(now));
         assertEquals(now, lag.earliestArrival(now));
     }
 
