--- a/src/main/java/cinderhollow/core/LagAwareTimers.java
+++ b/src/main/java/cinderhollow/core/LagAwareTimers.java
@@ -19,11 +19,11 @@
      * Runs the task on the event loop after this many nanoseconds. Cancelling the result has no effect once the timer has fired,
      * also if the task still waits for the next poll.
      */
-    public ScheduledFuture<?> in(long nanos, Runnable task) {
+    public ScheduledFuture<?> schedule(long nanos, Runnable task) {
         long due = clock.nanos() + nanos;
         return loop.schedule(() -> {
             if (clock.nanos() - due > LATE_NANOS) {
-                afterALook(task);
+                runAfterNextPoll(task);
             } else {
                 task.run();
             }
@@ -31,7 +31,7 @@
     }
 
     /** Runs the task after the event loop has polled its sockets once more. */
-    public void afterALook(Runnable task) {
+    public void runAfterNextPoll(Runnable task) {
         loop.schedule(task, LOOK_MILLIS, TimeUnit.MILLISECONDS);
     }
 }
--- a/src/main/java/cinderhollow/daemon/Gateway.java
+++ b/src/main/java/cinderhollow/daemon/Gateway.java
@@ -290,7 +290,7 @@
             }
             if (now >= looksAt || ending) {
                 looksAt = now + OVERDUE_LOOK_NANOS;
-                timers.afterALook(this::answerOverdue);
+                timers.runAfterNextPoll(this::answerOverdue);
             }
         }, EventLoopLag.TICK_INTERVAL_NANOS, TimeUnit.NANOSECONDS);
     }
@@ -731,7 +731,7 @@
 
     @Override
     public void setTimer(long delayNanos, long token) {
-        timers.in(delayNanos, () -> tell(new TimerFired(token)));
+        timers.schedule(delayNanos, () -> tell(new TimerFired(token)));
     }
 
     @Override
--- a/src/main/java/cinderhollow/http1/HostPool.java
+++ b/src/main/java/cinderhollow/http1/HostPool.java
@@ -714,7 +714,7 @@
         public void timeOutIn(long nanos) {
             if (!lifecycle.isEnded()) {
                 deadline = clock.nanos() + nanos;
-                timer = timers.in(Math.max(0, nanos), this::timedOut);
+                timer = timers.schedule(Math.max(0, nanos), this::timedOut);
             }
         }
 
