--- a/src/main/java/cinderhollow/core/RequestCounters.java
+++ b/src/main/java/cinderhollow/core/RequestCounters.java
@@ -21,12 +21,12 @@
     }
 
     /** Counts an answer that had begun and could not be completed as a failed request. */
-    public void brokenOff() {
+    public void answerAborted() {
         faulted++;
     }
 
     /** Counts an attempt whose last byte was written to a server. */
-    public void relayed() {
+    public void recordRelayed() {
         relayed++;
     }
 
--- a/src/main/java/cinderhollow/daemon/Gateway.java
+++ b/src/main/java/cinderhollow/daemon/Gateway.java
@@ -1028,7 +1028,7 @@
         @Override
         public void written() {
             if (tally != null) {
-                tally.relayed();
+                tally.recordRelayed();
             }
         }
 
--- a/src/main/java/cinderhollow/http1/ClientServer.java
+++ b/src/main/java/cinderhollow/http1/ClientServer.java
@@ -653,7 +653,7 @@
             }
             source = null;
             if (tally != null) {
-                tally.brokenOff();
+                tally.answerAborted();
             }
             connection.open = null;
             connection.drop();
