--- a/src/main/java/cinderhollow/core/SocketReads.java
+++ b/src/main/java/cinderhollow/core/SocketReads.java
@@ -14,7 +14,7 @@
      * Reads what has arrived at the channel's socket. Must be called on the channel's event loop, and never while the same
      * channel is being read.
      */
-    public static void now(Channel channel) {
+    public static void readNow(Channel channel) {
         for (int look = 0; look < LOOKS && channel.isActive(); look++) {
             if (channel.unsafe() instanceof AbstractNioChannel.NioUnsafe unsafe) {
                 unsafe.read();
--- a/src/main/java/cinderhollow/http1/ClientServer.java
+++ b/src/main/java/cinderhollow/http1/ClientServer.java
@@ -877,7 +877,7 @@
          */
         private boolean isPresent() {
             if (channel.isActive() && mayBeOld(clock.nanos())) {
-                SocketReads.now(channel);
+                SocketReads.readNow(channel);
             }
             return channel.isActive();
         }
--- a/src/main/java/cinderhollow/membership/Discovery.java
+++ b/src/main/java/cinderhollow/membership/Discovery.java
@@ -143,7 +143,7 @@
     /** Reads at once what has arrived on the watch's socket, without waiting for the event loop's next poll. */
     public void readNow() {
         if (watch != null) {
-            SocketReads.now(watch);
+            SocketReads.readNow(watch);
         }
     }
 
