--- a/src/main/java/cinderhollow/core/Transport.java
+++ b/src/main/java/cinderhollow/core/Transport.java
@@ -12,16 +12,16 @@
 /**
  * The kind of sockets that a gateway uses for all its connections.
  *
- * @param server Netty class of listening channels
- * @param client Netty class of connecting channels
+ * @param serverChannelType Netty class of listening channels
+ * @param clientChannelType Netty class of connecting channels
  */
-public record Transport(Class<? extends ServerChannel> server, Class<? extends Channel> client) {
+public record Transport(Class<? extends ServerChannel> serverChannelType, Class<? extends Channel> clientChannelType) {
     /** TCP sockets. */
     public static final Transport TCP = new Transport(NioServerSocketChannel.class, NioSocketChannel.class);
 
     /** Unix domain sockets, which can't be reached from outside this machine. */
-    public static final Transport FILES = new Transport(NioServerDomainSocketChannel.class, NioDomainSocketChannel.class);
+    public static final Transport UNIX_DOMAIN = new Transport(NioServerDomainSocketChannel.class, NioDomainSocketChannel.class);
 
     /** Netty's local channels: queues within this process, without system calls. They need an event loop of their own kind. */
-    public static final Transport PROCESS = new Transport(LocalServerChannel.class, LocalChannel.class);
+    public static final Transport IN_PROCESS = new Transport(LocalServerChannel.class, LocalChannel.class);
 }
--- a/src/main/java/cinderhollow/daemon/Admin.java
+++ b/src/main/java/cinderhollow/daemon/Admin.java
@@ -70,7 +70,7 @@
         if (file != null) {
             removeStale(file);
         }
-        listener = new ServerBootstrap().group(group).channel((file == null ? Transport.TCP : Transport.FILES).server())
+        listener = new ServerBootstrap().group(group).channel((file == null ? Transport.TCP : Transport.UNIX_DOMAIN).serverChannelType())
                 .handler(new AcceptErrorHandler()).childHandler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
--- a/src/main/java/cinderhollow/daemon/Rehearsal.java
+++ b/src/main/java/cinderhollow/daemon/Rehearsal.java
@@ -91,7 +91,7 @@
      * but reading and writing them.
      */
     static boolean run(GatewayConfig config, long longestMillis) {
-        return run(config, Transport.FILES, longestMillis);
+        return run(config, Transport.UNIX_DOMAIN, longestMillis);
     }
 
     static boolean run(GatewayConfig config, Transport transport, long longestMillis) {
@@ -129,7 +129,7 @@
         // Two threads: on one, answers would be received while their request is still being sent.
         MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(2, LocalIoHandler.newFactory());
         try {
-            return new Rehearsal(group, config, Transport.PROCESS, new LocalAddress(Rehearsal.class),
+            return new Rehearsal(group, config, Transport.IN_PROCESS, new LocalAddress(Rehearsal.class),
                     new LocalAddress(Rehearsal.class)).played(longestMillis);
         } finally {
             group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS).await(END_MILLIS);
@@ -158,7 +158,7 @@
         // Loads the TCP channel class too: code compiled for one kind of channel alone would be deoptimized by the first
         // channel of the other kind.
         new NioSocketChannel().unsafe().closeForcibly();
-        ServerBootstrap listener = new ServerBootstrap().group(loop).channel(transport.server());
+        ServerBootstrap listener = new ServerBootstrap().group(loop).channel(transport.serverChannelType());
         listener.handler(new AcceptErrorHandler()).childHandler(new ChannelInitializer<Channel>() {
             @Override
             protected void initChannel(Channel channel) {
@@ -193,7 +193,7 @@
     }
 
     private void clients() {
-        Bootstrap dial = new Bootstrap().group(loop).channel(transport.client())
+        Bootstrap dial = new Bootstrap().group(loop).channel(transport.clientChannelType())
                 .handler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
@@ -206,7 +206,7 @@
         }
         // On a machine where no connection over such sockets comes up, the start would otherwise wait for the whole duration
         // of the warm-up, and in a release most of a fleet starts at once.
-        if (transport != Transport.PROCESS) {
+        if (transport != Transport.IN_PROCESS) {
             loop.schedule(() -> {
                 if (asked == 0) {
                     done.complete(false);
--- a/src/main/java/cinderhollow/http1/ClientServer.java
+++ b/src/main/java/cinderhollow/http1/ClientServer.java
@@ -260,10 +260,10 @@
     }
 
     private ChannelFuture listen(ServerBootstrap bootstrap, SocketAddress address) {
-        if (transport != Transport.PROCESS) {
+        if (transport != Transport.IN_PROCESS) {
             bootstrap.option(ChannelOption.SO_BACKLOG, BACKLOG);
         }
-        ChannelFuture bound = bootstrap.group(loop).channel(transport.server())
+        ChannelFuture bound = bootstrap.group(loop).channel(transport.serverChannelType())
                 .handler(acceptErrors).childHandler(new Begins()).bind(address);
         acceptor = bound.channel();
         return bound;
--- a/src/main/java/cinderhollow/http1/HostPool.java
+++ b/src/main/java/cinderhollow/http1/HostPool.java
@@ -150,7 +150,7 @@
         this.clock = clock;
         timers = new LagAwareTimers(loop, clock);
         this.mostConnections = mostConnections;
-        bootstrap = new Bootstrap().group(loop).channel(transport.client())
+        bootstrap = new Bootstrap().group(loop).channel(transport.clientChannelType())
                 .option(ChannelOption.WRITE_BUFFER_WATER_MARK, WATER_MARK)
                 .option(ChannelOption.RECVBUF_ALLOCATOR, new AdaptiveRecvByteBufAllocator(64, 2048, LARGEST_READ));
         retune(dialTimeoutNanos, idleNanos);
--- a/src/main/java/cinderhollow/membership/Discovery.java
+++ b/src/main/java/cinderhollow/membership/Discovery.java
@@ -123,7 +123,7 @@
         if (watch != null) {
             return;
         }
-        ChannelFuture dial = new Bootstrap().group(loop).channel(transport.client())
+        ChannelFuture dial = new Bootstrap().group(loop).channel(transport.clientChannelType())
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, DIAL_MILLIS)
                 .handler(new ChannelInitializer<Channel>() {
                     @Override
--- a/src/test/java/cinderhollow/daemon/RehearsalTest.java
+++ b/src/test/java/cinderhollow/daemon/RehearsalTest.java
@@ -46,7 +46,7 @@
     @Test
     void isPlayedWithinTheProcessWhereNobodyComesToSockets() throws Exception {
         List<Path> before = folders();
-        Transport deaf = new Transport(Transport.FILES.server(), NeverConnects.class);
+        Transport deaf = new Transport(Transport.UNIX_DOMAIN.serverChannelType(), NeverConnects.class);
         long start = System.nanoTime();
         assertTrue(Rehearsal.run(config(), deaf, 60_000));
         assertTrue(System.nanoTime() - start < 30_000_000_000L, "the warm-up waited for a connection that is never established");
