--- a/src/main/java/cinderhollow/daemon/Gateway.java
+++ b/src/main/java/cinderhollow/daemon/Gateway.java
@@ -210,9 +210,9 @@
         hosts = new HostPool(loop, transport, clock, config.dialTimeoutNanos(), config.idleNanos(), connections / 2,
                 ledger == null ? null : ledger.sheet(Place.NODES), ledger == null ? 0 : ledger.accounts().size());
         discovery = config.discovery() == null ? null : new Discovery(loop, transport, config.discovery(),
-                config.known().index(), Discovery.SILENCE_MILLIS,
+                config.known().index(), Discovery.SILENCE_TIMEOUT_MILLIS,
                 // The larger limit only with an operator's file: an endless line is detected by its length alone.
-                config.routes() == null ? Discovery.USUAL_LINE : Discovery.LARGE_LINE, new Watcher(), log);
+                config.routes() == null ? Discovery.MAX_LIST_BYTES : Discovery.MAX_LARGE_FLEET_LIST_BYTES, new Watcher(), log);
         askedForList = discovery == null && (config.scale() == null || !config.scale().follows());
         clients = new ClientServer(loop, transport, clock, lag, connections / 2, new Requests(),
                 ledger == null ? null : ledger.sheet(Place.CLIENTS));
@@ -747,13 +747,13 @@
     /** Receives the endpoint list from discovery. */
     private final class Watcher implements Discovery.Listener {
         @Override
-        public void listed(EndpointList list) {
+        public void listReceived(EndpointList list) {
             followers.forEach(follower -> follower.loop.execute(() -> follower.hear(list)));
             hear(list);
         }
 
         @Override
-        public void failed() {
+        public void watchEnded() {
             if (!askedForList) {
                 followers.forEach(Gateway::asked);
             }
--- a/src/main/java/cinderhollow/membership/Discovery.java
+++ b/src/main/java/cinderhollow/membership/Discovery.java
@@ -39,17 +39,17 @@
 
 /**
  * Watches discovery's list of endpoints: an HTTP call whose answer stays open and brings the list and then its changes. Each
- * watch that {@link #watch} opens ends with one call of {@link Listener#failed}, unless {@link #close} or {@link #moveTo} ends
+ * watch that {@link #watch} opens ends with one call of {@link Listener#watchEnded}, unless {@link #close} or {@link #moveTo} ends
  * it; the decision module decides when to watch again. Used on its event loop only.
  */
 public final class Discovery {
     /** Receives the lists; called on the event loop, never from within {@link #watch}. */
     public interface Listener {
         /** Called when the list, or changes to it, have been received. */
-        void listed(EndpointList list);
+        void listReceived(EndpointList list);
 
         /** Called when the watch has ended, or could not be opened. */
-        void failed();
+        void watchEnded();
     }
 
     /**
@@ -57,19 +57,19 @@
      * connection, so a watch without any data for this long is ended. A change counts as known to the gateway 6 s after it was
      * made; by then a second watch must have received it, even if its connect hangs first.
      */
-    public static final long SILENCE_MILLIS = 3_500;
+    public static final long SILENCE_TIMEOUT_MILLIS = 3_500;
     /** The connect timeout, and the number of characters above which a list is parsed off the event loop. */
     private static final int DIAL_MILLIS = 1_500, LONG_LINE = 1 << 16;
     /**
      * Timeout until the answer begins. Discovery queues a call for at most 2 s and then answers it. A second watch that gets no
-     * answer, right after the first one fell silent, would be noticed too late by {@link #SILENCE_MILLIS} for the limit of 6 s.
+     * answer, right after the first one fell silent, would be noticed too late by {@link #SILENCE_TIMEOUT_MILLIS} for the limit of 6 s.
      */
     private static final long ANSWER_MILLIS = 2_500;
     /**
      * Size limits of a list in bytes, for usual fleets and for large ones of up to 100,000 servers. A longer list, or one that
      * never ends, ends the watch.
      */
-    public static final int USUAL_LINE = 1 << 20, LARGE_LINE = 1 << 24;
+    public static final int MAX_LIST_BYTES = 1 << 20, MAX_LARGE_FLEET_LIST_BYTES = 1 << 24;
 
     private final EventLoop loop;
     private final Transport transport;
@@ -160,7 +160,7 @@
         if (dial.channel() == watch) {
             watch = null;
             logEnd(dial.cause() != null ? "can't connect: " + dial.cause() : endedFor != null ? endedFor : "closed by discovery");
-            listener.failed();
+            listener.watchEnded();
         }
     }
 
@@ -323,7 +323,7 @@
             } else if (ctx.channel() == watch) {
                 index = list.index();
                 logList(list);
-                listener.listed(list);
+                listener.listReceived(list);
             }
         }
 
--- a/src/test/java/cinderhollow/daemon/DiscoveryTest.java
+++ b/src/test/java/cinderhollow/daemon/DiscoveryTest.java
@@ -39,14 +39,14 @@
 
     private Discovery watch(ScriptedHost server, long silenceMillis) {
         Discovery discovery = new Discovery(group.next(), Transport.TCP, server.address(), 7, silenceMillis,
-                Discovery.USUAL_LINE, new Discovery.Listener() {
+                Discovery.MAX_LIST_BYTES, new Discovery.Listener() {
             @Override
-            public void listed(EndpointList list) {
+            public void listReceived(EndpointList list) {
                 told.add("listed " + list.index());
             }
 
             @Override
-            public void failed() {
+            public void watchEnded() {
                 told.add("failed");
             }
         }, log::add);
@@ -87,7 +87,7 @@
             assertEquals("failed", next());
             // The same holds for lines that are parsed on another thread, and for a line that is too long.
             for (String line : List.of("x".repeat(1 << 17), "[".repeat(1 << 17), "{\"a\":1}" + " ".repeat(1 << 17),
-                    " ".repeat(Discovery.USUAL_LINE + 1))) {
+                    " ".repeat(Discovery.MAX_LIST_BYTES + 1))) {
                 server.script((socket, request) -> {
                     GatewayFixture.startWatch(socket);
                     GatewayFixture.line(socket, line);
