--- a/src/main/java/cinderhollow/daemon/AdminClient.java
+++ b/src/main/java/cinderhollow/daemon/AdminClient.java
@@ -28,7 +28,7 @@
     /** Parses an address in the form of the operator's file: {@code unix:PATH} or host and port. */
     static SocketAddress address(String text) {
         return text.startsWith(UNIX) ? UnixDomainSocketAddress.of(text.substring(UNIX.length()))
-                : EndpointList.address(text);
+                : EndpointList.parseAddress(text);
     }
 
     /** Returns the sums of the ledgers of the gateways at these addresses. */
--- a/src/main/java/cinderhollow/daemon/Gateway.java
+++ b/src/main/java/cinderhollow/daemon/Gateway.java
@@ -418,7 +418,7 @@
     private static Endpoint heard(Snapshot.Host h) {
         return new Endpoint(new ServerInfo(h.name(), h.zone(), h.type(), h.group(),
                 h.draining() ? Readiness.DRAINING : Readiness.READY, h.weight(), GatewayClock.ofUnixMillis(h.sinceMillis())),
-                EndpointList.address(h.address()));
+                EndpointList.parseAddress(h.address()));
     }
 
     /**
--- a/src/main/java/cinderhollow/daemon/GatewayConfig.java
+++ b/src/main/java/cinderhollow/daemon/GatewayConfig.java
@@ -45,9 +45,9 @@
      */
     static GatewayConfig read(Map<String, String> environment, Json file) {
         String door = environment.getOrDefault("LB_OPS", file.field("ops").text());
-        GatewayConfig config = read(file, EndpointList.address(variable(environment, "LB_LISTEN")),
-                EndpointList.address(variable(environment, "LB_DISCOVERY")), environment.get("LB_OPERATOR"))
-                .withDoor(door.isEmpty() ? null : EndpointList.address(door));
+        GatewayConfig config = read(file, EndpointList.parseAddress(variable(environment, "LB_LISTEN")),
+                EndpointList.parseAddress(variable(environment, "LB_DISCOVERY")), environment.get("LB_OPERATOR"))
+                .withDoor(door.isEmpty() ? null : EndpointList.parseAddress(door));
         String descriptor = environment.getOrDefault("LB_INHERITED_FD", "");
         return descriptor.isEmpty() ? config : config.withListener(descriptor, environment.get("TMPDIR"));
     }
--- a/src/main/java/cinderhollow/daemon/Operator.java
+++ b/src/main/java/cinderhollow/daemon/Operator.java
@@ -53,9 +53,9 @@
     static Peering peering(Fellows f, SettingsReader settings, Json json) {
         Settings read = settings.read();
         List<InetSocketAddress> members = new ArrayList<>();
-        f.members().forEach(member -> members.add(EndpointList.address(member)));
+        f.members().forEach(member -> members.add(EndpointList.parseAddress(member)));
         if (members.isEmpty()) {
-            json.field("peers").entries().forEach(peer -> members.add(EndpointList.address(peer.text())));
+            json.field("peers").entries().forEach(peer -> members.add(EndpointList.parseAddress(peer.text())));
         }
         String listen = f.listen() == null ? json.field("peer_listen").text() : f.listen();
         int number = f.number() < 0 ? read.gatewayNumber() : f.number();
@@ -64,7 +64,7 @@
         }
         try {
             byte[] secret = f.secret() == null ? new byte[0] : Files.readAllBytes(f.secret());
-            return new Peering(EndpointList.address(listen), members, new Roster(number, members.size(), f.fleet(), secret),
+            return new Peering(EndpointList.parseAddress(listen), members, new Roster(number, members.size(), f.fleet(), secret),
                     new Terms(f.zones(), f.zones().indexOf(read.zone()), f.gateways(), f.regions(), f.mostOut(), f.holdNanos(), f.mostHoldNanos()));
         } catch (IOException e) {
             throw new IllegalArgumentException("can't read the file with the fleet's secret: " + e.getMessage(), e);
--- a/src/main/java/cinderhollow/daemon/Reload.java
+++ b/src/main/java/cinderhollow/daemon/Reload.java
@@ -33,7 +33,7 @@
             if (discovery.isEmpty()) {
                 throw new IllegalArgumentException("the configuration has no discovery address");
             }
-            GatewayConfig config = GatewayConfig.read(next, null, EndpointList.address(discovery),
+            GatewayConfig config = GatewayConfig.read(next, null, EndpointList.parseAddress(discovery),
                     environment.get("LB_OPERATOR"));
             gateway.retune(config).join();
             running = next;
--- a/src/main/java/cinderhollow/daemon/SmallSite.java
+++ b/src/main/java/cinderhollow/daemon/SmallSite.java
@@ -92,8 +92,8 @@
     /** Returns the configuration that the platform would otherwise provide. */
     GatewayConfig config() {
         try {
-            SocketAddress watched = discovery == null ? null : EndpointList.address(discovery);
-            return GatewayConfig.read(Json.of(whole()), EndpointList.address(listen), watched, operator);
+            SocketAddress watched = discovery == null ? null : EndpointList.parseAddress(discovery);
+            return GatewayConfig.read(Json.of(whole()), EndpointList.parseAddress(listen), watched, operator);
         } catch (IOException e) {
             throw new IllegalArgumentException(e.getMessage(), e);
         }
@@ -102,7 +102,7 @@
     private Map<String, Object> whole() {
         List<Map<String, Object>> endpoints = new ArrayList<>();
         for (String node : nodes) {
-            EndpointList.address(node);
+            EndpointList.parseAddress(node);
             endpoints.add(Map.of("name", node, "address", node, "status", "up", "weight", 1.0));
         }
         return Map.of("seed", Long.toHexString(System.nanoTime()), "limits", Map.of("sockets", SOCKETS),
--- a/src/main/java/cinderhollow/http1/HostPool.java
+++ b/src/main/java/cinderhollow/http1/HostPool.java
@@ -188,7 +188,7 @@
     private void update(Endpoint endpoint) {
         String name = endpoint.info().id();
         Host old = hosts.get(name);
-        if (endpoint.gone()) {
+        if (endpoint.isGone()) {
             hosts.remove(name);
         } else if (old == null || !old.is(endpoint)) {
             hosts.put(name, new Host(endpoint));
@@ -199,7 +199,7 @@
         }
         if (old != null) {
             old.keepConnections(false);
-            if (!endpoint.gone()) {
+            if (!endpoint.isGone()) {
                 old.breakBefore(endpoint.info().startedAtNanos());
             }
         }
--- a/src/main/java/cinderhollow/membership/EndpointList.java
+++ b/src/main/java/cinderhollow/membership/EndpointList.java
@@ -26,7 +26,7 @@
      */
     public record Endpoint(ServerInfo info, SocketAddress address) {
         /** Returns whether the endpoint has been removed. */
-        public boolean gone() {
+        public boolean isGone() {
             return info.readiness() == Readiness.GONE;
         }
     }
@@ -58,7 +58,7 @@
                 GatewayClock.ofUnixMillis(entry.field("since_ms").number(0).longValue()));
         // A removed endpoint may have no address, as no request is sent there any more.
         SocketAddress address = readiness == Readiness.GONE ? null
-                : address(entry.required("address").text());
+                : parseAddress(entry.required("address").text());
         return new Endpoint(info, address);
     }
 
@@ -72,7 +72,7 @@
     }
 
     /** Parses an address of the form {@code 10.1.0.18:8080}; throws an {@link IllegalArgumentException} on any other. */
-    public static InetSocketAddress address(String text) {
+    public static InetSocketAddress parseAddress(String text) {
         int colon = text.lastIndexOf(':');
         try {
             return new InetSocketAddress(text.substring(0, Math.max(0, colon)),
--- a/src/main/java/cinderhollow/membership/ListChanges.java
+++ b/src/main/java/cinderhollow/membership/ListChanges.java
@@ -76,7 +76,7 @@
         Map<String, Endpoint> changed = new LinkedHashMap<>();
         for (Endpoint endpoint : piece) {
             String id = endpoint.info().id();
-            if (endpoint.gone() ? known.remove(id) != null : !endpoint.equals(known.put(id, endpoint))) {
+            if (endpoint.isGone() ? known.remove(id) != null : !endpoint.equals(known.put(id, endpoint))) {
                 changed.put(id, endpoint);
             }
         }
@@ -154,7 +154,7 @@
             moved.add(id);
             // A draining server is reported as draining, not as gone: it completes the requests that it has.
             out.add(move.enters() || others.contains(id) ? endpoint : gone(endpoint));
-            keep(draining, id, !move.enters() && others.contains(id) && !endpoint.gone());
+            keep(draining, id, !move.enters() && others.contains(id) && !endpoint.isGone());
         }
         changed.forEach((id, endpoint) -> {
             if (!moved.contains(id) && (subset.has(id) || draining.contains(id))) {
--- a/src/test/java/cinderhollow/lab/ScriptedGateway.java
+++ b/src/test/java/cinderhollow/lab/ScriptedGateway.java
@@ -83,8 +83,8 @@
 
     private ScriptedGateway(Flaw flaw, Gateways.Spec spec) throws IOException {
         this.flaw = flaw;
-        InetSocketAddress listen = EndpointList.address(spec.environment().get("LB_LISTEN"));
-        discovery = EndpointList.address(spec.environment().get("LB_DISCOVERY"));
+        InetSocketAddress listen = EndpointList.parseAddress(spec.environment().get("LB_LISTEN"));
+        discovery = EndpointList.parseAddress(spec.environment().get("LB_DISCOVERY"));
         listener = new ServerSocket(listen.getPort(), 200, listen.getAddress());
         take(EndpointList.read(Json.read(Files.readString(Path.of(spec.environment().get("LB_CONFIG"))))
                 .required("known")));
--- a/src/test/java/cinderhollow/membership/ListChangesTest.java
+++ b/src/test/java/cinderhollow/membership/ListChangesTest.java
@@ -90,7 +90,7 @@
                 Endpoint endpoint = endpoint(random.nextInt(400), Readiness.values()[random.nextInt(3)], random.nextInt(3));
                 moved.add(endpoint);
                 list.put(endpoint.info().id(), endpoint);
-                if (endpoint.gone()) {
+                if (endpoint.isGone()) {
                     list.remove(endpoint.info().id());
                 }
             }
@@ -117,7 +117,7 @@
 
     private static void hear(Map<String, Endpoint> held, List<Endpoint> told) {
         for (Endpoint endpoint : told) {
-            if (endpoint.gone()) {
+            if (endpoint.isGone()) {
                 held.remove(endpoint.info().id());
             } else {
                 held.put(endpoint.info().id(), endpoint);
