--- a/src/main/java/cinderhollow/daemon/Gateway.java
+++ b/src/main/java/cinderhollow/daemon/Gateway.java
@@ -32,7 +32,7 @@
 import cinderhollow.membership.Discovery;
 import cinderhollow.membership.EndpointList.Endpoint;
 import cinderhollow.membership.EndpointList;
-import cinderhollow.membership.ListChanges;
+import cinderhollow.membership.EndpointListDiffer;
 import cinderhollow.membership.StartTimes;
 import cinderhollow.membership.Subset;
 import cinderhollow.ops.Standing;
@@ -161,7 +161,7 @@
     /** Gateways of the other event loops, which receive each list from this one. */
     private List<Gateway> followers = List.of();
     /** Null where the list is small and applied as it is received. */
-    private ListChanges changes;
+    private EndpointListDiffer changes;
     /** Applies the portions of {@link #changes}. */
     private InTurn portions;
     /** The listener shared by all loops, which stops with this gateway; null where each loop has its own. */
@@ -257,13 +257,13 @@
         }
         EndpointList known = startTimes.convertCached(config.known(), clock.nanos());
         if (config.scale() != null && config.scale().place() != null) {
-            follow(new ListChanges(new Subset(config.scale().place())));
+            follow(new EndpointListDiffer(new Subset(config.scale().place())));
             loop.scheduleAtFixedRate(() -> {
                 changes.tick(clock.nanos());
                 portions.goOn();
             }, 1, 1, TimeUnit.SECONDS);
-            changes.tell(known);
-            changes.rest().forEach(this::take);
+            changes.add(known);
+            changes.takeAll().forEach(this::take);
             return;
         }
         // Without discovery, the configured list is the current one and not a cached one.
@@ -772,24 +772,24 @@
         askedForList = true;
         listIndex = list.index();
         if (changes != null) {
-            changes.tell(list);
+            changes.add(list);
             portions.goOn();
             return;
         }
         if (list.endpoints().size() > LARGE_LIST) {
             // Applied whole this once; from now on a complete list is compared with the last one, and only the differences
             // are applied.
-            follow(new ListChanges(null));
-            changes.tell(list);
-            changes.rest();
+            follow(new EndpointListDiffer(null));
+            changes.add(list);
+            changes.takeAll();
         }
         take(list.snapshot() ? ListKind.WHOLE : ListKind.CHANGES, list);
     }
 
     /** Applies changes of the list in portions from now on. */
-    private void follow(ListChanges list) {
+    private void follow(EndpointListDiffer list) {
         changes = list;
-        portions = new InTurn(loop, list::waits, this::takeNext);
+        portions = new InTurn(loop, list::hasPending, this::takeNext);
     }
 
     private void takeNext() {
@@ -800,8 +800,8 @@
     }
 
     private void take(EndpointList portion) {
-        if (changes.ofSubset() && sharers != changes.sharers()) {
-            sharers = changes.sharers();
+        if (changes.hasSubset() && sharers != changes.gatewaysPerServer()) {
+            sharers = changes.gatewaysPerServer();
             tell(new GatewaysPerServerChanged(sharers));
             log("using " + changes.summary() + ", shared by " + sharers + " gateways each");
         }
@@ -1019,7 +1019,7 @@
             if (entry != null) {
                 attemptSheet.end(entry.account, outcome, id);
             }
-            if (changes != null && changes.ofSubset()) {
+            if (changes != null && changes.hasSubset()) {
                 judge(outcome);
             }
             return attempts.indexOf(attempt);
@@ -1058,7 +1058,7 @@
          */
         private void judge(Outcome outcome) {
             if (outcome != Outcome.FULL && outcome != Outcome.CANCELLED && outcome != Outcome.NOT_SENT) {
-                changes.ended(outcome == Outcome.SERVED);
+                changes.recordOutcome(outcome == Outcome.SERVED);
             }
         }
 
--- a/src/main/java/cinderhollow/membership/ListChanges.java
+++ b/src/main/java/cinderhollow/membership/EndpointListDiffer.java
@@ -19,7 +19,7 @@
  * {@link #next} compares one piece of a list and returns one portion of changes, so that the event loop can do other work between
  * two calls. Does no input or output.
  */
-public final class ListChanges {
+public final class EndpointListDiffer {
     /** Size limit of a piece or portion in endpoints; it takes the event loop a fraction of a millisecond. */
     private static final int PORTION = 256;
 
@@ -32,12 +32,12 @@
     private final ArrayDeque<EndpointList> ready = new ArrayDeque<>();
 
     /** Creates an empty list; {@code subset} is null if the gateway uses all servers. */
-    public ListChanges(Subset subset) {
+    public EndpointListDiffer(Subset subset) {
         this.subset = subset;
     }
 
     /** Queues a list; {@link #next} compares it after those that were added before. */
-    public void tell(EndpointList list) {
+    public void add(EndpointList list) {
         for (int i = 0; i < list.endpoints().size(); i += PORTION) {
             List<Endpoint> piece = list.endpoints().subList(i, Math.min(list.endpoints().size(), i + PORTION));
             pieces.add(() -> told(list.index(), piece));
@@ -48,7 +48,7 @@
     }
 
     /** Returns whether {@link #next} has something left to compare or to return. */
-    public boolean waits() {
+    public boolean hasPending() {
         return !ready.isEmpty() || !pieces.isEmpty();
     }
 
@@ -61,9 +61,9 @@
     }
 
     /** Returns all remaining portions at once, for a caller that has no other work yet. */
-    public List<EndpointList> rest() {
+    public List<EndpointList> takeAll() {
         List<EndpointList> all = new ArrayList<>();
-        while (waits()) {
+        while (hasPending()) {
             EndpointList portion = next();
             if (portion != null) {
                 all.add(portion);
@@ -106,7 +106,7 @@
      * Records how an attempt at a server of the subset ended; a request that no server of the subset could take counts as failed.
      * Only with a subset.
      */
-    public void ended(boolean well) {
+    public void recordOutcome(boolean well) {
         subset.ended(well);
     }
 
@@ -121,12 +121,12 @@
     }
 
     /** Returns whether the gateway uses a subset of the servers. */
-    public boolean ofSubset() {
+    public boolean hasSubset() {
         return subset != null;
     }
 
     /** Returns how many gateways use each server. Only with a subset. */
-    public int sharers() {
+    public int gatewaysPerServer() {
         return subset.sharers();
     }
 
--- a/src/test/java/cinderhollow/bench/ListBenchmark.java
+++ b/src/test/java/cinderhollow/bench/ListBenchmark.java
@@ -2,7 +2,7 @@
 
 import cinderhollow.membership.EndpointList;
 import cinderhollow.membership.EndpointList.Endpoint;
-import cinderhollow.membership.ListChanges;
+import cinderhollow.membership.EndpointListDiffer;
 import cinderhollow.membership.Subset;
 import cinderhollow.policy.Protocol.Readiness;
 import cinderhollow.policy.Protocol.ServerInfo;
@@ -42,8 +42,8 @@
 
     private EndpointList whole;
     private EndpointList other;
-    private ListChanges changes;
-    private ListChanges stepping = changes();
+    private EndpointListDiffer changes;
+    private EndpointListDiffer stepping = changes();
     private int turns;
 
     /** Creates two lists that differ in one server of every hundred. */
@@ -55,8 +55,8 @@
         again();
     }
 
-    private ListChanges changes() {
-        return new ListChanges(subset ? new Subset(new Subset.Place(200, Map.of("a", GATEWAYS), "a", 7)) : null);
+    private EndpointListDiffer changes() {
+        return new EndpointListDiffer(subset ? new Subset(new Subset.Place(200, Map.of("a", GATEWAYS), "a", 7)) : null);
     }
 
     private static EndpointList list(long startOfSome) {
@@ -71,24 +71,24 @@
     /** Applies a full list in which a hundred servers differ from the list before it. */
     @Benchmark
     public Object again() {
-        changes.tell(++turns % 2 == 0 ? whole : other);
-        return changes.rest();
+        changes.add(++turns % 2 == 0 ? whole : other);
+        return changes.takeAll();
     }
 
     /** Applies the first list of a gateway. */
     @Benchmark
     public Object first() {
-        ListChanges anew = changes();
-        anew.tell(whole);
-        return anew.rest();
+        EndpointListDiffer anew = changes();
+        anew.add(whole);
+        return anew.takeAll();
     }
 
     /** Applies one step of the first list: the time for which the event loop is blocked without a break. */
     @Benchmark
     public Object step() {
-        if (!stepping.waits()) {
+        if (!stepping.hasPending()) {
             stepping = changes();
-            stepping.tell(whole);
+            stepping.add(whole);
         }
         return stepping.next();
     }
--- a/src/test/java/cinderhollow/membership/ListChangesTest.java
+++ b/src/test/java/cinderhollow/membership/ListChangesTest.java
@@ -42,10 +42,10 @@
         return list;
     }
 
-    private static List<Endpoint> told(ListChanges changes, EndpointList list) {
+    private static List<Endpoint> told(EndpointListDiffer changes, EndpointList list) {
         List<Endpoint> all = new ArrayList<>();
-        changes.tell(list);
-        for (EndpointList portion : changes.rest()) {
+        changes.add(list);
+        for (EndpointList portion : changes.takeAll()) {
             assertTrue(!portion.snapshot() && portion.endpoints().size() <= 256, "a portion is small and no snapshot");
             all.addAll(portion.endpoints());
         }
@@ -54,7 +54,7 @@
 
     @Test
     void aListToldWholeAgainComesToWhatDiffers() {
-        ListChanges changes = new ListChanges(null);
+        EndpointListDiffer changes = new EndpointListDiffer(null);
         assertEquals(10_000, told(changes, list(true, many(0, 10_000))).size());
         assertEquals(List.of(), told(changes, list(true, many(0, 10_000))));
         List<Endpoint> next = many(1, 10_000);
@@ -67,7 +67,7 @@
 
     @Test
     void changesAreToldOnceAndWhatNobodyKnowsIsNotTakenAway() {
-        ListChanges changes = new ListChanges(null);
+        EndpointListDiffer changes = new EndpointListDiffer(null);
         told(changes, list(true, many(0, 3)));
         assertEquals(List.of(), told(changes, list(false, List.of(up(1), endpoint(9, Readiness.GONE, 0)))));
         assertEquals(List.of(endpoint(1, Readiness.GONE, 0)), told(changes, list(false, List.of(endpoint(1, Readiness.GONE, 0)))));
@@ -79,7 +79,7 @@
     void whatIsToldAddsUpToTheSubsetsPartOfTheList(long seed) {
         SplittableRandom random = new SplittableRandom(seed);
         Subset subset = new Subset(new Subset.Place(30, Map.of("a", 20, "b", 15), "b", 4));
-        ListChanges changes = new ListChanges(subset);
+        EndpointListDiffer changes = new EndpointListDiffer(subset);
         Map<String, Endpoint> list = new LinkedHashMap<>();
         Map<String, Endpoint> held = new HashMap<>();
         long now = 0;
@@ -97,11 +97,11 @@
             hear(held, told(changes, whole ? list(true, List.copyOf(list.values())) : list(false, moved)));
             if (random.nextInt(20) == 0) {
                 for (int i = 0; i < 40; i++) {
-                    changes.ended(random.nextInt(4) == 0);
+                    changes.recordOutcome(random.nextInt(4) == 0);
                 }
                 now += 1_000_000_000L;
                 changes.tick(now);
-                changes.rest().forEach(portion -> hear(held, portion.endpoints()));
+                changes.takeAll().forEach(portion -> hear(held, portion.endpoints()));
             }
             list.forEach((id, endpoint) -> {
                 if (subset.has(id)) {
