--- a/src/main/java/cinderhollow/daemon/Operator.java
+++ b/src/main/java/cinderhollow/daemon/Operator.java
@@ -3,7 +3,7 @@
 import cinderhollow.core.Json;
 import cinderhollow.evacuation.Terms;
 import cinderhollow.membership.EndpointList;
-import cinderhollow.membership.Subset.Place;
+import cinderhollow.membership.Subset.FleetPosition;
 import cinderhollow.operator.Books;
 import cinderhollow.operator.Fellows;
 import cinderhollow.operator.Finding;
@@ -77,8 +77,8 @@
     }
 
     private static Scale scale(Growth growth) {
-        Place place = growth.subset() == 0 ? null
-                : new Place(growth.subset(), growth.gateways(), growth.zone(), growth.number());
+        FleetPosition place = growth.subset() == 0 ? null
+                : new FleetPosition(growth.subset(), growth.gateways(), growth.zone(), growth.number());
         return growth.loops() == 1 && place == null ? null : new Scale(growth.loops(), growth.eachListens(), false, place);
     }
 
--- a/src/main/java/cinderhollow/daemon/Scale.java
+++ b/src/main/java/cinderhollow/daemon/Scale.java
@@ -1,6 +1,6 @@
 package cinderhollow.daemon;
 
-import cinderhollow.membership.Subset.Place;
+import cinderhollow.membership.Subset.FleetPosition;
 import java.util.HashMap;
 import java.util.Map;
 
@@ -13,14 +13,14 @@
  * @param follows whether this loop receives the endpoint list from another loop
  * @param place the process's place among the gateways that divide the servers into subsets, or null where each uses all
  */
-record Scale(int loops, boolean eachListens, boolean follows, Place place) {
+record Scale(int loops, boolean eachListens, boolean follows, FleetPosition place) {
     /** Returns the configuration of one loop, which counts as one gateway among all loops of all processes. */
     Scale of(int loop) {
         if (place == null) {
             return new Scale(1, eachListens, loop > 0, null);
         }
         Map<String, Integer> gateways = new HashMap<>();
-        place.gateways().forEach((zone, count) -> gateways.put(zone, count * loops));
-        return new Scale(1, eachListens, loop > 0, new Place(place.size(), gateways, place.zone(), place.number() * loops + loop));
+        place.gatewaysByZone().forEach((zone, count) -> gateways.put(zone, count * loops));
+        return new Scale(1, eachListens, loop > 0, new FleetPosition(place.subsetSize(), gateways, place.zone(), place.number() * loops + loop));
     }
 }
--- a/src/main/java/cinderhollow/membership/EndpointListDiffer.java
+++ b/src/main/java/cinderhollow/membership/EndpointListDiffer.java
@@ -157,8 +157,8 @@
             keep(draining, id, !move.enters() && others.contains(id) && !endpoint.isGone());
         }
         changed.forEach((id, endpoint) -> {
-            if (!moved.contains(id) && (subset.has(id) || draining.contains(id))) {
-                boolean away = !subset.has(id) && endpoint.info().readiness() == Readiness.READY;
+            if (!moved.contains(id) && (subset.contains(id) || draining.contains(id))) {
+                boolean away = !subset.contains(id) && endpoint.info().readiness() == Readiness.READY;
                 out.add(away ? gone(endpoint) : endpoint);
                 keep(draining, id, endpoint.info().readiness() == Readiness.DRAINING);
             }
--- a/src/main/java/cinderhollow/membership/Subset.java
+++ b/src/main/java/cinderhollow/membership/Subset.java
@@ -34,19 +34,19 @@
     /**
      * A gateway's position in the fleet.
      *
-     * @param size approximate number of servers that a gateway uses
-     * @param gateways number of gateways by zone; a single entry of any name if there are no zones
+     * @param subsetSize approximate number of servers that a gateway uses
+     * @param gatewaysByZone number of gateways by zone; a single entry of any name if there are no zones
      * @param zone the gateway's own zone
      * @param number the gateway's number within its zone, from 0
      */
-    public record Place(int size, Map<String, Integer> gateways, String zone, int number) {
+    public record FleetPosition(int subsetSize, Map<String, Integer> gatewaysByZone, String zone, int number) {
         /** Checks the position; throws an {@link IllegalArgumentException} if there is no such gateway or the size is below 1. */
-        public Place {
-            gateways = Map.copyOf(gateways);
-            Integer here = gateways.get(zone);
-            if (size < 1 || here == null || number < 0 || number >= here) {
+        public FleetPosition {
+            gatewaysByZone = Map.copyOf(gatewaysByZone);
+            Integer here = gatewaysByZone.get(zone);
+            if (subsetSize < 1 || here == null || number < 0 || number >= here) {
                 throw new IllegalArgumentException("subset: no gateway " + number + " of zone '" + zone + "' among "
-                        + gateways + ", or a size below 1");
+                        + gatewaysByZone + ", or a size below 1");
             }
         }
     }
@@ -89,7 +89,7 @@
         }
     }
 
-    private final Place place;
+    private final FleetPosition place;
     private final TreeMap<String, Integer> gateways;
     private final int allGateways;
     private final Map<String, Node> nodes = new HashMap<>();
@@ -104,9 +104,9 @@
     private long calmNanos = CALM_NANOS;
 
     /** Creates the empty subset of the gateway in this position. */
-    public Subset(Place place) {
+    public Subset(FleetPosition place) {
         this.place = place;
-        gateways = new TreeMap<>(place.gateways);
+        gateways = new TreeMap<>(place.gatewaysByZone);
         allGateways = gateways.values().stream().mapToInt(Integer::intValue).sum();
     }
 
@@ -176,7 +176,7 @@
     }
 
     /** Returns whether the server is in the subset. */
-    public boolean has(String id) {
+    public boolean contains(String id) {
         Node node = nodes.get(id);
         return node != null && node.in;
     }
@@ -242,7 +242,7 @@
     }
 
     private double each() {
-        double each = stepped((double) allGateways * place.size / Math.max(1, nodes.size()));
+        double each = stepped((double) allGateways * place.subsetSize / Math.max(1, nodes.size()));
         return Math.min(allGateways, Math.max(LEAST_PICKS, each));
     }
 
@@ -282,7 +282,7 @@
     /** Decides for every server whether it is selected; widens the subset while it is smaller than half of its intended size. */
     private void fill(List<Move> moves) {
         nodes.forEach((id, node) -> settle(id, node, moves));
-        while (2 * members < Math.min(place.size, nodes.size())) {
+        while (2 * members < Math.min(place.subsetSize, nodes.size())) {
             width *= WIDER;
             nodes.forEach((id, node) -> settle(id, node, moves));
         }
--- a/src/test/java/cinderhollow/bench/FleetSimulation.java
+++ b/src/test/java/cinderhollow/bench/FleetSimulation.java
@@ -250,14 +250,14 @@
                 for (int g = 0; g < gateways.length; g++) {
                     byZone.merge(ZONES.get(g % ZONES.size()), 1, Integer::sum);
                 }
-                Subset subset = new Subset(new Subset.Place(size, byZone, ZONES.get(number % ZONES.size()),
+                Subset subset = new Subset(new Subset.FleetPosition(size, byZone, ZONES.get(number % ZONES.size()),
                         number / ZONES.size()));
                 Map<String, String> usable = new HashMap<>();
                 for (Node node : nodes) {
                     usable.put(node.info.id(), node.info.zone());
                 }
                 subset.update(usable, List.of());
-                usable.keySet().stream().filter(subset::has).map(FleetSimulation::number).sorted().forEach(chosen::add);
+                usable.keySet().stream().filter(subset::contains).map(FleetSimulation::number).sorted().forEach(chosen::add);
                 return chosen;
             }
             for (int i = 0; i < nodes.length; i++) {
--- a/src/test/java/cinderhollow/bench/ListBenchmark.java
+++ b/src/test/java/cinderhollow/bench/ListBenchmark.java
@@ -56,7 +56,7 @@
     }
 
     private EndpointListDiffer changes() {
-        return new EndpointListDiffer(subset ? new Subset(new Subset.Place(200, Map.of("a", GATEWAYS), "a", 7)) : null);
+        return new EndpointListDiffer(subset ? new Subset(new Subset.FleetPosition(200, Map.of("a", GATEWAYS), "a", 7)) : null);
     }
 
     private static EndpointList list(long startOfSome) {
--- a/src/test/java/cinderhollow/membership/ListChangesTest.java
+++ b/src/test/java/cinderhollow/membership/ListChangesTest.java
@@ -78,7 +78,7 @@
     @ValueSource(longs = {1, 2, 3, 4, 5})
     void whatIsToldAddsUpToTheSubsetsPartOfTheList(long seed) {
         SplittableRandom random = new SplittableRandom(seed);
-        Subset subset = new Subset(new Subset.Place(30, Map.of("a", 20, "b", 15), "b", 4));
+        Subset subset = new Subset(new Subset.FleetPosition(30, Map.of("a", 20, "b", 15), "b", 4));
         EndpointListDiffer changes = new EndpointListDiffer(subset);
         Map<String, Endpoint> list = new LinkedHashMap<>();
         Map<String, Endpoint> held = new HashMap<>();
@@ -104,7 +104,7 @@
                 changes.takeAll().forEach(portion -> hear(held, portion.endpoints()));
             }
             list.forEach((id, endpoint) -> {
-                if (subset.has(id)) {
+                if (subset.contains(id)) {
                     assertEquals(endpoint, held.get(id), id);
                 } else if (held.containsKey(id)) {
                     assertEquals(Readiness.DRAINING, held.get(id).info().readiness(), id + " is not in the subset");
--- a/src/test/java/cinderhollow/membership/SubsetTest.java
+++ b/src/test/java/cinderhollow/membership/SubsetTest.java
@@ -37,7 +37,7 @@
         }
         List<Subset> fleet = new ArrayList<>();
         for (int g = 0; g < gateways; g++) {
-            Subset subset = new Subset(new Subset.Place(size, byZone, ZONES.get(g % ZONES.size()), g / ZONES.size()));
+            Subset subset = new Subset(new Subset.FleetPosition(size, byZone, ZONES.get(g % ZONES.size()), g / ZONES.size()));
             subset.update(nodes, List.of());
             fleet.add(subset);
         }
@@ -46,7 +46,7 @@
 
     private static Map<String, Integer> gatewaysOf(List<Subset> fleet, Map<String, String> nodes) {
         Map<String, Integer> counts = new HashMap<>();
-        nodes.keySet().forEach(id -> counts.put(id, (int) fleet.stream().filter(s -> s.has(id)).count()));
+        nodes.keySet().forEach(id -> counts.put(id, (int) fleet.stream().filter(s -> s.contains(id)).count()));
         return counts;
     }
 
@@ -54,7 +54,7 @@
         Set<String> pairs = new HashSet<>();
         for (int g = 0; g < fleet.size(); g++) {
             for (String id : nodes.keySet()) {
-                if (fleet.get(g).has(id)) {
+                if (fleet.get(g).contains(id)) {
                     pairs.add(g + " " + id);
                 }
             }
@@ -87,7 +87,7 @@
         for (Subset subset : fleet(90, 300, nodes)) {
             assertTrue(subset.size() > 230 && subset.size() < 370, "size " + subset.size());
             for (String zone : ZONES) {
-                long here = nodes.entrySet().stream().filter(e -> e.getValue().equals(zone) && subset.has(e.getKey())).count();
+                long here = nodes.entrySet().stream().filter(e -> e.getValue().equals(zone) && subset.contains(e.getKey())).count();
                 // About 150 of its own zone and 75 of each other zone.
                 assertTrue(here >= 40 && here <= 200, zone + " has " + here);
             }
@@ -146,7 +146,7 @@
         List<String> ids = new ArrayList<>(nodes.keySet());
         Collections.reverse(ids);
         ids.forEach(id -> again.update(Map.of(id, nodes.get(id)), List.of()));
-        nodes.keySet().forEach(id -> assertEquals(whole.has(id), again.has(id), id));
+        nodes.keySet().forEach(id -> assertEquals(whole.contains(id), again.contains(id), id));
     }
 
     @Test
@@ -156,7 +156,7 @@
         for (Subset subset : fleet(99, 150, nodes)) {
             subset.update(Map.of(), lost);
             assertTrue(subset.size() >= 75, "size " + subset.size());
-            assertTrue(lost.stream().noneMatch(subset::has));
+            assertTrue(lost.stream().noneMatch(subset::contains));
         }
     }
 
@@ -166,12 +166,12 @@
         Map<String, String> nodes = nodes(0, 2_000);
         Subset subset = fleet(50, 100, nodes).get(3);
         int usual = subset.size();
-        Set<String> sick = new HashSet<>(nodes.keySet().stream().filter(subset::has).toList());
+        Set<String> sick = new HashSet<>(nodes.keySet().stream().filter(subset::contains).toList());
         long now = SECOND;
         subset.tick(now);
         for (int second = 0; second < 4; second++) {
             int before = subset.size();
-            List<String> members = nodes.keySet().stream().filter(subset::has).toList();
+            List<String> members = nodes.keySet().stream().filter(subset::contains).toList();
             for (int i = 0; i < 100; i++) {
                 subset.ended(!sick.contains(members.get(i * members.size() / 100)));
             }
@@ -181,7 +181,7 @@
         }
         assertTrue(subset.size() >= 2 * usual - 10, subset.size() + " servers; initially " + usual);
         assertTrue(2 * sick.size() <= subset.size() + 10, sick.size() + " of " + subset.size());
-        assertTrue(nodes.keySet().stream().filter(sick::contains).allMatch(subset::has), "servers leave a subset that widens");
+        assertTrue(nodes.keySet().stream().filter(sick::contains).allMatch(subset::contains), "servers leave a subset that widens");
         for (int second = 0; second < 120; second++) {
             for (int i = 0; i < 100; i++) {
                 subset.ended(true);
@@ -209,8 +209,8 @@
 
     @Test
     void aPlaceThatIsNoneIsRefused() {
-        assertThrows(IllegalArgumentException.class, () -> new Subset.Place(10, Map.of("a", 3), "a", 3));
-        assertThrows(IllegalArgumentException.class, () -> new Subset.Place(10, Map.of("a", 3), "b", 0));
-        assertThrows(IllegalArgumentException.class, () -> new Subset.Place(0, Map.of("a", 3), "a", 0));
+        assertThrows(IllegalArgumentException.class, () -> new Subset.FleetPosition(10, Map.of("a", 3), "a", 3));
+        assertThrows(IllegalArgumentException.class, () -> new Subset.FleetPosition(10, Map.of("a", 3), "b", 0));
+        assertThrows(IllegalArgumentException.class, () -> new Subset.FleetPosition(0, Map.of("a", 3), "a", 0));
     }
 }
