--- a/src/main/java/cinderhollow/core/AcceptErrorHandler.java
+++ b/src/main/java/cinderhollow/core/AcceptErrorHandler.java
@@ -14,9 +14,9 @@
 @Sharable
 public final class AcceptErrorHandler extends ChannelInboundHandlerAdapter {
     /** Long enough not to spin while file descriptors are exhausted, short compared with the time of any answer. */
-    private static final long PAUSE_MILLIS = 10;
+    private static final long ACCEPT_PAUSE_MILLIS = 10;
 
-    private final Consumer<Boolean> accepting;
+    private final Consumer<Boolean> acceptingSwitch;
     private long errors;
     private boolean paused;
 
@@ -24,8 +24,8 @@
      * Creates a handler that calls {@code acceptingSwitch} on the listener's event loop, with false to stop accepting and with
      * true to resume it.
      */
-    public AcceptErrorHandler(Consumer<Boolean> accepting) {
-        this.accepting = accepting;
+    public AcceptErrorHandler(Consumer<Boolean> acceptingSwitch) {
+        this.acceptingSwitch = acceptingSwitch;
     }
 
     /** Creates a handler that switches the channel's auto-read off and on; for listeners that otherwise always accept. */
@@ -45,16 +45,16 @@
             return;
         }
         paused = true;
-        accept(ctx, false);
+        setAccepting(ctx, false);
         ctx.executor().schedule(() -> {
             paused = false;
-            accept(ctx, true);
-        }, PAUSE_MILLIS, TimeUnit.MILLISECONDS);
+            setAccepting(ctx, true);
+        }, ACCEPT_PAUSE_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    private void accept(ChannelHandlerContext ctx, boolean on) {
-        if (accepting != null) {
-            accepting.accept(on);
+    private void setAccepting(ChannelHandlerContext ctx, boolean on) {
+        if (acceptingSwitch != null) {
+            acceptingSwitch.accept(on);
         } else if (ctx.channel().isOpen()) {
             ctx.channel().config().setAutoRead(on);
         }
--- a/src/main/java/cinderhollow/core/ConnectFutures.java
+++ b/src/main/java/cinderhollow/core/ConnectFutures.java
@@ -16,10 +16,10 @@
      * Runs the action on the event loop once the connecting channel has closed, also if it failed for lack of a socket. Tasks
      * that the event loop already has for the closing itself run first. The action may be run twice.
      */
-    public static void onClose(ChannelFuture dial, EventLoop loop, Runnable action) {
-        dial.channel().closeFuture().addListener(closed -> loop.execute(action));
-        dial.addListener(done -> {
-            if (!done.isSuccess() && !dial.channel().isRegistered()) {
+    public static void onClose(ChannelFuture connectFuture, EventLoop loop, Runnable action) {
+        connectFuture.channel().closeFuture().addListener(closed -> loop.execute(action));
+        connectFuture.addListener(done -> {
+            if (!done.isSuccess() && !connectFuture.channel().isRegistered()) {
                 loop.execute(action);
             }
         });
--- a/src/main/java/cinderhollow/core/EventLoopLag.java
+++ b/src/main/java/cinderhollow/core/EventLoopLag.java
@@ -17,36 +17,36 @@
     /** Time between two ticks; input may have been waiting in a socket for as long before it is read. */
     public static final long TICK_INTERVAL_NANOS = TimeUnit.MILLISECONDS.toNanos(20);
     /** A tick that is late by no more than this is on time: timers are coarse, and each task before it takes some time. */
-    private static final long ON_TIME_NANOS = TimeUnit.MILLISECONDS.toNanos(10);
+    private static final long ON_TIME_TOLERANCE_NANOS = TimeUnit.MILLISECONDS.toNanos(10);
     /** Half-life of the decaying peak lag. */
-    private static final double HALF_NANOS = TimeUnit.SECONDS.toNanos(3);
+    private static final double HALF_LIFE_NANOS = TimeUnit.SECONDS.toNanos(3);
     /** Three ticks that are on time lie within this time; if the third last tick is older, the known socket state is stale. */
-    private static final long FRESH_NANOS = 3 * TICK_INTERVAL_NANOS + 2 * ON_TIME_NANOS;
+    private static final long STALE_AFTER_NANOS = 3 * TICK_INTERVAL_NANOS + 2 * ON_TIME_TOLERANCE_NANOS;
     private static final long NEVER = Long.MIN_VALUE / 2;
 
-    private long due = Long.MAX_VALUE;
-    private long newestBeat = NEVER;
-    private long secondBeat = NEVER;
-    private long thirdBeat = NEVER;
-    private double latest;
-    private long latestAt;
+    private long nextTickDueAt = Long.MAX_VALUE;
+    private long lastTickAt = NEVER;
+    private long secondLastTickAt = NEVER;
+    private long thirdLastTickAt = NEVER;
+    private double peakLag;
+    private long peakLagAt;
 
     /** Sets when the next tick is due. */
     public void expectTick(long at) {
-        due = at;
+        nextTickDueAt = at;
     }
 
     /** Records that the due tick has come now, and returns how late it is. */
     public long recordTick(long now) {
-        thirdBeat = secondBeat;
-        secondBeat = newestBeat;
-        newestBeat = now;
-        double late = now - due;
-        if (late >= latest(now)) {
-            latest = late;
-            latestAt = now;
+        thirdLastTickAt = secondLastTickAt;
+        secondLastTickAt = lastTickAt;
+        lastTickAt = now;
+        double late = now - nextTickDueAt;
+        if (late >= peakLag(now)) {
+            peakLag = late;
+            peakLagAt = now;
         }
-        return now - due;
+        return now - nextTickDueAt;
     }
 
     /**
@@ -54,11 +54,11 @@
      * own observations while the event loop itself is late.
      */
     public long recentPeakLag(long now) {
-        return (long) latest(now);
+        return (long) peakLag(now);
     }
 
-    private double latest(long now) {
-        return latest * Math.pow(2, (latestAt - now) / HALF_NANOS);
+    private double peakLag(long now) {
+        return peakLag * Math.pow(2, (peakLagAt - now) / HALF_LIFE_NANOS);
     }
 
     /**
@@ -67,12 +67,12 @@
      * is read after such a tick may therefore have been waiting as long as input that is read before it.
      */
     public long earliestArrival(long now) {
-        boolean newestWasLate = secondBeat != NEVER && newestBeat - secondBeat > TICK_INTERVAL_NANOS + ON_TIME_NANOS;
-        if (newestWasLate) {
-            return secondBeat;
+        boolean lastTickWasLate = secondLastTickAt != NEVER && lastTickAt - secondLastTickAt > TICK_INTERVAL_NANOS + ON_TIME_TOLERANCE_NANOS;
+        if (lastTickWasLate) {
+            return secondLastTickAt;
         }
-        boolean overdue = due != Long.MAX_VALUE && now - due > ON_TIME_NANOS;
-        return overdue ? due - TICK_INTERVAL_NANOS : now;
+        boolean overdue = nextTickDueAt != Long.MAX_VALUE && now - nextTickDueAt > ON_TIME_TOLERANCE_NANOS;
+        return overdue ? nextTickDueAt - TICK_INTERVAL_NANOS : now;
     }
 
     /**
@@ -80,11 +80,11 @@
      * listener's backlog, with bytes received, since before a time in which the event loop was late.
      */
     public long earliestArrivalOnNewConnection(long now) {
-        return isStale(now) && thirdBeat != NEVER ? thirdBeat : earliestArrival(now);
+        return isStale(now) && thirdLastTickAt != NEVER ? thirdLastTickAt : earliestArrival(now);
     }
 
     /** Returns whether the sockets were polled so long ago that the end of a connection may be waiting there unread. */
     public boolean isStale(long now) {
-        return now - thirdBeat > FRESH_NANOS;
+        return now - thirdLastTickAt > STALE_AFTER_NANOS;
     }
 }
--- a/src/main/java/cinderhollow/core/LagAwareTimers.java
+++ b/src/main/java/cinderhollow/core/LagAwareTimers.java
@@ -11,18 +11,18 @@
  */
 public record LagAwareTimers(EventLoop loop, GatewayClock clock) {
     /** A timer that fires later than this, in nanoseconds, is late because the event loop was busy or the process had no CPU. */
-    private static final long LATE_NANOS = TimeUnit.MILLISECONDS.toNanos(10);
+    private static final long LATE_THRESHOLD_NANOS = TimeUnit.MILLISECONDS.toNanos(10);
     /** The event loop polls its sockets at least once before a task with this delay runs. */
-    private static final long LOOK_MILLIS = 1;
+    private static final long NEXT_POLL_DELAY_MILLIS = 1;
 
     /**
      * Runs the task on the event loop after this many nanoseconds. Cancelling the result has no effect once the timer has fired,
      * also if the task still waits for the next poll.
      */
     public ScheduledFuture<?> schedule(long nanos, Runnable task) {
-        long due = clock.nanos() + nanos;
+        long dueAt = clock.nanos() + nanos;
         return loop.schedule(() -> {
-            if (clock.nanos() - due > LATE_NANOS) {
+            if (clock.nanos() - dueAt > LATE_THRESHOLD_NANOS) {
                 runAfterNextPoll(task);
             } else {
                 task.run();
@@ -32,6 +32,6 @@
 
     /** Runs the task after the event loop has polled its sockets once more. */
     public void runAfterNextPoll(Runnable task) {
-        loop.schedule(task, LOOK_MILLIS, TimeUnit.MILLISECONDS);
+        loop.schedule(task, NEXT_POLL_DELAY_MILLIS, TimeUnit.MILLISECONDS);
     }
 }
--- a/src/main/java/cinderhollow/core/RequestCounters.java
+++ b/src/main/java/cinderhollow/core/RequestCounters.java
@@ -2,7 +2,7 @@
 
 /** Counts the final answers and the attempts of the requests of one class. Used by the thread of one event loop only. */
 public final class RequestCounters {
-    private static final int SERVED = 200, UNAVAILABLE = 503, TOO_MANY = 429;
+    private static final int STATUS_OK = 200, STATUS_UNAVAILABLE = 503, STATUS_TOO_MANY_REQUESTS = 429;
 
     private long fulfilled;
     private long throttled;
@@ -11,9 +11,9 @@
 
     /** Counts the final answer of a request, which was sent with this HTTP status. */
     public void answered(int status) {
-        if (status == SERVED) {
+        if (status == STATUS_OK) {
             fulfilled++;
-        } else if (status == UNAVAILABLE || status == TOO_MANY) {
+        } else if (status == STATUS_UNAVAILABLE || status == STATUS_TOO_MANY_REQUESTS) {
             throttled++;
         } else {
             faulted++;
--- a/src/main/java/cinderhollow/core/SocketReads.java
+++ b/src/main/java/cinderhollow/core/SocketReads.java
@@ -6,7 +6,7 @@
 /** Reads sockets at once, without waiting for the event loop's next poll, where input that has arrived must be known now. */
 public final class SocketReads {
     /** Two reads, as the end of a connection shows only in the read after the one that returned its last byte. */
-    private static final int LOOKS = 2;
+    private static final int READ_COUNT = 2;
 
     private SocketReads() { }
 
@@ -15,7 +15,7 @@
      * channel is being read.
      */
     public static void readNow(Channel channel) {
-        for (int look = 0; look < LOOKS && channel.isActive(); look++) {
+        for (int read = 0; read < READ_COUNT && channel.isActive(); read++) {
             if (channel.unsafe() instanceof AbstractNioChannel.NioUnsafe unsafe) {
                 unsafe.read();
             }
--- a/src/main/java/cinderhollow/lifecycle/AttemptLifecycle.java
+++ b/src/main/java/cinderhollow/lifecycle/AttemptLifecycle.java
@@ -4,14 +4,14 @@
  * The state machine of one attempt, which is one sending of a request to one server. Not thread-safe.
  */
 public final class AttemptLifecycle {
-    private final String request;
+    private final String requestId;
     private final TransitionMonitor monitor;
     private AttemptState state = AttemptState.WAITING;
-    private boolean lastByteTaken;
+    private boolean lastByteWritten;
 
     /** Creates an attempt of the request with this id, in state {@code WAITING}; the monitor records forbidden transitions. */
-    public AttemptLifecycle(String request, TransitionMonitor monitor) {
-        this.request = request;
+    public AttemptLifecycle(String requestId, TransitionMonitor monitor) {
+        this.requestId = requestId;
         this.monitor = monitor;
     }
 
@@ -25,12 +25,12 @@
      * then the state stays as it is, and the result is false.
      */
     public boolean transitionTo(AttemptState next) {
-        if (!state.mayBecome(next)) {
-            monitor.forbidden("an attempt of request " + request, state, next);
+        if (!state.canTransitionTo(next)) {
+            monitor.reportForbidden("an attempt of request " + requestId, state, next);
             return false;
         }
         state = next;
-        lastByteTaken |= next == AttemptState.WRITTEN;
+        lastByteWritten |= next == AttemptState.WRITTEN;
         return true;
     }
 
@@ -46,6 +46,6 @@
 
     /** Returns whether the operating system accepted the last byte before the attempt ended: the server may have run it. */
     public boolean mayHaveRun() {
-        return lastByteTaken;
+        return lastByteWritten;
     }
 }
--- a/src/main/java/cinderhollow/lifecycle/AttemptState.java
+++ b/src/main/java/cinderhollow/lifecycle/AttemptState.java
@@ -16,14 +16,14 @@
     /** The outcome of the attempt is known, or nobody waits for it any more. */
     ENDED;
 
-    private static final Map<AttemptState, Set<AttemptState>> NEXT = new EnumMap<>(Map.of(
+    private static final Map<AttemptState, Set<AttemptState>> ALLOWED_TRANSITIONS = new EnumMap<>(Map.of(
             WAITING, EnumSet.of(WRITING, ENDED),
             WRITING, EnumSet.of(WRITTEN, ENDED),
             WRITTEN, EnumSet.of(ENDED),
             ENDED, EnumSet.noneOf(AttemptState.class)));
 
     /** Returns whether a transition from this state to {@code next} is allowed. */
-    public boolean mayBecome(AttemptState next) {
-        return NEXT.get(this).contains(next);
+    public boolean canTransitionTo(AttemptState next) {
+        return ALLOWED_TRANSITIONS.get(this).contains(next);
     }
 }
--- a/src/main/java/cinderhollow/lifecycle/RequestLifecycle.java
+++ b/src/main/java/cinderhollow/lifecycle/RequestLifecycle.java
@@ -53,8 +53,8 @@
      * then the state stays as it is, and the result is false.
      */
     public boolean transitionTo(RequestState next) {
-        if (!state.mayBecome(next)) {
-            monitor.forbidden("request " + id, state, next);
+        if (!state.canTransitionTo(next)) {
+            monitor.reportForbidden("request " + id, state, next);
             return false;
         }
         state = next;
@@ -73,7 +73,7 @@
                 : !serverAvailable.getAsBoolean() ? SendDecision.SERVER_UNAVAILABLE
                 : SendDecision.SEND;
         if (decision != SendDecision.SEND) {
-            monitor.withheld(id, decision);
+            monitor.reportWithheld(id, decision);
         }
         return decision;
     }
--- a/src/main/java/cinderhollow/lifecycle/RequestState.java
+++ b/src/main/java/cinderhollow/lifecycle/RequestState.java
@@ -18,7 +18,7 @@
     /** The client closed its connection, or the connection broke, before the answer was complete. */
     ABANDONED;
 
-    private static final Map<RequestState, Set<RequestState>> NEXT = new EnumMap<>(Map.of(
+    private static final Map<RequestState, Set<RequestState>> ALLOWED_TRANSITIONS = new EnumMap<>(Map.of(
             RECEIVING, EnumSet.of(PENDING, RESPONDING, COMPLETED, ABANDONED),
             PENDING, EnumSet.of(RESPONDING, COMPLETED, ABANDONED),
             RESPONDING, EnumSet.of(COMPLETED, ABANDONED),
@@ -26,8 +26,8 @@
             ABANDONED, EnumSet.noneOf(RequestState.class)));
 
     /** Returns whether a transition from this state to {@code next} is allowed. */
-    public boolean mayBecome(RequestState next) {
-        return NEXT.get(this).contains(next);
+    public boolean canTransitionTo(RequestState next) {
+        return ALLOWED_TRANSITIONS.get(this).contains(next);
     }
 
     /** Returns whether the final answer of the request has not begun yet. */
--- a/src/main/java/cinderhollow/lifecycle/SampledLog.java
+++ b/src/main/java/cinderhollow/lifecycle/SampledLog.java
@@ -8,8 +8,8 @@
  * the traffic. Used by the thread of one event loop only.
  */
 public final class SampledLog {
-    private static final long LOGGED_EACH = 20;
-    private static final long LOGGED_SELDOM = 100;
+    private static final long FIRST_LOGGED_COUNT = 20;
+    private static final long SAMPLING_INTERVAL = 100;
 
     private final Consumer<String> log;
     private long count;
@@ -22,7 +22,7 @@
     /** Counts one occurrence and logs it if it belongs to the sample; only then is the line built. */
     public void logSampled(Supplier<String> line) {
         count++;
-        if (count <= LOGGED_EACH || count % LOGGED_SELDOM == 0) {
+        if (count <= FIRST_LOGGED_COUNT || count % SAMPLING_INTERVAL == 0) {
             log.accept(line.get() + " (" + count + " so far)");
         }
     }
--- a/src/main/java/cinderhollow/lifecycle/TransitionMonitor.java
+++ b/src/main/java/cinderhollow/lifecycle/TransitionMonitor.java
@@ -27,7 +27,7 @@
     }
 
     /** Records a transition that the table of states does not allow; {@code subject} names the request or the attempt. */
-    void forbidden(String subject, Enum<?> from, Enum<?> to) {
+    void reportForbidden(String subject, Enum<?> from, Enum<?> to) {
         String line = "forbidden transition of " + subject + ": " + from + " to " + to;
         forbidden.logSampled(() -> line);
         if (STRICT) {
@@ -36,7 +36,7 @@
     }
 
     /** Records that an attempt of the request with this id is not sent, and why. */
-    void withheld(String request, SendDecision decision) {
+    void reportWithheld(String request, SendDecision decision) {
         withheld.get(decision).logSampled(() -> "attempt of request " + request + " not sent: " + decision.reason());
     }
 
--- a/src/main/java/cinderhollow/membership/Discovery.java
+++ b/src/main/java/cinderhollow/membership/Discovery.java
@@ -59,12 +59,12 @@
      */
     public static final long SILENCE_TIMEOUT_MILLIS = 3_500;
     /** The connect timeout, and the number of characters above which a list is parsed off the event loop. */
-    private static final int DIAL_MILLIS = 1_500, LONG_LINE = 1 << 16;
+    private static final int CONNECT_TIMEOUT_MILLIS = 1_500, MAX_INLINE_PARSE_CHARS = 1 << 16;
     /**
      * Timeout until the answer begins. Discovery queues a call for at most 2 s and then answers it. A second watch that gets no
      * answer, right after the first one fell silent, would be noticed too late by {@link #SILENCE_TIMEOUT_MILLIS} for the limit of 6 s.
      */
-    private static final long ANSWER_MILLIS = 2_500;
+    private static final long ANSWER_TIMEOUT_MILLIS = 2_500;
     /**
      * Size limits of a list in bytes, for usual fleets and for large ones of up to 100,000 servers. A longer list, or one that
      * never ends, ends the watch.
@@ -74,16 +74,16 @@
     private final EventLoop loop;
     private final Transport transport;
     private final Listener listener;
-    private final long silenceMillis;
-    private final int longestLine;
+    private final long silenceTimeoutMillis;
+    private final int maxListBytes;
     private final Consumer<String> log;
     private SocketAddress address;
     private long index;
     private Channel watch;
     /** Why this side ended the watch; null if it did not. */
-    private String endedFor;
+    private String endReason;
     /** The reason that was logged last, cleared by the next list, so that an outage is logged once and not for each call. */
-    private String lastReason;
+    private String lastLoggedReason;
 
     /**
      * Creates a watch that is not open yet. It follows the changes after the list version {@code index}.
@@ -91,14 +91,14 @@
      * @param silenceMillis a watch without any data for this long is ended
      * @param longestLine size limit of a list in bytes
      */
-    public Discovery(EventLoop loop, Transport transport, SocketAddress address, long index, long silenceMillis,
-              int longestLine, Listener listener, Consumer<String> log) {
+    public Discovery(EventLoop loop, Transport transport, SocketAddress address, long index, long silenceTimeoutMillis,
+              int maxListBytes, Listener listener, Consumer<String> log) {
         this.loop = loop;
         this.transport = transport;
         this.address = address;
         this.index = index;
-        this.silenceMillis = silenceMillis;
-        this.longestLine = longestLine;
+        this.silenceTimeoutMillis = silenceTimeoutMillis;
+        this.maxListBytes = maxListBytes;
         this.listener = listener;
         this.log = log;
     }
@@ -123,21 +123,21 @@
         if (watch != null) {
             return;
         }
-        ChannelFuture dial = new Bootstrap().group(loop).channel(transport.clientChannelType())
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, DIAL_MILLIS)
+        ChannelFuture connectFuture = new Bootstrap().group(loop).channel(transport.clientChannelType())
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MILLIS)
                 .handler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
-                        Objects objects = new Objects(longestLine);
-                        ReadTimeoutHandler answer = new ReadTimeoutHandler(ANSWER_MILLIS, TimeUnit.MILLISECONDS);
-                        channel.pipeline().addLast(new ReadTimeoutHandler(silenceMillis, TimeUnit.MILLISECONDS), answer,
-                                new HttpClientCodec(), new BodyBytes(answer), objects, new Lists(objects));
+                        JsonFrameDecoder objects = new JsonFrameDecoder(maxListBytes);
+                        ReadTimeoutHandler answer = new ReadTimeoutHandler(ANSWER_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
+                        channel.pipeline().addLast(new ReadTimeoutHandler(silenceTimeoutMillis, TimeUnit.MILLISECONDS), answer,
+                                new HttpClientCodec(), new AnswerBodyHandler(answer), objects, new ListReader(objects));
                     }
                 }).connect(address);
-        watch = dial.channel();
-        endedFor = null;
+        watch = connectFuture.channel();
+        endReason = null;
         // The close future, unlike a handler's channelInactive, also completes if the connect failed.
-        ConnectFutures.onClose(dial, loop, () -> ended(dial));
+        ConnectFutures.onClose(connectFuture, loop, () -> ended(connectFuture));
     }
 
     /** Reads at once what has arrived on the watch's socket, without waiting for the event loop's next poll. */
@@ -156,87 +156,87 @@
         }
     }
 
-    private void ended(ChannelFuture dial) {
-        if (dial.channel() == watch) {
+    private void ended(ChannelFuture connectFuture) {
+        if (connectFuture.channel() == watch) {
             watch = null;
-            logEnd(dial.cause() != null ? "can't connect: " + dial.cause() : endedFor != null ? endedFor : "closed by discovery");
+            logEnd(connectFuture.cause() != null ? "can't connect: " + connectFuture.cause() : endReason != null ? endReason : "closed by discovery");
             listener.watchEnded();
         }
     }
 
     private void logEnd(String reason) {
-        if (!reason.equals(lastReason)) {
-            lastReason = reason;
+        if (!reason.equals(lastLoggedReason)) {
+            lastLoggedReason = reason;
             log.accept("discovery: the watch at " + address + " has ended: " + reason);
         }
     }
 
     private void logList(EndpointList list) {
-        lastReason = null;
+        lastLoggedReason = null;
         log.accept("discovery: version " + list.index() + (list.snapshot() ? " full, " : " changes, ") + list.endpoints().size()
                 + " endpoints");
     }
 
     /** Closes the connection; if it is that of the current watch, the reason is logged when the watch has ended. */
-    private void endFor(ChannelHandlerContext ctx, String reason) {
-        if (ctx.channel() == watch && endedFor == null) {
-            endedFor = reason;
+    private void endWatch(ChannelHandlerContext ctx, String reason) {
+        if (ctx.channel() == watch && endReason == null) {
+            endReason = reason;
         }
         ctx.close();
     }
 
     /** Passes on the body of an answer with status 200; closes the connection after its end, and on any other answer. */
-    private final class BodyBytes extends SimpleChannelInboundHandler<HttpObject> {
+    private final class AnswerBodyHandler extends SimpleChannelInboundHandler<HttpObject> {
         /** The timeout until the answer begins; removed from the pipeline when it has begun. */
-        private final ReadTimeoutHandler unanswered;
+        private final ReadTimeoutHandler answerTimeout;
 
-        BodyBytes(ReadTimeoutHandler unanswered) {
-            this.unanswered = unanswered;
+        AnswerBodyHandler(ReadTimeoutHandler answerTimeout) {
+            this.answerTimeout = answerTimeout;
         }
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, HttpObject part) {
             if (part.decoderResult().isFailure()) {
-                endFor(ctx, "malformed HTTP answer: " + part.decoderResult().cause());
+                endWatch(ctx, "malformed HTTP answer: " + part.decoderResult().cause());
                 return;
             }
             if (part instanceof HttpResponse head && !head.status().equals(HttpResponseStatus.OK)) {
-                endFor(ctx, "unexpected HTTP status " + head.status().code());
+                endWatch(ctx, "unexpected HTTP status " + head.status().code());
                 return;
             }
             if (part instanceof HttpResponse) {
-                ctx.pipeline().remove(unanswered);
+                ctx.pipeline().remove(answerTimeout);
             }
             if (part instanceof HttpContent content) {
                 ctx.fireChannelRead(content.content().retain());
             }
             if (part instanceof LastHttpContent) {
-                endFor(ctx, "discovery ended its answer");
+                endWatch(ctx, "discovery ended its answer");
             }
         }
     }
 
     /** Splits the body into JSON objects: usually there is one on each line, but an object may be indented over many lines. */
-    private static final class Objects extends JsonObjectDecoder {
-        Objects(int longest) {
-            super(longest);
+    private static final class JsonFrameDecoder extends JsonObjectDecoder {
+        JsonFrameDecoder(int maxFrameBytes) {
+            super(maxFrameBytes);
         }
 
-        boolean isAmidst() {
+        boolean hasPartialFrame() {
             return actualReadableBytes() > 0;
         }
     }
 
     /** Sends the call and reads the answer list by list. */
-    private final class Lists extends ChannelInboundHandlerAdapter {
-        private final Objects objects;
+    private final class ListReader extends ChannelInboundHandlerAdapter {
+        private final JsonFrameDecoder frameDecoder;
         /** Number of complete lists received so far. */
-        private long told;
+        private long listsReceived;
         /** Whether a check for a list that stalls is scheduled. */
-        private boolean watched;
+        private boolean stallCheckPending;
 
-        Lists(Objects objects) {
-            this.objects = objects;
+        ListReader(JsonFrameDecoder frameDecoder) {
+            this.frameDecoder = frameDecoder;
         }
 
         /**
@@ -245,30 +245,30 @@
          */
         @Override
         public void channelReadComplete(ChannelHandlerContext ctx) {
-            if (objects.isAmidst() && !watched) {
-                watched = true;
-                long before = told;
+            if (frameDecoder.hasPartialFrame() && !stallCheckPending) {
+                stallCheckPending = true;
+                long listsBefore = listsReceived;
                 ctx.executor().schedule(() -> {
-                    watched = false;
-                    if (told == before && objects.isAmidst()) {
-                        endFor(ctx, "a list was not complete within the read timeout");
+                    stallCheckPending = false;
+                    if (listsReceived == listsBefore && frameDecoder.hasPartialFrame()) {
+                        endWatch(ctx, "a list was not complete within the read timeout");
                     }
-                }, silenceMillis, TimeUnit.MILLISECONDS);
+                }, silenceTimeoutMillis, TimeUnit.MILLISECONDS);
             }
             ctx.fireChannelReadComplete();
         }
 
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
-            DefaultFullHttpRequest ask = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET,
+            DefaultFullHttpRequest watchRequest = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET,
                     "/v1/endpoints?follow=1&since=" + index);
-            ask.headers().set(HttpHeaderNames.HOST, host());
-            ctx.writeAndFlush(ask);
+            watchRequest.headers().set(HttpHeaderNames.HOST, host());
+            ctx.writeAndFlush(watchRequest);
         }
 
         /** Lists received that wait until a long one before them has been parsed. */
-        private final ArrayDeque<String> waiting = new ArrayDeque<>();
-        private boolean reading;
+        private final ArrayDeque<String> unparsedLists = new ArrayDeque<>();
+        private boolean parsing;
 
         private String host() {
             return address instanceof InetSocketAddress a ? a.getHostString() + ":" + a.getPort() : "localhost";
@@ -276,37 +276,37 @@
 
         @Override
         public void channelRead(ChannelHandlerContext ctx, Object message) {
-            told++;
+            listsReceived++;
             try {
-                waiting.add(((ByteBuf) message).toString(StandardCharsets.UTF_8));
+                unparsedLists.add(((ByteBuf) message).toString(StandardCharsets.UTF_8));
             } finally {
                 ReferenceCountUtil.release(message);
             }
-            readOn(ctx);
+            parseNext(ctx);
         }
 
-        private void readOn(ChannelHandlerContext ctx) {
-            while (!reading && !waiting.isEmpty()) {
-                String line = waiting.poll();
-                if (line.length() > LONG_LINE) {
+        private void parseNext(ChannelHandlerContext ctx) {
+            while (!parsing && !unparsedLists.isEmpty()) {
+                String line = unparsedLists.poll();
+                if (line.length() > MAX_INLINE_PARSE_CHARS) {
                     // Off the event loop, which would stall: a list of 10,000 servers takes tens of milliseconds to parse.
-                    reading = true;
+                    parsing = true;
                     GlobalEventExecutor.INSTANCE.execute(() -> {
-                        EndpointList list = read(line);
+                        EndpointList list = parse(line);
                         loop.execute(() -> {
-                            reading = false;
-                            listed(ctx, list);
-                            readOn(ctx);
+                            parsing = false;
+                            deliver(ctx, list);
+                            parseNext(ctx);
                         });
                     });
                 } else {
-                    listed(ctx, read(line));
+                    deliver(ctx, parse(line));
                 }
             }
         }
 
         /** Parses one list; returns null if it is malformed. */
-        private EndpointList read(String line) {
+        private EndpointList parse(String line) {
             try {
                 return EndpointList.read(Json.read(line));
             } catch (IOException | RuntimeException e) {
@@ -315,11 +315,11 @@
             }
         }
 
-        private void listed(ChannelHandlerContext ctx, EndpointList list) {
+        private void deliver(ChannelHandlerContext ctx, EndpointList list) {
             if (list == null) {
                 // A malformed list leaves a gap in the changes; the next watch starts before it and receives them again.
-                waiting.clear();
-                endFor(ctx, "malformed list");
+                unparsedLists.clear();
+                endWatch(ctx, "malformed list");
             } else if (ctx.channel() == watch) {
                 index = list.index();
                 logList(list);
@@ -329,7 +329,7 @@
 
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            endFor(ctx, cause instanceof ReadTimeoutException ? "no data within the read timeout" : cause.toString());
+            endWatch(ctx, cause instanceof ReadTimeoutException ? "no data within the read timeout" : cause.toString());
         }
     }
 }
--- a/src/main/java/cinderhollow/membership/EndpointList.java
+++ b/src/main/java/cinderhollow/membership/EndpointList.java
@@ -40,7 +40,7 @@
     public static EndpointList read(Json json) {
         List<Endpoint> endpoints = new ArrayList<>();
         for (Json entry : json.required("endpoints").entries()) {
-            endpoints.add(endpoint(entry));
+            endpoints.add(readEndpoint(entry));
         }
         return new EndpointList(json.required("index").number(0).longValue(), json.field("snapshot").isTrue(), endpoints);
     }
@@ -50,8 +50,8 @@
         return endpoints.stream().map(Endpoint::info).toList();
     }
 
-    private static Endpoint endpoint(Json entry) {
-        Readiness readiness = readiness(entry.required("status").text());
+    private static Endpoint readEndpoint(Json entry) {
+        Readiness readiness = parseReadiness(entry.required("status").text());
         ServerInfo info = new ServerInfo(entry.required("name").text(), entry.field("zone").text(),
                 entry.field("type").text(), entry.field("group").number(0).intValue(), readiness,
                 entry.field("weight").number(1).doubleValue(),
@@ -62,7 +62,7 @@
         return new Endpoint(info, address);
     }
 
-    private static Readiness readiness(String status) {
+    private static Readiness parseReadiness(String status) {
         return switch (status) {
             case "up" -> Readiness.READY;
             case "draining" -> Readiness.DRAINING;
--- a/src/main/java/cinderhollow/membership/EndpointListDiffer.java
+++ b/src/main/java/cinderhollow/membership/EndpointListDiffer.java
@@ -21,15 +21,15 @@
  */
 public final class EndpointListDiffer {
     /** Size limit of a piece or portion in endpoints; it takes the event loop a fraction of a millisecond. */
-    private static final int PORTION = 256;
+    private static final int MAX_PORTION_ENDPOINTS = 256;
 
-    private final Map<String, Endpoint> known = new HashMap<>();
+    private final Map<String, Endpoint> knownEndpoints = new HashMap<>();
     private final Subset subset;
     /** Ids of servers that were reported as draining and whose removal is still to be reported. */
-    private final Set<String> draining = new HashSet<>();
+    private final Set<String> drainingIds = new HashSet<>();
     /** The steps of the comparison that are still to be run, and the portions that are ready to be returned, both in order. */
-    private final ArrayDeque<Runnable> pieces = new ArrayDeque<>();
-    private final ArrayDeque<EndpointList> ready = new ArrayDeque<>();
+    private final ArrayDeque<Runnable> pendingSteps = new ArrayDeque<>();
+    private final ArrayDeque<EndpointList> readyPortions = new ArrayDeque<>();
 
     /** Creates an empty list; {@code subset} is null if the gateway uses all servers. */
     public EndpointListDiffer(Subset subset) {
@@ -38,86 +38,86 @@
 
     /** Queues a list; {@link #next} compares it after those that were added before. */
     public void add(EndpointList list) {
-        for (int i = 0; i < list.endpoints().size(); i += PORTION) {
-            List<Endpoint> piece = list.endpoints().subList(i, Math.min(list.endpoints().size(), i + PORTION));
-            pieces.add(() -> told(list.index(), piece));
+        for (int i = 0; i < list.endpoints().size(); i += MAX_PORTION_ENDPOINTS) {
+            List<Endpoint> piece = list.endpoints().subList(i, Math.min(list.endpoints().size(), i + MAX_PORTION_ENDPOINTS));
+            pendingSteps.add(() -> applyPiece(list.index(), piece));
         }
         if (list.snapshot()) {
-            pieces.add(() -> toldOnly(list));
+            pendingSteps.add(() -> removeUnlisted(list));
         }
     }
 
     /** Returns whether {@link #next} has something left to compare or to return. */
     public boolean hasPending() {
-        return !ready.isEmpty() || !pieces.isEmpty();
+        return !readyPortions.isEmpty() || !pendingSteps.isEmpty();
     }
 
     /** Returns the next portion of changes, after comparing one more piece if none is ready; null if it has no changes. */
     public EndpointList next() {
-        if (ready.isEmpty() && !pieces.isEmpty()) {
-            pieces.poll().run();
+        if (readyPortions.isEmpty() && !pendingSteps.isEmpty()) {
+            pendingSteps.poll().run();
         }
-        return ready.poll();
+        return readyPortions.poll();
     }
 
     /** Returns all remaining portions at once, for a caller that has no other work yet. */
     public List<EndpointList> takeAll() {
-        List<EndpointList> all = new ArrayList<>();
+        List<EndpointList> portions = new ArrayList<>();
         while (hasPending()) {
             EndpointList portion = next();
             if (portion != null) {
-                all.add(portion);
+                portions.add(portion);
             }
         }
-        return all;
+        return portions;
     }
 
-    private void told(long index, List<Endpoint> piece) {
+    private void applyPiece(long index, List<Endpoint> piece) {
         Map<String, Endpoint> changed = new LinkedHashMap<>();
         for (Endpoint endpoint : piece) {
             String id = endpoint.info().id();
-            if (endpoint.isGone() ? known.remove(id) != null : !endpoint.equals(known.put(id, endpoint))) {
+            if (endpoint.isGone() ? knownEndpoints.remove(id) != null : !endpoint.equals(knownEndpoints.put(id, endpoint))) {
                 changed.put(id, endpoint);
             }
         }
-        comeTo(index, changed);
+        addChanges(index, changed);
     }
 
     /** Removes the endpoints that a snapshot no longer lists. */
-    private void toldOnly(EndpointList list) {
-        Set<String> named = new HashSet<>(2 * list.endpoints().size());
-        list.endpoints().forEach(endpoint -> named.add(endpoint.info().id()));
+    private void removeUnlisted(EndpointList list) {
+        Set<String> listedIds = new HashSet<>(2 * list.endpoints().size());
+        list.endpoints().forEach(endpoint -> listedIds.add(endpoint.info().id()));
         Map<String, Endpoint> changed = new LinkedHashMap<>();
-        known.values().removeIf(endpoint -> {
-            boolean missing = !named.contains(endpoint.info().id());
+        knownEndpoints.values().removeIf(endpoint -> {
+            boolean missing = !listedIds.contains(endpoint.info().id());
             if (missing) {
-                changed.put(endpoint.info().id(), gone(endpoint));
+                changed.put(endpoint.info().id(), asGone(endpoint));
             }
             return missing;
         });
-        comeTo(list.index(), changed);
+        addChanges(list.index(), changed);
     }
 
-    private void comeTo(long index, Map<String, Endpoint> changed) {
-        makeReady(index, subset == null ? List.copyOf(changed.values()) : ofSubset(changed));
+    private void addChanges(long index, Map<String, Endpoint> changed) {
+        enqueuePortions(index, subset == null ? List.copyOf(changed.values()) : filterBySubset(changed));
     }
 
     /**
      * Records how an attempt at a server of the subset ended; a request that no server of the subset could take counts as failed.
      * Only with a subset.
      */
-    public void recordOutcome(boolean well) {
-        subset.ended(well);
+    public void recordOutcome(boolean success) {
+        subset.recordOutcome(success);
     }
 
     /** Widens or narrows the subset if that is due, and queues the resulting changes. Only with a subset. */
     public void tick(long now) {
-        List<Endpoint> moved = new ArrayList<>();
-        for (Subset.Move move : subset.tick(now)) {
-            Endpoint endpoint = known.get(move.node());
-            moved.add(move.enters() ? endpoint : gone(endpoint));
+        List<Endpoint> changed = new ArrayList<>();
+        for (Subset.Change change : subset.tick(now)) {
+            Endpoint endpoint = knownEndpoints.get(change.serverId());
+            changed.add(change.added() ? endpoint : asGone(endpoint));
         }
-        makeReady(0, moved);
+        enqueuePortions(0, changed);
     }
 
     /** Returns whether the gateway uses a subset of the servers. */
@@ -127,66 +127,66 @@
 
     /** Returns how many gateways use each server. Only with a subset. */
     public int gatewaysPerServer() {
-        return subset.sharers();
+        return subset.gatewaysPerServer();
     }
 
     /** Returns a log text: how many of the known servers are used, and how much the subset is widened. Only with a subset. */
     public String summary() {
-        return subset.size() + " of " + known.size() + " servers" + (subset.width() > 1
+        return subset.size() + " of " + knownEndpoints.size() + " servers" + (subset.width() > 1
                 ? ", " + subset.width() + " times the usual width" : "");
     }
 
-    private List<Endpoint> ofSubset(Map<String, Endpoint> changed) {
+    private List<Endpoint> filterBySubset(Map<String, Endpoint> changed) {
         Map<String, String> usable = new LinkedHashMap<>();
-        Set<String> others = new LinkedHashSet<>();
+        Set<String> unusable = new LinkedHashSet<>();
         changed.forEach((id, endpoint) -> {
             if (endpoint.info().readiness() == Readiness.READY) {
                 usable.put(id, endpoint.info().zone());
             } else {
-                others.add(id);
+                unusable.add(id);
             }
         });
-        List<Endpoint> out = new ArrayList<>();
-        Set<String> moved = new HashSet<>();
-        for (Subset.Move move : subset.update(usable, others)) {
-            String id = move.node();
-            Endpoint endpoint = changed.containsKey(id) ? changed.get(id) : known.get(id);
-            moved.add(id);
+        List<Endpoint> result = new ArrayList<>();
+        Set<String> subsetChanges = new HashSet<>();
+        for (Subset.Change change : subset.update(usable, unusable)) {
+            String id = change.serverId();
+            Endpoint endpoint = changed.containsKey(id) ? changed.get(id) : knownEndpoints.get(id);
+            subsetChanges.add(id);
             // A draining server is reported as draining, not as gone: it completes the requests that it has.
-            out.add(move.enters() || others.contains(id) ? endpoint : gone(endpoint));
-            keep(draining, id, !move.enters() && others.contains(id) && !endpoint.isGone());
+            result.add(change.added() || unusable.contains(id) ? endpoint : asGone(endpoint));
+            setContained(drainingIds, id, !change.added() && unusable.contains(id) && !endpoint.isGone());
         }
         changed.forEach((id, endpoint) -> {
-            if (!moved.contains(id) && (subset.contains(id) || draining.contains(id))) {
-                boolean away = !subset.contains(id) && endpoint.info().readiness() == Readiness.READY;
-                out.add(away ? gone(endpoint) : endpoint);
-                keep(draining, id, endpoint.info().readiness() == Readiness.DRAINING);
+            if (!subsetChanges.contains(id) && (subset.contains(id) || drainingIds.contains(id))) {
+                boolean outsideSubset = !subset.contains(id) && endpoint.info().readiness() == Readiness.READY;
+                result.add(outsideSubset ? asGone(endpoint) : endpoint);
+                setContained(drainingIds, id, endpoint.info().readiness() == Readiness.DRAINING);
             }
         });
-        return out;
+        return result;
     }
 
-    private static void keep(Set<String> set, String id, boolean in) {
-        if (in) {
+    private static void setContained(Set<String> set, String id, boolean contained) {
+        if (contained) {
             set.add(id);
         } else {
             set.remove(id);
         }
     }
 
-    private static Endpoint gone(Endpoint endpoint) {
-        ServerInfo i = endpoint.info();
-        return new Endpoint(new ServerInfo(i.id(), i.zone(), i.machineType(), i.cell(), Readiness.GONE, i.capacityHint(),
-                i.startedAtNanos()), null);
+    private static Endpoint asGone(Endpoint endpoint) {
+        ServerInfo info = endpoint.info();
+        return new Endpoint(new ServerInfo(info.id(), info.zone(), info.machineType(), info.cell(), Readiness.GONE, info.capacityHint(),
+                info.startedAtNanos()), null);
     }
 
     /**
      * Splits changes into portions and queues them. Those of one piece precede those of all later pieces, so that an older state
      * of a server never follows a newer one.
      */
-    private void makeReady(long index, List<Endpoint> endpoints) {
-        for (int i = 0; i < endpoints.size(); i += PORTION) {
-            ready.add(new EndpointList(index, false, endpoints.subList(i, Math.min(endpoints.size(), i + PORTION))));
+    private void enqueuePortions(long index, List<Endpoint> endpoints) {
+        for (int i = 0; i < endpoints.size(); i += MAX_PORTION_ENDPOINTS) {
+            readyPortions.add(new EndpointList(index, false, endpoints.subList(i, Math.min(endpoints.size(), i + MAX_PORTION_ENDPOINTS))));
         }
     }
 }
--- a/src/main/java/cinderhollow/membership/StartTimes.java
+++ b/src/main/java/cinderhollow/membership/StartTimes.java
@@ -18,21 +18,21 @@
  */
 public final class StartTimes {
     /** Clocks of one site differ by no more than this unless one has been stepped. */
-    private static final long AGREED_NANOS = TimeUnit.SECONDS.toNanos(1);
+    private static final long MAX_CLOCK_SKEW_NANOS = TimeUnit.SECONDS.toNanos(1);
     /** Lists are delayed by seconds at most; a start that was not listed for longer than this comes from a clock that differs. */
-    private static final long LATEST_LIST_NANOS = TimeUnit.SECONDS.toNanos(60);
+    private static final long MAX_LIST_DELAY_NANOS = TimeUnit.SECONDS.toNanos(60);
     /** Limits the memory; a full map is cleared, and fills again with the next starts. */
-    private static final int MOST_KNOWN = 100_000;
+    private static final int MAX_KNOWN_STARTS = 100_000;
 
     /** The start of a server by discovery's clock and by the gateway's clock. */
-    private record Start(long told, long at) { }
+    private record Start(long discoveryNanos, long gatewayNanos) { }
 
-    private final Map<String, Start> known = new HashMap<>();
+    private final Map<String, Start> knownStarts = new HashMap<>();
     /** How far discovery's clock is ahead of the gateway's; negative if it is behind. */
-    private long offset;
+    private long clockOffsetNanos;
     /** Whether a list that is not a cached one has been converted. */
-    private boolean listed;
-    private long listedAt;
+    private boolean hasLiveList;
+    private long lastListAt;
 
     /** Returns the list with start times by the gateway's clock; {@code now} is when the list was received. */
     public EndpointList convert(EndpointList list, long now) {
@@ -40,13 +40,13 @@
         List<Endpoint> endpoints = new ArrayList<>(list.endpoints().size());
         for (Endpoint endpoint : list.endpoints()) {
             ServerInfo info = endpoint.info();
-            long at = startedAt(info.id(), info.startedAtNanos(), now);
-            changed |= at != info.startedAtNanos();
-            endpoints.add(at == info.startedAtNanos() ? endpoint : new Endpoint(new ServerInfo(info.id(), info.zone(), info.machineType(),
-                    info.cell(), info.readiness(), info.capacityHint(), at), endpoint.address()));
+            long gatewayNanos = toGatewayTime(info.id(), info.startedAtNanos(), now);
+            changed |= gatewayNanos != info.startedAtNanos();
+            endpoints.add(gatewayNanos == info.startedAtNanos() ? endpoint : new Endpoint(new ServerInfo(info.id(), info.zone(), info.machineType(),
+                    info.cell(), info.readiness(), info.capacityHint(), gatewayNanos), endpoint.address()));
         }
-        listed = true;
-        listedAt = now;
+        hasLiveList = true;
+        lastListAt = now;
         return changed ? new EndpointList(list.index(), list.snapshot(), endpoints) : list;
     }
 
@@ -56,34 +56,34 @@
      */
     public EndpointList convertCached(EndpointList list, long now) {
         EndpointList converted = convert(list, now);
-        listed = false;
+        hasLiveList = false;
         return converted;
     }
 
     /** Returns by how many nanoseconds discovery's clock seems to be ahead of the gateway's. */
-    public long offset() {
-        return offset;
+    public long clockOffsetNanos() {
+        return clockOffsetNanos;
     }
 
-    private long startedAt(String name, long told, long now) {
-        if (told == 0) {
+    private long toGatewayTime(String serverId, long discoveryNanos, long now) {
+        if (discoveryNanos == 0) {
             return 0;
         }
-        Start before = known.get(name);
-        if (before != null && before.told == told) {
-            return before.at;
+        Start previous = knownStarts.get(serverId);
+        if (previous != null && previous.discoveryNanos == discoveryNanos) {
+            return previous.gatewayNanos;
         }
-        long at = told - offset;
-        boolean inFuture = at > now + AGREED_NANOS;
-        boolean unheardOf = listed && at < listedAt - LATEST_LIST_NANOS;
-        if (inFuture || unheardOf) {
-            offset = told - now;
-            at = now;
+        long gatewayNanos = discoveryNanos - clockOffsetNanos;
+        boolean inFuture = gatewayNanos > now + MAX_CLOCK_SKEW_NANOS;
+        boolean tooOld = hasLiveList && gatewayNanos < lastListAt - MAX_LIST_DELAY_NANOS;
+        if (inFuture || tooOld) {
+            clockOffsetNanos = discoveryNanos - now;
+            gatewayNanos = now;
         }
-        if (known.size() >= MOST_KNOWN) {
-            known.clear();
+        if (knownStarts.size() >= MAX_KNOWN_STARTS) {
+            knownStarts.clear();
         }
-        known.put(name, new Start(told, at));
-        return at;
+        knownStarts.put(serverId, new Start(discoveryNanos, gatewayNanos));
+        return gatewayNanos;
     }
 }
--- a/src/main/java/cinderhollow/membership/Subset.java
+++ b/src/main/java/cinderhollow/membership/Subset.java
@@ -16,20 +16,20 @@
  */
 public final class Subset {
     /** Minimum number of gateways per server: from 4 on, one more than the mean's whole part is at most 1.25 times the mean. */
-    private static final double LEAST_PICKS = 4;
+    private static final double MIN_PICKS_PER_SERVER = 4;
     /** Fraction of a server's picks in its own zone, if there are other zones; the rest remains when a zone is lost. */
-    private static final double OWN_PART = 0.5;
+    private static final double OWN_ZONE_FRACTION = 0.5;
     /** The picks per server are rounded to powers of this, so that not all servers pick anew whenever a server is added. */
-    private static final double STEP = 1.05;
+    private static final double PICKS_STEP_RATIO = 1.05;
     /** A zone has enough gateways for its servers if its gateways per server are at least those of the fleet divided by this. */
-    private static final double EQUALLY_CROWDED = 1.25;
+    private static final double CROWDING_TOLERANCE_RATIO = 1.25;
     /** A window of 1 s is bad if it has at least {@code MIN_FAILED_ATTEMPTS}, and more failed than successful attempts. */
     private static final long WINDOW_NANOS = 1_000_000_000L;
-    private static final int LEAST_FAILED = 10;
+    private static final int MIN_FAILED_ATTEMPTS = 10;
     /** Up to this fraction of failed attempts a window is healthy; a subset widens or narrows by this factor. */
-    private static final double CALM_PART = 0.1, WIDER = 2;
+    private static final double MAX_HEALTHY_FAILED_FRACTION = 0.1, WIDTH_STEP_RATIO = 2;
     /** A widened subset narrows by a step after this healthy time, which doubles, up to the maximum, if that was too early. */
-    private static final long CALM_NANOS = 30 * WINDOW_NANOS, LONGEST_CALM_NANOS = 20 * CALM_NANOS;
+    private static final long MIN_NARROW_DELAY_NANOS = 30 * WINDOW_NANOS, MAX_NARROW_DELAY_NANOS = 20 * MIN_NARROW_DELAY_NANOS;
 
     /**
      * A gateway's position in the fleet.
@@ -54,60 +54,60 @@
     /**
      * A server that enters or leaves the subset.
      *
-     * @param node id of the server
-     * @param enters whether it enters; otherwise it leaves
+     * @param serverId id of the server
+     * @param added whether it enters; otherwise it leaves
      */
-    public record Move(String node, boolean enters) { }
+    public record Change(String serverId, boolean added) { }
 
     /** A usable server of the fleet. */
-    private static final class Node {
+    private static final class Server {
         private final String zone;
         /** Number of gateways of this gateway's zone that the server prefers to this gateway. */
         private final int rank;
         /** Offset in [0, 1) by which the server's picks are rounded to whole numbers. */
-        private final double rounding;
+        private final double roundingOffset;
         /** Whether the server is in the subset. */
-        private boolean in;
+        private boolean selected;
 
-        Node(String zone, int rank, double rounding) {
+        Server(String zone, int rank, double roundingOffset) {
             this.zone = zone;
             this.rank = rank;
-            this.rounding = rounding;
+            this.roundingOffset = roundingOffset;
         }
     }
 
     /**
      * The picks of each server of one zone, not rounded, added up over the gateways' zones in their order.
      *
-     * @param before the sum before this gateway's zone
-     * @param with the sum including this gateway's zone
+     * @param start the sum before this gateway's zone
+     * @param end the sum including this gateway's zone
      */
-    private record Picks(double before, double with) {
+    private record PickRange(double start, double end) {
         /** Returns how many gateways of this gateway's zone a server with this rounding offset picks. */
-        int of(double rounding) {
-            return (int) (Math.floor(with + rounding) - Math.floor(before + rounding));
+        int countPicks(double roundingOffset) {
+            return (int) (Math.floor(end + roundingOffset) - Math.floor(start + roundingOffset));
         }
     }
 
-    private final FleetPosition place;
-    private final TreeMap<String, Integer> gateways;
-    private final int allGateways;
-    private final Map<String, Node> nodes = new HashMap<>();
-    private final Map<String, Integer> counts = new HashMap<>();
-    private Map<String, Picks> picks = Map.of();
-    private int members;
+    private final FleetPosition position;
+    private final TreeMap<String, Integer> gatewaysByZone;
+    private final int totalGateways;
+    private final Map<String, Server> servers = new HashMap<>();
+    private final Map<String, Integer> serverCountByZone = new HashMap<>();
+    private Map<String, PickRange> pickRanges = Map.of();
+    private int selectedCount;
     private double width = 1;
     private int failed;
-    private int others;
-    private long windowEnds;
-    private long calmSince;
-    private long calmNanos = CALM_NANOS;
+    private int succeeded;
+    private long windowEndsAt;
+    private long healthySince;
+    private long narrowDelayNanos = MIN_NARROW_DELAY_NANOS;
 
     /** Creates the empty subset of the gateway in this position. */
-    public Subset(FleetPosition place) {
-        this.place = place;
-        gateways = new TreeMap<>(place.gatewaysByZone);
-        allGateways = gateways.values().stream().mapToInt(Integer::intValue).sum();
+    public Subset(FleetPosition position) {
+        this.position = position;
+        gatewaysByZone = new TreeMap<>(position.gatewaysByZone);
+        totalGateways = gatewaysByZone.values().stream().mapToInt(Integer::intValue).sum();
     }
 
     /**
@@ -116,31 +116,31 @@
      * @param usable zones by server id of servers that may be used; those known before and not named stay
      * @param gone ids of servers that may not be used any more
      */
-    public List<Move> update(Map<String, String> usable, Collection<String> gone) {
-        List<Move> moves = new ArrayList<>();
-        gone.forEach(id -> remove(id, moves));
+    public List<Change> update(Map<String, String> usable, Collection<String> unusable) {
+        List<Change> changes = new ArrayList<>();
+        unusable.forEach(id -> remove(id, changes));
         usable.forEach((id, zone) -> {
-            Node old = nodes.get(id);
+            Server old = servers.get(id);
             if (old == null || !old.zone.equals(zone)) {
-                remove(id, moves);
-                nodes.put(id, node(id, zone));
-                counts.merge(zone, 1, Integer::sum);
+                remove(id, changes);
+                servers.put(id, newServer(id, zone));
+                serverCountByZone.merge(zone, 1, Integer::sum);
             }
         });
-        Map<String, Picks> now = picks();
-        if (!now.equals(picks)) {
-            picks = now;
-            fill(moves);
+        Map<String, PickRange> newRanges = pickRanges();
+        if (!newRanges.equals(pickRanges)) {
+            pickRanges = newRanges;
+            reselectAll(changes);
         } else {
-            usable.keySet().forEach(id -> settle(id, nodes.get(id), moves));
+            usable.keySet().forEach(id -> reselect(id, servers.get(id), changes));
         }
-        return moves;
+        return changes;
     }
 
     /** Records how an attempt at a server of the subset ended; a request that no server of it could take counts as failed. */
-    public void ended(boolean well) {
-        if (well) {
-            others++;
+    public void recordOutcome(boolean success) {
+        if (success) {
+            succeeded++;
         } else {
             failed++;
         }
@@ -152,38 +152,38 @@
      * whole fleet fails, widening leads to connections to all servers; the harm is limited, as these are opened one by one,
      * when requests need them, and closed when idle.
      */
-    public List<Move> tick(long now) {
-        if (now < windowEnds) {
+    public List<Change> tick(long now) {
+        if (now < windowEndsAt) {
             return List.of();
         }
-        List<Move> moves = new ArrayList<>();
-        boolean bad = failed >= LEAST_FAILED && failed > others;
-        if (bad && members < nodes.size()) {
+        List<Change> changes = new ArrayList<>();
+        boolean bad = failed >= MIN_FAILED_ATTEMPTS && failed > succeeded;
+        if (bad && selectedCount < servers.size()) {
             // If the subset had been narrowed, that was too early: waits longer the next time.
-            calmNanos = width == 1 && calmSince > 0 ? Math.min(LONGEST_CALM_NANOS, 2 * calmNanos) : calmNanos;
-            width *= WIDER;
-            fill(moves);
-        } else if (!bad && width > 1 && failed <= CALM_PART * (failed + others) && now - calmSince >= calmNanos) {
-            width = Math.max(1, width / WIDER);
-            calmSince = now;
-            fill(moves);
+            narrowDelayNanos = width == 1 && healthySince > 0 ? Math.min(MAX_NARROW_DELAY_NANOS, 2 * narrowDelayNanos) : narrowDelayNanos;
+            width *= WIDTH_STEP_RATIO;
+            reselectAll(changes);
+        } else if (!bad && width > 1 && failed <= MAX_HEALTHY_FAILED_FRACTION * (failed + succeeded) && now - healthySince >= narrowDelayNanos) {
+            width = Math.max(1, width / WIDTH_STEP_RATIO);
+            healthySince = now;
+            reselectAll(changes);
         }
-        calmSince = bad || calmSince == 0 || failed > CALM_PART * (failed + others) ? now : calmSince;
+        healthySince = bad || healthySince == 0 || failed > MAX_HEALTHY_FAILED_FRACTION * (failed + succeeded) ? now : healthySince;
         failed = 0;
-        others = 0;
-        windowEnds = now + WINDOW_NANOS;
-        return moves;
+        succeeded = 0;
+        windowEndsAt = now + WINDOW_NANOS;
+        return changes;
     }
 
     /** Returns whether the server is in the subset. */
     public boolean contains(String id) {
-        Node node = nodes.get(id);
-        return node != null && node.in;
+        Server server = servers.get(id);
+        return server != null && server.selected;
     }
 
     /** Returns the number of servers in the subset. */
     public int size() {
-        return members;
+        return selectedCount;
     }
 
     /** Returns the factor by which the subset is widened; 1 if it is not. */
@@ -191,27 +191,27 @@
         return width;
     }
 
-    private void remove(String id, List<Move> moves) {
-        Node old = nodes.remove(id);
+    private void remove(String id, List<Change> changes) {
+        Server old = servers.remove(id);
         if (old != null) {
-            counts.computeIfPresent(old.zone, (zone, n) -> n == 1 ? null : n - 1);
-            if (old.in) {
-                members--;
-                moves.add(new Move(id, false));
+            serverCountByZone.computeIfPresent(old.zone, (zone, n) -> n == 1 ? null : n - 1);
+            if (old.selected) {
+                selectedCount--;
+                changes.add(new Change(id, false));
             }
         }
     }
 
-    private Node node(String id, String zone) {
+    private Server newServer(String id, String zone) {
         long seed = mix(hash(id));
-        long own = score(seed, place.zone, place.number);
+        long ownScore = score(seed, position.zone, position.number);
         int rank = 0;
-        int here = gateways.get(place.zone);
-        long salt = hash(place.zone);
-        for (int i = 0; i < here; i++) {
-            rank += mix(seed ^ mix(salt + i)) > own ? 1 : 0;
+        int ownZoneGateways = gatewaysByZone.get(position.zone);
+        long salt = hash(position.zone);
+        for (int i = 0; i < ownZoneGateways; i++) {
+            rank += mix(seed ^ mix(salt + i)) > ownScore ? 1 : 0;
         }
-        return new Node(zone, rank, (mix(seed + 1) >>> 11) * 0x1p-53);
+        return new Server(zone, rank, (mix(seed + 1) >>> 11) * 0x1p-53);
     }
 
     private static long score(long seed, String zone, int number) {
@@ -235,67 +235,67 @@
         return z ^ z >>> 31;
     }
 
-    private Map<String, Picks> picks() {
-        Map<String, Picks> picks = new HashMap<>();
-        counts.forEach((zone, n) -> picks.put(zone, picks(zone, n, nodes.size(), each())));
-        return picks;
+    private Map<String, PickRange> pickRanges() {
+        Map<String, PickRange> ranges = new HashMap<>();
+        serverCountByZone.forEach((zone, zoneServers) -> ranges.put(zone, pickRanges(zone, zoneServers, servers.size(), meanPicksPerServer())));
+        return ranges;
     }
 
-    private double each() {
-        double each = stepped((double) allGateways * place.subsetSize / Math.max(1, nodes.size()));
-        return Math.min(allGateways, Math.max(LEAST_PICKS, each));
+    private double meanPicksPerServer() {
+        double rounded = roundToStep((double) totalGateways * position.subsetSize / Math.max(1, servers.size()));
+        return Math.min(totalGateways, Math.max(MIN_PICKS_PER_SERVER, rounded));
     }
 
     /** Returns how many gateways each server picks, rounded to a whole number; its in-flight limits are derived from this. */
-    public int sharers() {
-        return (int) Math.round(each());
+    public int gatewaysPerServer() {
+        return (int) Math.round(meanPicksPerServer());
     }
 
-    private static double stepped(double value) {
-        return Math.pow(STEP, Math.rint(Math.log(value) / Math.log(STEP)));
+    private static double roundToStep(double value) {
+        return Math.pow(PICKS_STEP_RATIO, Math.rint(Math.log(value) / Math.log(PICKS_STEP_RATIO)));
     }
 
     /** Returns the pick range of a zone's servers, which pick about half of their gateways in that zone, the rest elsewhere. */
-    private Picks picks(String zone, int n, int all, double each) {
-        double near = 0;
-        int neighbours = gateways.getOrDefault(zone, 0);
-        if (neighbours == allGateways) {
-            near = each;
-        } else if (neighbours > 0) {
+    private PickRange pickRanges(String zone, int zoneServers, int allServers, double picksPerServer) {
+        double ownZonePicks = 0;
+        int zoneGateways = gatewaysByZone.getOrDefault(zone, 0);
+        if (zoneGateways == totalGateways) {
+            ownZonePicks = picksPerServer;
+        } else if (zoneGateways > 0) {
             // If the zone has few gateways for its servers, each of them would otherwise get too many servers.
-            double crowd = (double) neighbours / n * all / allGateways;
-            double part = crowd * EQUALLY_CROWDED >= 1 ? OWN_PART : OWN_PART * stepped(crowd);
-            near = Math.min(neighbours, each * part);
+            double relativeDensity = (double) zoneGateways / zoneServers * allServers / totalGateways;
+            double ownZoneFraction = relativeDensity * CROWDING_TOLERANCE_RATIO >= 1 ? OWN_ZONE_FRACTION : OWN_ZONE_FRACTION * roundToStep(relativeDensity);
+            ownZonePicks = Math.min(zoneGateways, picksPerServer * ownZoneFraction);
         }
-        double rest = (each - near) / Math.max(1, allGateways - neighbours);
-        double before = 0;
-        for (Map.Entry<String, Integer> other : gateways.entrySet()) {
-            double own = other.getKey().equals(zone) ? near : rest * other.getValue();
-            if (other.getKey().equals(place.zone)) {
-                return new Picks(before, before + own);
+        double picksPerRemoteGateway = (picksPerServer - ownZonePicks) / Math.max(1, totalGateways - zoneGateways);
+        double start = 0;
+        for (Map.Entry<String, Integer> other : gatewaysByZone.entrySet()) {
+            double zonePicks = other.getKey().equals(zone) ? ownZonePicks : picksPerRemoteGateway * other.getValue();
+            if (other.getKey().equals(position.zone)) {
+                return new PickRange(start, start + zonePicks);
             }
-            before += own;
+            start += zonePicks;
         }
-        throw new IllegalStateException("no gateways in zone " + place.zone);
+        throw new IllegalStateException("no gateways in zone " + position.zone);
     }
 
     /** Decides for every server whether it is selected; widens the subset while it is smaller than half of its intended size. */
-    private void fill(List<Move> moves) {
-        nodes.forEach((id, node) -> settle(id, node, moves));
-        while (2 * members < Math.min(place.subsetSize, nodes.size())) {
-            width *= WIDER;
-            nodes.forEach((id, node) -> settle(id, node, moves));
+    private void reselectAll(List<Change> changes) {
+        servers.forEach((id, server) -> reselect(id, server, changes));
+        while (2 * selectedCount < Math.min(position.subsetSize, servers.size())) {
+            width *= WIDTH_STEP_RATIO;
+            servers.forEach((id, server) -> reselect(id, server, changes));
         }
     }
 
-    private void settle(String id, Node node, List<Move> moves) {
-        Picks of = picks.get(node.zone);
-        int own = of.of(node.rounding);
-        boolean in = node.rank < (width == 1 ? own : Math.max(own, Math.ceil(width * (of.with - of.before))));
-        if (in != node.in) {
-            node.in = in;
-            members += in ? 1 : -1;
-            moves.add(new Move(id, in));
+    private void reselect(String id, Server server, List<Change> changes) {
+        PickRange range = pickRanges.get(server.zone);
+        int ownZonePicks = range.countPicks(server.roundingOffset);
+        boolean select = server.rank < (width == 1 ? ownZonePicks : Math.max(ownZonePicks, Math.ceil(width * (range.end - range.start))));
+        if (select != server.selected) {
+            server.selected = select;
+            selectedCount += select ? 1 : -1;
+            changes.add(new Change(id, select));
         }
     }
 }
--- a/src/test/java/cinderhollow/core/EventLoopLagTest.java
+++ b/src/test/java/cinderhollow/core/EventLoopLagTest.java
@@ -11,7 +11,7 @@
     private final EventLoopLag lag = new EventLoopLag();
     private long now = 100_000 * MS;
 
-    private void beat(long late) {
+    private void tick(long late) {
         lag.expectTick(now + EventLoopLag.TICK_INTERVAL_NANOS);
         now += EventLoopLag.TICK_INTERVAL_NANOS + late;
         lag.recordTick(now);
@@ -19,9 +19,9 @@
     }
 
     @Test
-    void aLoopThatIsOnTimeHasReadWhatItReadsAsItCame() {
+    void inputReadByALoopThatIsOnTimeArrivedJustNow() {
         for (int i = 0; i < 100; i++) {
-            beat(i % 3 * MS);
+            tick(i % 3 * MS);
             assertEquals(now, lag.earliestArrival(now));
             assertTrue(lag.recentPeakLag(now) <= 2 * MS);
         }
@@ -31,8 +31,8 @@
 
     /** Input read by a loop that was busy may have arrived at any time since the last tick. */
     @Test
-    void aBeatThatIsOverdueTellsHowLongItMayHaveWaitedUnread() {
-        beat(0);
+    void anOverdueTickBoundsHowLongInputMayHaveWaitedUnread() {
+        tick(0);
         long last = now;
         now += EventLoopLag.TICK_INTERVAL_NANOS + 300 * MS;
         assertEquals(last, lag.earliestArrival(now));
@@ -40,21 +40,21 @@
 
     /** When a stopped process continues, the loop's wait is interrupted, and the late tick runs before the sockets are polled. */
     @Test
-    void whatIsReadBehindALateBeatMayHaveComeSinceTheOneBefore() {
-        beat(0);
-        beat(0);
+    void inputReadAfterALateTickMayHaveArrivedSinceTheTickBefore() {
+        tick(0);
+        tick(0);
         long last = now;
-        beat(300 * MS);
+        tick(300 * MS);
         assertEquals(last, lag.earliestArrival(now));
-        beat(0);
+        tick(0);
         assertEquals(now, lag.earliestArrival(now));
     }
 
     @Test
-    void whatWasSeenLatelyCountsForSomeSeconds() {
-        beat(300 * MS);
+    void peakLagDecaysOverSomeSeconds() {
+        tick(300 * MS);
         assertEquals(300 * MS, lag.recentPeakLag(now));
-        beat(100 * MS);
+        tick(100 * MS);
         assertTrue(lag.recentPeakLag(now) > 280 * MS, "the largest lag counts, not the last");
         long before = lag.recentPeakLag(now);
         now += 3_000 * MS;
@@ -64,17 +64,17 @@
     }
 
     @Test
-    void beforeTheFirstBeatNothingIsKnown() {
+    void noLagIsReportedBeforeTheFirstTick() {
         assertEquals(0, lag.recentPeakLag(now));
         assertEquals(now, lag.earliestArrival(now));
     }
 
     /** Only input that arrived three ticks ago has certainly been read, together with what followed it. */
     @Test
-    void whatItKnowsIsFreshWhileBeatsComeOnTimeAndStaleUntilThreeHaveComeAgain() {
+    void socketStateIsFreshWhileTicksAreOnTimeAndStaleUntilThreeHaveCome() {
         for (int i = 0; i < 3; i++) {
             assertTrue(lag.isStale(now));
-            beat(0);
+            tick(0);
         }
         assertFalse(lag.isStale(now));
         assertEquals(now, lag.earliestArrival(now));
--- a/src/test/java/cinderhollow/membership/SubsetFleetTest.java
+++ b/src/test/java/cinderhollow/membership/SubsetFleetTest.java
@@ -10,16 +10,16 @@
 
 /** Tests, with the decision module in simulated time, that subsets are even, serve as well and don't overload cold servers. */
 class SubsetFleetTest {
-    private static Result play(Way way, long seed) {
+    private static Result simulate(Way way, long seed) {
         return new FleetSimulation(way, 30, 450, 120, 0.7, 16, seed).run();
     }
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
-    void subsetsAreEvenServeWellAndSpareTheCold(long seed) {
-        Result subsets = play(Way.SUBSETS, seed);
-        Result random = play(Way.RANDOM, seed);
-        Result all = play(Way.ALL, seed);
+    void subsetsAreEvenServeInTimeAndLimitLoadOnColdServers(long seed) {
+        Result subsets = simulate(Way.SUBSETS, seed);
+        Result random = simulate(Way.RANDOM, seed);
+        Result all = simulate(Way.ALL, seed);
         String figures = subsets + "\n" + random + "\n" + all;
         assertTrue(subsets.mostGateways() <= 1.25 * subsets.meanGateways(), figures);
         assertTrue(random.mostGateways() > 1.25 * random.meanGateways(), "random subsets are too even to compare with: " + figures);
