--- a/src/main/java/cinderhollow/daemon/Gateway.java
+++ b/src/main/java/cinderhollow/daemon/Gateway.java
@@ -551,7 +551,7 @@
 
     private void endWhenIdle() {
         // In this order: otherwise a client connection handed over between the two checks would be missed.
-        if (acceptor != null && acceptor.mayHandOver() || clients.holdsAny()) {
+        if (acceptor != null && acceptor.canDispatch() || clients.holdsAny()) {
             loop.schedule(this::endWhenIdle, END_CHECK_MILLIS, TimeUnit.MILLISECONDS);
         } else {
             if (discovery != null) {
--- a/src/main/java/cinderhollow/http1/Acceptor.java
+++ b/src/main/java/cinderhollow/http1/Acceptor.java
@@ -101,7 +101,7 @@
      * Returns whether a loop may still be dispatched a connection, which then counts as held by that loop at once. May be called
      * from any thread.
      */
-    public boolean mayHandOver() {
+    public boolean canDispatch() {
         return !done;
     }
 
