--- a/src/main/java/cinderhollow/daemon/Gateway.java
+++ b/src/main/java/cinderhollow/daemon/Gateway.java
@@ -6,9 +6,9 @@
 import cinderhollow.core.LagAwareTimers;
 import cinderhollow.core.Transport;
 import cinderhollow.http1.Acceptor;
-import cinderhollow.http1.ClientServer.BadRequest;
-import cinderhollow.http1.ClientServer.Reply;
-import cinderhollow.http1.ClientServer;
+import cinderhollow.http1.DownstreamConnectionManager.BadRequest;
+import cinderhollow.http1.DownstreamConnectionManager.Reply;
+import cinderhollow.http1.DownstreamConnectionManager;
 import cinderhollow.http1.HostPool;
 import cinderhollow.http1.Passage;
 import cinderhollow.http1.RequestReader;
@@ -157,7 +157,7 @@
     private final LoadBalancer choice;
     private final HostPool hosts;
     private final Discovery discovery;
-    private final ClientServer clients;
+    private final DownstreamConnectionManager clients;
     /** Gateways of the other event loops, which receive each list from this one. */
     private List<Gateway> followers = List.of();
     /** Null where the list is small and applied as it is received. */
@@ -214,7 +214,7 @@
                 // The larger limit only with an operator's file: an endless line is detected by its length alone.
                 config.routes() == null ? Discovery.MAX_LIST_BYTES : Discovery.MAX_LARGE_FLEET_LIST_BYTES, new Watcher(), log);
         askedForList = discovery == null && (config.scale() == null || !config.scale().follows());
-        clients = new ClientServer(loop, transport, clock, lag, connections / 2, new Requests(),
+        clients = new DownstreamConnectionManager(loop, transport, clock, lag, connections / 2, new Requests(),
                 ledger == null ? null : ledger.sheet(Place.CLIENTS));
         choice = new LoadBalancer(config.settings(), config.seed(), this);
         talk = config.peering() == null ? null : new ZoneTalk(loop, config.peering(), config.settings().rules(), clock,
@@ -304,13 +304,13 @@
         long now = clock.nanos();
         boolean last = now - OVERDUE_AT_END_NANOS >= answersBy;
         for (OpenRequest r : List.copyOf(open.values())) {
-            if (!r.reply.isDone() && (last || now - OVERDUE_NANOS >= r.lifecycle.deadline())) {
+            if (!r.reply.isConcluded() && (last || now - OVERDUE_NANOS >= r.lifecycle.deadline())) {
                 r.answerOverdue();
             }
         }
         if (last) {
             // A request whose last byte arrives now could not be answered any more.
-            clients.endAll();
+            clients.closeAllWithoutOpenRequest();
         }
     }
 
@@ -329,7 +329,7 @@
         loop.execute(() -> acceptor = shared);
     }
 
-    ClientServer clients() {
+    DownstreamConnectionManager clients() {
         return clients;
     }
 
@@ -352,7 +352,7 @@
         boolean beside = config.scale() != null && config.scale().eachListens();
         loop.execute(() -> listen(started, () -> config.inherited() != null
                 ? clients.listen(config.inherited().listener(), config.inherited().first())
-                : beside ? clients.listenBesideOthers(address) : clients.listen(address), LISTEN_ATTEMPTS));
+                : beside ? clients.listenWithReusePort(address) : clients.listen(address), LISTEN_ATTEMPTS));
         return started.thenApply(gateway -> {
             listened();
             return gateway;
@@ -396,7 +396,7 @@
                 classes.keySet().forEach(this::tally);
                 tallies.forEach((name, tally) -> counts.put(name, tally.counts()));
             }
-            return new Standing(counts, open.values().stream().filter(r -> !r.reply.isOver()).count() + clients.sentAhead(),
+            return new Standing(counts, open.values().stream().filter(r -> !r.reply.isFinished()).count() + clients.pipelinedRequestCount(),
                     hosts.listed(), hosts.listed() - choice.usableServerCount(), cfgAccepted, cfgInvalid);
         }, loop);
     }
@@ -434,7 +434,7 @@
             tell(new LearnedStateReceived(from.memory()));
             if (from.standby()) {
                 standby = true;
-                clients.standby(true);
+                clients.setStandby(true);
             }
         }, loop);
     }
@@ -444,7 +444,7 @@
         loop.execute(() -> {
             beside += begins ? 1 : -1;
             tell(new ProcessOverlapChanged(beside > 0));
-            clients.overlap(beside > 0);
+            clients.setConnectionLimitShared(beside > 0);
             hosts.overlap(beside > 0);
         });
     }
@@ -457,7 +457,7 @@
     public CompletableFuture<Void> standby(boolean empty) {
         return CompletableFuture.runAsync(() -> {
             standby = empty;
-            clients.standby(empty);
+            clients.setStandby(empty);
             log(empty ? "standby: sending clients away" : "active: accepting clients");
         }, loop);
     }
@@ -492,7 +492,7 @@
                     if (acceptor != null) {
                         acceptor.stop();
                     }
-                    clients.leaveListener();
+                    clients.stopAcceptingFromSharedListener();
                 }
                 long taking = Math.min(LONGEST_TAKING_NANOS,
                         Math.max(LEAST_TAKING_NANOS, within - longest(RequestClass::aimNanos)));
@@ -551,7 +551,7 @@
 
     private void endWhenIdle() {
         // In this order: otherwise a client connection handed over between the two checks would be missed.
-        if (acceptor != null && acceptor.canDispatch() || clients.holdsAny()) {
+        if (acceptor != null && acceptor.canDispatch() || clients.hasOpenOrPendingConnections()) {
             loop.schedule(this::endWhenIdle, END_CHECK_MILLIS, TimeUnit.MILLISECONDS);
         } else {
             if (discovery != null) {
@@ -623,7 +623,7 @@
      */
     private Ledger.OpenNow openNow() {
         int accounts = ledger.accounts().size();
-        long[] waiting = clients.waiting(accounts);
+        long[] waiting = clients.openRequestsByAccount(accounts);
         long[] requests = new long[accounts];
         long[] out = new long[accounts];
         for (OpenRequest r : open.values()) {
@@ -716,7 +716,7 @@
         if (r != null) {
             r.logIfLate(status);
             r.complete();
-            r.reply.plain(status, line, pauseNanos);
+            r.reply.respondPlainText(status, line, pauseNanos);
             r.forgetIfOver();
         }
     }
@@ -817,24 +817,24 @@
     }
 
     /** Receives client requests from the connections. */
-    private final class Requests implements ClientServer.Listener {
+    private final class Requests implements DownstreamConnectionManager.Listener {
         @Override
-        public boolean ready() {
+        public boolean isReady() {
             return askedForList && !ending && !standby && welcome;
         }
 
         @Override
-        public void failed(Throwable fault) {
+        public void onInternalError(Throwable fault) {
             log("unexpected error while handling a request, answered as failed: " + fault);
         }
 
         @Override
-        public void requested(FullHttpRequest request, Upload upload, long arrivedAt, Reply reply) throws BadRequest {
+        public void onRequest(FullHttpRequest request, Upload upload, long arrivedAt, Reply reply) throws BadRequest {
             long at = clock.nanos();
             if (tallies != null) {
                 // Before the request is parsed: a request rejected as invalid is counted with its class too.
                 String named = Paths.firstPart(request.uri());
-                reply.countIn(classes.containsKey(named) ? tally(named) : null);
+                reply.setCounters(classes.containsKey(named) ? tally(named) : null);
             }
             RequestArrived arrived = RequestReader.read(request, classes, routing,
                     upload != null || request.content().isReadable(), at - arrivedAt);
@@ -846,12 +846,12 @@
             open.put(r.id, r);
             if (tallies != null) {
                 r.tally = tally(arrived.requestClass());
-                reply.countIn(r.tally);
+                reply.setCounters(r.tally);
             }
             if (r.entry != null) {
-                reply.accountedAs(r.entry.account, r.id);
+                reply.setAccount(r.entry.account, r.id);
             }
-            reply.onLeft(r::clientLeft);
+            reply.onAbandoned(r::clientLeft);
             if (upload == null) {
                 tell(at, arrived);
             } else {
@@ -968,7 +968,7 @@
         /** Starts the request's deadline once its body is complete, as for any other request. */
         @Override
         public void whole() {
-            if (!reply.isDone()) {
+            if (!reply.isConcluded()) {
                 lifecycle.received(clock.nanos() + expiresIn);
                 attempts.forEach(attempt -> attempt.timeOutIn(expiresIn));
                 tell(new RequestBodyReceived(id, expiresIn));
@@ -978,13 +978,13 @@
         @Override
         public Passage begun(HostPool.Attempt attempt, long at, LoadReport load, long length, Passage.Source source) {
             int number = over(attempt, Outcome.SERVED);
-            boolean wanted = !reply.isDone();
+            boolean wanted = !reply.isConcluded();
             if (wanted) {
                 if (entry != null) {
                     entry.over(End.SERVED);
                 }
                 lifecycle.transitionTo(RequestState.RESPONDING);
-                reply.begin(length, source);
+                reply.startStreaming(length, source);
             }
             forgetIfOver();
             if (zones != null) {
@@ -996,20 +996,20 @@
 
         @Override
         public void part(ByteBuf bytes) {
-            reply.part(bytes);
+            reply.writeData(bytes);
         }
 
         @Override
         public void end() {
             complete();
-            reply.end();
+            reply.endStreaming();
             forgetIfOver();
         }
 
         @Override
         public void broken() {
             complete();
-            reply.breakOff();
+            reply.abortStreaming();
             forgetIfOver();
         }
 
@@ -1040,7 +1040,7 @@
                     entry.over(End.SERVED);
                 }
                 complete();
-                reply.served(body);
+                reply.respondOk(body);
             }
             forgetIfOver();
             if (zones != null) {
@@ -1049,7 +1049,7 @@
             // An attempt cancelled before its last byte was sent says nothing about the server, and certainly did not run.
             boolean unsent = outcome == Outcome.CANCELLED && attempt.isUnsent();
             tell(at, new AttemptEnded(id, number, servers.get(number), unsent ? Outcome.NOT_SENT : outcome,
-                    attempt.elapsed(at), reply.isDone(), load));
+                    attempt.elapsed(at), reply.isConcluded(), load));
         }
 
         /**
@@ -1119,7 +1119,7 @@
             if (entry != null) {
                 entry.over(sent ? End.FAILED : End.REFUSED);
             }
-            reply.plain(sent ? HttpResponseStatus.BAD_GATEWAY : HttpResponseStatus.SERVICE_UNAVAILABLE,
+            reply.respondPlainText(sent ? HttpResponseStatus.BAD_GATEWAY : HttpResponseStatus.SERVICE_UNAVAILABLE,
                     sent ? "failed: it may have run" : "refused: trying again is harmless", 0);
             complete();
             forgetIfOver();
@@ -1132,10 +1132,10 @@
          * ended.
          */
         private void forgetIfOver() {
-            if (reply.isDone()) {
+            if (reply.isConcluded()) {
                 attempts.forEach(HostPool.Attempt::callOff);
             }
-            if (reply.isOver() && outstanding == 0 && open.remove(id, this)) {
+            if (reply.isFinished() && outstanding == 0 && open.remove(id, this)) {
                 request.release();
             }
         }
--- a/src/main/java/cinderhollow/http1/Acceptor.java
+++ b/src/main/java/cinderhollow/http1/Acceptor.java
@@ -26,7 +26,7 @@
     private static final long RECHECK_MILLIS = 20;
 
     private final EventLoop loop;
-    private final List<ClientServer> servers;
+    private final List<DownstreamConnectionManager> servers;
     private NioServerSocketChannel listener = new NioServerSocketChannel();
     /** Whether another process holds the listening socket too; this process then never closes it. */
     private boolean shared;
@@ -40,14 +40,14 @@
      * Creates an acceptor that runs on the given event loop and dispatches connections to {@code connectionManagers}, each of
      * which runs on an event loop of its own.
      */
-    public Acceptor(EventLoop loop, List<ClientServer> servers) {
+    public Acceptor(EventLoop loop, List<DownstreamConnectionManager> servers) {
         this.loop = loop;
         this.servers = List.copyOf(servers);
     }
 
     /** Starts to listen on an address. The future fails if the address cannot be bound. May be called from any thread. */
     public ChannelFuture listen(SocketAddress address) {
-        listener.config().setOption(ChannelOption.SO_BACKLOG, ClientServer.BACKLOG);
+        listener.config().setOption(ChannelOption.SO_BACKLOG, DownstreamConnectionManager.BACKLOG);
         listener.pipeline().addLast(new HandsOver());
         ChannelPromise bound = listener.newPromise();
         loop.register(listener).addListener(registered -> {
@@ -91,7 +91,7 @@
                     listener.config().setAutoRead(false);
                     done = true;
                 } else {
-                    closeOnceEmpty(ClientServer.MOST_LOOKS);
+                    closeOnceEmpty(DownstreamConnectionManager.MOST_LOOKS);
                 }
             }
         });
@@ -118,16 +118,16 @@
                 listener.close();
                 done = true;
             }
-        }, ClientServer.LOOK_MILLIS, TimeUnit.MILLISECONDS);
+        }, DownstreamConnectionManager.LOOK_MILLIS, TimeUnit.MILLISECONDS);
     }
 
     /**
      * Returns the loop with the fewest connections that has room, or null. Loops with dispatched connections that they have not
      * registered yet come after all others.
      */
-    private ClientServer choose() {
-        ClientServer chosen = null;
-        for (ClientServer server : servers) {
+    private DownstreamConnectionManager choose() {
+        DownstreamConnectionManager chosen = null;
+        for (DownstreamConnectionManager server : servers) {
             if (server.hasRoom() && (chosen == null || server.strain() < chosen.strain())) {
                 chosen = server;
             }
@@ -141,7 +141,7 @@
         public void channelRead(ChannelHandlerContext ctx, Object connection) {
             Channel channel = (Channel) connection;
             accepted++;
-            ClientServer chosen = choose();
+            DownstreamConnectionManager chosen = choose();
             if (chosen == null) {
                 // Accepted in the same batch as the last connection that found room; further ones wait in the backlog.
                 chosen = servers.get(0);
--- a/src/main/java/cinderhollow/http1/ClientServer.java
+++ b/src/main/java/cinderhollow/http1/DownstreamConnectionManager.java
@@ -64,11 +64,11 @@
  * Manages the connections of clients: accepts them, hands their requests to a listener, and writes one response to each request.
  * Enforces the limits on connections, pipelining and time. Belongs to one event loop; methods that other threads may call say so.
  */
-public final class ClientServer {
+public final class DownstreamConnectionManager {
     /** Handles the requests that have been received. All methods are called on the event loop. */
     public interface Listener {
         /** Returns whether the gateway is ready for new clients, which is the answer to {@code /ready}. */
-        boolean ready();
+        boolean isReady();
 
         /**
          * Handles a request. {@code arrivedAt} is the time at which its last byte was received, or, with an upload, at which the
@@ -76,10 +76,10 @@
          *
          * @throws BadRequest if the request is invalid; its message is sent to the client as the response's body
          */
-        void requested(FullHttpRequest request, Upload upload, long arrivedAt, Reply reply) throws BadRequest;
+        void onRequest(FullHttpRequest request, Upload upload, long arrivedAt, Reply reply) throws BadRequest;
 
         /** Reports an unexpected exception; the request that was being handled is answered by the caller. */
-        void failed(Throwable fault);
+        void onInternalError(Throwable fault);
     }
 
     /** Thrown for a request that is rejected, with the status and the text of the response. */
@@ -208,7 +208,7 @@
      * @param listener handles the requests
      * @param sheet ledger counters for requests, or null
      */
-    public ClientServer(EventLoop loop, Transport transport, GatewayClock clock, EventLoopLag lag, int mostConnections,
+    public DownstreamConnectionManager(EventLoop loop, Transport transport, GatewayClock clock, EventLoopLag lag, int mostConnections,
                         Listener listener, Sheet sheet) {
         this.lag = lag;
         this.sheet = sheet;
@@ -232,7 +232,7 @@
      * Starts to listen with {@code SO_REUSEPORT}, as one of several listeners on the same address among which the kernel
      * distributes connections.
      */
-    public ChannelFuture listenBesideOthers(SocketAddress address) {
+    public ChannelFuture listenWithReusePort(SocketAddress address) {
         return listen(new ServerBootstrap().option(NioChannelOption.of(StandardSocketOptions.SO_REUSEPORT), true), address);
     }
 
@@ -252,7 +252,7 @@
     }
 
     /** Stops accepting from a listening socket that another process holds too. From now on each response ends its connection. */
-    public void leaveListener() {
+    public void stopAcceptingFromSharedListener() {
         ending = true;
         if (acceptor != null) {
             acceptor.config().setAutoRead(false);
@@ -330,7 +330,7 @@
      * Closes all connections that have no request open. Clients that have sent a part of a request are answered with a 408, since
      * the rest would come too late.
      */
-    public void endAll() {
+    public void closeAllWithoutOpenRequest() {
         List.copyOf(due).forEach(Connection::overdue);
         List.copyOf(idle).forEach(Connection::drop);
     }
@@ -359,7 +359,7 @@
     }
 
     /** Turns standby on or off. In standby each response ends its connection, and after a time unused connections are closed. */
-    public void standby(boolean empty) {
+    public void setStandby(boolean empty) {
         standbySince = standby ? standbySince : clock.nanos();
         standby = empty;
     }
@@ -377,12 +377,12 @@
     }
 
     /** Returns the number of requests that have been received and wait for an earlier one on their connection. */
-    public int sentAhead() {
+    public int pipelinedRequestCount() {
         return connections.stream().mapToInt(connection -> connection.pipelined.size()).sum();
     }
 
     /** Sets whether another process uses a part of the connection limit; if so, this side uses at most half of it. */
-    public void overlap(boolean shares) {
+    public void setConnectionLimitShared(boolean shares) {
         sharesPlaces = shares;
         bound();
     }
@@ -395,7 +395,7 @@
      * Returns the number of open requests of each account. Counts them on the connections themselves, independently of the
      * ledger's counters.
      */
-    public long[] waiting(int accounts) {
+    public long[] openRequestsByAccount(int accounts) {
         long[] waiting = new long[accounts];
         for (Connection connection : connections) {
             if (connection.open != null && connection.open.account != NO_ACCOUNT) {
@@ -406,7 +406,7 @@
     }
 
     /** Returns whether any connection is open, or may yet be taken in. */
-    public boolean holdsAny() {
+    public boolean hasOpenOrPendingConnections() {
         return stopping || handedOver.get() > 0 || !connections.isEmpty();
     }
 
@@ -553,13 +553,13 @@
         }
 
         /** Sets the ledger account of the request, and its id. Must be called before the request is answered. */
-        public void accountedAs(int number, String name) {
+        public void setAccount(int number, String name) {
             account = number;
             id = name;
         }
 
         /** Sets the counters that count the request's end. Must be called before the request is answered. */
-        public void countIn(RequestCounters counts) {
+        public void setCounters(RequestCounters counts) {
             tally = counts;
         }
 
@@ -571,7 +571,7 @@
          * Sets the action to run when the client leaves before its response is complete, or when the gateway itself has answered
          * after a failure.
          */
-        public void onLeft(Runnable action) {
+        public void onAbandoned(Runnable action) {
             left = action;
         }
 
@@ -583,12 +583,12 @@
         }
 
         /** Returns whether the response's head has been sent, or the client has gone. */
-        public boolean isDone() {
+        public boolean isConcluded() {
             return done;
         }
 
         /** Returns whether nothing more of the response is to come. */
-        public boolean isOver() {
+        public boolean isFinished() {
             return done && source == null;
         }
 
@@ -596,7 +596,7 @@
          * Sends the head of a server's response that is streamed. {@code contentLength} is the length of the body in bytes, or -1
          * if it is known only once the body ends.
          */
-        public void begin(long length, Passage.Source from) {
+        public void startStreaming(long length, Passage.Source from) {
             done = true;
             source = from;
             if (account != NO_ACCOUNT) {
@@ -622,14 +622,14 @@
         }
 
         /** Writes body bytes of a streamed response, and releases them. */
-        public void part(ByteBuf bytes) {
+        public void writeData(ByteBuf bytes) {
             connection.movedAt = clock.nanos();
             connection.channel.writeAndFlush(new DefaultHttpContent(bytes));
             connection.pace();
         }
 
         /** Completes a streamed response. */
-        public void end() {
+        public void endStreaming() {
             if (source == null) {
                 return;
             }
@@ -647,7 +647,7 @@
          * Aborts a streamed response that cannot be completed, by closing the connection, so that the client can tell that it is
          * incomplete.
          */
-        public void breakOff() {
+        public void abortStreaming() {
             if (source == null) {
                 return;
             }
@@ -675,7 +675,7 @@
         }
 
         /** Sends a server's 200 response with its body unchanged. */
-        public void served(ByteBuf body) {
+        public void respondOk(ByteBuf body) {
             write(HttpResponseStatus.OK, body.retain(), 0);
         }
 
@@ -683,7 +683,7 @@
          * Sends a status and a line of plain text. {@code retryAfterNanos} is sent as {@code Retry-After}, in seconds; 0 sends
          * none.
          */
-        public void plain(HttpResponseStatus status, String line, long pauseNanos) {
+        public void respondPlainText(HttpResponseStatus status, String line, long pauseNanos) {
             write(status, Unpooled.copiedBuffer(line + "\n", StandardCharsets.UTF_8), pauseNanos);
         }
 
@@ -889,12 +889,12 @@
          */
         private void count(long more) {
             ahead += more;
-            ClientServer.this.ahead += more;
+            DownstreamConnectionManager.this.ahead += more;
             readOn();
         }
 
         private void readOn() {
-            boolean full = ahead >= MOST_AHEAD || ahead > 0 && ClientServer.this.ahead >= MOST_AHEAD_IN_ALL;
+            boolean full = ahead >= MOST_AHEAD || ahead > 0 && DownstreamConnectionManager.this.ahead >= MOST_AHEAD_IN_ALL;
             channel.config().setAutoRead(uploadReads && !full && decoder.mayDiscard != 0);
         }
 
@@ -914,7 +914,7 @@
         private void endUpload(HttpResponseStatus status, String line) {
             Reply reply = open;
             if (reply != null && !reply.done) {
-                reply.plain(status, line, 0);
+                reply.respondPlainText(status, line, 0);
                 reply.left.run();
             } else {
                 channel.close();
@@ -1014,13 +1014,13 @@
             }
             try {
                 if (!readable) {
-                    reply.plain(HttpResponseStatus.BAD_REQUEST, "not a readable HTTP request", 0);
+                    reply.respondPlainText(HttpResponseStatus.BAD_REQUEST, "not a readable HTTP request", 0);
                 } else if (probes) {
-                    boolean ready = listener.ready();
-                    reply.plain(ready ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE,
+                    boolean ready = listener.isReady();
+                    reply.respondPlainText(ready ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE,
                             ready ? "ready" : "starting", 0);
                 } else {
-                    listener.requested(request, arrived.upload, arrived.at, reply);
+                    listener.onRequest(request, arrived.upload, arrived.at, reply);
                     if (arrived.upload != null && !reply.done) {
                         assembler.goOn();
                     }
@@ -1029,7 +1029,7 @@
                     }
                 }
             } catch (BadRequest e) {
-                reply.plain(e.status, e.getMessage(), 0);
+                reply.respondPlainText(e.status, e.getMessage(), 0);
             } catch (RuntimeException e) {
                 // A request that was read is always answered, whatever fails here.
                 answerFault(reply, e);
@@ -1039,8 +1039,8 @@
         }
 
         private void answerFault(Reply reply, Throwable fault) {
-            listener.failed(fault);
-            reply.plain(HttpResponseStatus.BAD_GATEWAY, "failed: it may have run", 0);
+            listener.onInternalError(fault);
+            reply.respondPlainText(HttpResponseStatus.BAD_GATEWAY, "failed: it may have run", 0);
             reply.left.run();
         }
 
@@ -1157,7 +1157,7 @@
                 decoder.discard(MOST_DISCARDED);
                 Reply reply = new Reply(this, null, null, false);
                 open = reply;
-                reply.plain(HttpResponseStatus.REQUEST_TIMEOUT, "the request did not come in time", 0);
+                reply.respondPlainText(HttpResponseStatus.REQUEST_TIMEOUT, "the request did not come in time", 0);
             } else {
                 drop();
             }
--- a/src/main/java/cinderhollow/http1/RequestAssembler.java
+++ b/src/main/java/cinderhollow/http1/RequestAssembler.java
@@ -151,7 +151,7 @@
             if (done.wasHeld()) {
                 // The client may have left while reading was paused. That shows only right behind the last byte, at the next poll
                 // of the socket; until then the end of the body is not forwarded.
-                context.executor().schedule(done::end, ClientServer.LOOK_MILLIS, TimeUnit.MILLISECONDS);
+                context.executor().schedule(done::end, DownstreamConnectionManager.LOOK_MILLIS, TimeUnit.MILLISECONDS);
             } else {
                 done.end();
             }
--- a/src/main/java/cinderhollow/http1/RequestReader.java
+++ b/src/main/java/cinderhollow/http1/RequestReader.java
@@ -1,6 +1,6 @@
 package cinderhollow.http1;
 
-import cinderhollow.http1.ClientServer.BadRequest;
+import cinderhollow.http1.DownstreamConnectionManager.BadRequest;
 import cinderhollow.policy.Protocol.Effect;
 import cinderhollow.policy.Protocol.RequestArrived;
 import cinderhollow.policy.Protocol.RequestClass;
--- a/src/test/java/cinderhollow/http1/ClientServerFaultTest.java
+++ b/src/test/java/cinderhollow/http1/ClientServerFaultTest.java
@@ -35,25 +35,25 @@
     private final List<String> faults = new CopyOnWriteArrayList<>();
 
     private interface Handling {
-        void of(ClientServer.Reply reply);
+        void of(DownstreamConnectionManager.Reply reply);
     }
 
     private Socket connect(Handling handling) throws Exception {
         EventLoop loop = group.next();
-        ClientServer server = loop.submit(() -> new ClientServer(loop, Transport.TCP, new GatewayClock(), new EventLoopLag(), 100,
-                new ClientServer.Listener() {
+        DownstreamConnectionManager server = loop.submit(() -> new DownstreamConnectionManager(loop, Transport.TCP, new GatewayClock(), new EventLoopLag(), 100,
+                new DownstreamConnectionManager.Listener() {
                     @Override
-                    public boolean ready() {
+                    public boolean isReady() {
                         return true;
                     }
 
                     @Override
-                    public void requested(FullHttpRequest request, Upload upload, long arrivedAt, ClientServer.Reply reply) {
+                    public void onRequest(FullHttpRequest request, Upload upload, long arrivedAt, DownstreamConnectionManager.Reply reply) {
                         handling.of(reply);
                     }
 
                     @Override
-                    public void failed(Throwable fault) {
+                    public void onInternalError(Throwable fault) {
                         faults.add(fault.getMessage());
                     }
                 }, null)).get();
@@ -102,7 +102,7 @@
             } catch (InterruptedException e) {
                 throw new IllegalStateException(e);
             }
-            reply.plain(HttpResponseStatus.OK, "x".repeat(length), 0);
+            reply.respondPlainText(HttpResponseStatus.OK, "x".repeat(length), 0);
         })) {
             send(client, "GET /x HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n");
             assertTrue(asked.await(PATIENCE_MILLIS, TimeUnit.MILLISECONDS));
