--- a/src/main/java/cinderhollow/daemon/Gateway.java
+++ b/src/main/java/cinderhollow/daemon/Gateway.java
@@ -9,7 +9,7 @@
 import cinderhollow.http1.DownstreamConnectionManager.BadRequest;
 import cinderhollow.http1.DownstreamConnectionManager.Reply;
 import cinderhollow.http1.DownstreamConnectionManager;
-import cinderhollow.http1.HostPool;
+import cinderhollow.http1.UpstreamPool;
 import cinderhollow.http1.Passage;
 import cinderhollow.http1.RequestReader;
 import cinderhollow.http1.Upload;
@@ -155,7 +155,7 @@
     private final ArrayDeque<Stamped> events = new ArrayDeque<>();
     private final CompletableFuture<Void> ended = new CompletableFuture<>();
     private final LoadBalancer choice;
-    private final HostPool hosts;
+    private final UpstreamPool hosts;
     private final Discovery discovery;
     private final DownstreamConnectionManager clients;
     /** Gateways of the other event loops, which receive each list from this one. */
@@ -207,7 +207,7 @@
                 : Journal.open(loop, config.bookkeeping(), Journal.FILES, ledger, this::tellOpen, log);
         int others = OTHER_DESCRIPTORS + (config.door() == null ? 0 : DOOR_DESCRIPTORS);
         int connections = Math.max(2, config.sockets() - others);
-        hosts = new HostPool(loop, transport, clock, config.dialTimeoutNanos(), config.idleNanos(), connections / 2,
+        hosts = new UpstreamPool(loop, transport, clock, config.dialTimeoutNanos(), config.idleNanos(), connections / 2,
                 ledger == null ? null : ledger.sheet(Place.NODES), ledger == null ? 0 : ledger.accounts().size());
         discovery = config.discovery() == null ? null : new Discovery(loop, transport, config.discovery(),
                 config.known().index(), Discovery.SILENCE_TIMEOUT_MILLIS,
@@ -397,13 +397,13 @@
                 tallies.forEach((name, tally) -> counts.put(name, tally.counts()));
             }
             return new Standing(counts, open.values().stream().filter(r -> !r.reply.isFinished()).count() + clients.pipelinedRequestCount(),
-                    hosts.listed(), hosts.listed() - choice.usableServerCount(), cfgAccepted, cfgInvalid);
+                    hosts.serverCount(), hosts.serverCount() - choice.usableServerCount(), cfgAccepted, cfgInvalid);
         }, loop);
     }
 
     @Override
     public CompletableFuture<Snapshot> snapshot() {
-        return CompletableFuture.supplyAsync(() -> new Snapshot(choice.learnedState(), listIndex, hosts.list().stream()
+        return CompletableFuture.supplyAsync(() -> new Snapshot(choice.learnedState(), listIndex, hosts.endpoints().stream()
                 .map(Gateway::told).toList(), standby), loop);
     }
 
@@ -445,7 +445,7 @@
             beside += begins ? 1 : -1;
             tell(new ProcessOverlapChanged(beside > 0));
             clients.setConnectionLimitShared(beside > 0);
-            hosts.overlap(beside > 0);
+            hosts.setConnectionLimitShared(beside > 0);
         });
     }
 
@@ -525,7 +525,7 @@
             classes.clear();
             next.settings().classes().forEach(c -> classes.put(c.name(), c));
             routing = next.routes() == null ? null : new Routing(next.routes());
-            hosts.retune(next.dialTimeoutNanos(), next.idleNanos());
+            hosts.setTimeouts(next.dialTimeoutNanos(), next.idleNanos());
             tell(new SettingsChanged(next.settings()));
             // After the shutdown, nothing would close a newly opened watch.
             if (!ended.isDone() && discovery != null && next.discovery() != null) {
@@ -634,7 +634,7 @@
             case CLIENTS -> waiting[account];
             case CORE -> requests[account];
             case ATTEMPTS -> out[account];
-            case NODES -> hosts.out(account);
+            case NODES -> hosts.openAttempts(account);
         };
     }
 
@@ -895,7 +895,7 @@
     }
 
     /** A request that is not answered yet, or some of whose attempts have not ended. */
-    private final class OpenRequest implements HostPool.Listener, Upload.Listener, Passage {
+    private final class OpenRequest implements UpstreamPool.Listener, Upload.Listener, Passage {
         private final String id;
         private final FullHttpRequest request;
         /** Null where the request was received with its whole body. */
@@ -904,7 +904,7 @@
         private final long expiresIn;
         private final RequestLifecycle lifecycle;
         private final Reply reply;
-        private final List<HostPool.Attempt> attempts = new ArrayList<>(1);
+        private final List<UpstreamPool.Attempt> attempts = new ArrayList<>(1);
         private final List<String> servers = new ArrayList<>(1);
         /** Null where no ledger is kept. */
         private final Entry entry;
@@ -952,11 +952,11 @@
                 long answeredIn = Math.min(expiresIn, timeoutNanos);
                 attempts.add(hosts.send(server, RequestReader.forHost(request, upload, answeredIn), upload, this));
                 if (upload.isWhole()) {
-                    attempts.get(attempts.size() - 1).timeOutIn(answeredIn);
+                    attempts.get(attempts.size() - 1).setTimeout(answeredIn);
                 }
             }
             if (withinNanos != Long.MAX_VALUE) {
-                attempts.get(attempts.size() - 1).outWithin(withinNanos);
+                attempts.get(attempts.size() - 1).setSendTimeout(withinNanos);
             }
         }
 
@@ -970,13 +970,13 @@
         public void whole() {
             if (!reply.isConcluded()) {
                 lifecycle.received(clock.nanos() + expiresIn);
-                attempts.forEach(attempt -> attempt.timeOutIn(expiresIn));
+                attempts.forEach(attempt -> attempt.setTimeout(expiresIn));
                 tell(new RequestBodyReceived(id, expiresIn));
             }
         }
 
         @Override
-        public Passage begun(HostPool.Attempt attempt, long at, LoadReport load, long length, Passage.Source source) {
+        public Passage onStreamStarted(UpstreamPool.Attempt attempt, long at, LoadReport load, long length, Passage.Source source) {
             int number = over(attempt, Outcome.SERVED);
             boolean wanted = !reply.isConcluded();
             if (wanted) {
@@ -1014,7 +1014,7 @@
         }
 
         /** Records an attempt's end and returns the attempt's number. */
-        private int over(HostPool.Attempt attempt, Outcome outcome) {
+        private int over(UpstreamPool.Attempt attempt, Outcome outcome) {
             outstanding--;
             if (entry != null) {
                 attemptSheet.end(entry.account, outcome, id);
@@ -1026,14 +1026,14 @@
         }
 
         @Override
-        public void written() {
+        public void onRequestWritten() {
             if (tally != null) {
                 tally.recordRelayed();
             }
         }
 
         @Override
-        public void ended(HostPool.Attempt attempt, Outcome outcome, long at, LoadReport load, ByteBuf body) {
+        public void onAttemptEnded(UpstreamPool.Attempt attempt, Outcome outcome, long at, LoadReport load, ByteBuf body) {
             int number = over(attempt, outcome);
             if (outcome == Outcome.SERVED) {
                 if (entry != null) {
@@ -1133,7 +1133,7 @@
          */
         private void forgetIfOver() {
             if (reply.isConcluded()) {
-                attempts.forEach(HostPool.Attempt::callOff);
+                attempts.forEach(UpstreamPool.Attempt::cancelIfUnsent);
             }
             if (reply.isFinished() && outstanding == 0 && open.remove(id, this)) {
                 request.release();
--- a/src/main/java/cinderhollow/http1/DownstreamConnectionManager.java
+++ b/src/main/java/cinderhollow/http1/DownstreamConnectionManager.java
@@ -275,7 +275,7 @@
         protected void initChannel(Channel channel) {
             Connection connection = new Connection(channel);
             channel.config().setOption(ChannelOption.WRITE_BUFFER_WATER_MARK, WATER_MARK);
-            channel.config().setRecvByteBufAllocator(new AdaptiveRecvByteBufAllocator(64, 2048, HostPool.LARGEST_READ));
+            channel.config().setRecvByteBufAllocator(new AdaptiveRecvByteBufAllocator(64, 2048, UpstreamPool.LARGEST_READ));
             channel.pipeline().addLast(connection.decoder, new HttpResponseEncoder(), connection.assembler, connection);
         }
     }
--- a/src/main/java/cinderhollow/http1/HostPool.java
+++ b/src/main/java/cinderhollow/http1/UpstreamPool.java
@@ -48,7 +48,7 @@
  * Pool of persistent HTTP/1.1 connections to the servers, and the attempts sent on them. A connection carries one request at a
  * time. The pool never sends a request a second time: an attempt whose connection breaks has ended. Belongs to one event loop.
  */
-public final class HostPool {
+public final class UpstreamPool {
     /**
      * Receives the events of one attempt, on the event loop. The end of the attempt is never reported from within {@link #send}
      * or a cancel.
@@ -58,10 +58,10 @@
          * Called once when the attempt has ended. {@code body} is non-null only for a served attempt; it is valid only during the
          * call.
          */
-        void ended(Attempt attempt, Outcome outcome, long atNanos, LoadReport load, ByteBuf body);
+        void onAttemptEnded(Attempt attempt, Outcome outcome, long atNanos, LoadReport load, ByteBuf body);
 
         /** Called when the attempt's last byte has been written. */
-        void written();
+        void onRequestWritten();
 
         /**
          * Decides whether the attempt is sent; called right before its first byte is written, however long ago the attempt was
@@ -74,11 +74,11 @@
         TransitionMonitor monitor();
 
         /**
-         * Called when a served attempt's response is streamed. The attempt has ended with this call, and {@link #ended} is not
+         * Called when a served attempt's response is streamed. The attempt has ended with this call, and {@link #onAttemptEnded} is not
          * called for it. {@code length} is the length of the body in bytes, or -1 if it is known only once the body ends. Returns
          * the receiver of the body, or null if the response is not wanted any more.
          */
-        Passage begun(Attempt attempt, long atNanos, LoadReport load, long length, Passage.Source source);
+        Passage onStreamStarted(Attempt attempt, long atNanos, LoadReport load, long length, Passage.Source source);
 
         /** Returns the number of the ledger account that the request belongs to; used only if a ledger is kept. */
         int account();
@@ -120,7 +120,7 @@
     /** Ledger counters for attempts; null if no ledger is kept. */
     private final Sheet sheet;
     /** Number of attempts in flight, by account. */
-    private final long[] out;
+    private final long[] openAttempts;
     private long idleNanos;
     private final Bootstrap bootstrap;
     private final Map<String, Host> hosts = new HashMap<>();
@@ -142,10 +142,10 @@
      * @param sheet ledger counters for attempts, or null
      * @param accounts number of ledger accounts
      */
-    public HostPool(EventLoop loop, Transport transport, GatewayClock clock, long dialTimeoutNanos, long idleNanos,
+    public UpstreamPool(EventLoop loop, Transport transport, GatewayClock clock, long dialTimeoutNanos, long idleNanos,
              int mostConnections, Sheet sheet, int accounts) {
         this.sheet = sheet;
-        out = new long[accounts];
+        openAttempts = new long[accounts];
         this.loop = loop;
         this.clock = clock;
         timers = new LagAwareTimers(loop, clock);
@@ -153,14 +153,14 @@
         bootstrap = new Bootstrap().group(loop).channel(transport.clientChannelType())
                 .option(ChannelOption.WRITE_BUFFER_WATER_MARK, WATER_MARK)
                 .option(ChannelOption.RECVBUF_ALLOCATOR, new AdaptiveRecvByteBufAllocator(64, 2048, LARGEST_READ));
-        retune(dialTimeoutNanos, idleNanos);
+        setTimeouts(dialTimeoutNanos, idleNanos);
         loop.scheduleWithFixedDelay(this::retireIdle, SWEEP_MILLIS, SWEEP_MILLIS, TimeUnit.MILLISECONDS);
     }
 
     /**
      * Sets the connect timeout and the servers' idle timeout. The connect timeout applies to connections dialled from now on.
      */
-    public void retune(long dialTimeoutNanos, long hostsIdleNanos) {
+    public void setTimeouts(long dialTimeoutNanos, long hostsIdleNanos) {
         idleNanos = (long) (hostsIdleNanos * IDLE_PART);
         bootstrap.option(ChannelOption.CONNECT_TIMEOUT_MILLIS,
                 (int) Math.max(1, TimeUnit.NANOSECONDS.toMillis(dialTimeoutNanos)));
@@ -208,12 +208,12 @@
     /** Starts an attempt. This method takes ownership of the request and releases it. */
     public Attempt send(String host, FullHttpRequest request, long timeoutNanos, Listener listener) {
         Attempt attempt = new Attempt(request, null, clock.nanos(), listener);
-        attempt.timeOutIn(timeoutNanos);
+        attempt.setTimeout(timeoutNanos);
         return start(host, attempt);
     }
 
     /**
-     * Starts an attempt of a request whose body is forwarded as it arrives. Its timeout starts with {@link Attempt#timeOutIn}.
+     * Starts an attempt of a request whose body is forwarded as it arrives. Its timeout starts with {@link Attempt#setTimeout}.
      */
     public Attempt send(String host, HttpRequest head, Upload upload, Listener listener) {
         return start(host, new Attempt(head, upload, clock.nanos(), listener));
@@ -233,22 +233,22 @@
     }
 
     /** Returns the number of attempts of an account that are in flight. */
-    public long out(int account) {
-        return out[account];
+    public long openAttempts(int account) {
+        return openAttempts[account];
     }
 
     /** Sets whether another process uses a part of the connection limit; if so, this pool uses at most half of it. */
-    public void overlap(boolean shares) {
+    public void setConnectionLimitShared(boolean shares) {
         sharesPlaces = shares;
     }
 
     /** Returns the endpoints of the current list. */
-    public List<Endpoint> list() {
+    public List<Endpoint> endpoints() {
         return hosts.values().stream().map(host -> host.endpoint).toList();
     }
 
     /** Returns the number of servers in the current list. */
-    public int listed() {
+    public int serverCount() {
         return hosts.size();
     }
 
@@ -695,7 +695,7 @@
             this.listener = listener;
             lifecycle = new AttemptLifecycle(listener.id(), listener.monitor());
             if (sheet != null) {
-                out[listener.account()]++;
+                openAttempts[listener.account()]++;
                 sheet.open(listener.account(), listener.id());
             }
         }
@@ -711,7 +711,7 @@
         }
 
         /** Sets the attempt's timeout, in nanoseconds from now. */
-        public void timeOutIn(long nanos) {
+        public void setTimeout(long nanos) {
             if (!lifecycle.isEnded()) {
                 deadline = clock.nanos() + nanos;
                 timer = timers.schedule(Math.max(0, nanos), this::timedOut);
@@ -730,7 +730,7 @@
         }
 
         /** Requires the attempt to be sent whole within the given time from now; otherwise it ends as failed to connect. */
-        public void outWithin(long nanos) {
+        public void setSendTimeout(long nanos) {
             if (!lifecycle.isEnded() && isUnsent()) {
                 outBy = clock.nanos() + nanos;
                 loop.schedule(this::notOut, nanos, TimeUnit.NANOSECONDS);
@@ -749,7 +749,7 @@
                 if (!lifecycle.isEnded()) {
                     lifecycle.transitionTo(AttemptState.WRITTEN);
                 }
-                listener.written();
+                listener.onRequestWritten();
             } else {
                 channel.close();
             }
@@ -760,7 +760,7 @@
                 return null;
             }
             over(Outcome.SERVED);
-            return listener.begun(this, clock.nanos(), load, length, source);
+            return listener.onStreamStarted(this, clock.nanos(), load, length, source);
         }
 
         /** Cancels the attempt; no further byte of it is sent. */
@@ -774,7 +774,7 @@
          * servers may not be asked to cancel. Without it, a request could be sent on a connection that comes up long after the
          * client has left.
          */
-        public void callOff() {
+        public void cancelIfUnsent() {
             if (!lifecycle.isEnded() && isUnsent()) {
                 cancel();
             }
@@ -813,14 +813,14 @@
                 return;
             }
             over(how);
-            listener.ended(this, how, clock.nanos(), load, body);
+            listener.onAttemptEnded(this, how, clock.nanos(), load, body);
         }
 
         private void over(Outcome how) {
             lifecycle.transitionTo(AttemptState.ENDED);
             outcome = how;
             if (sheet != null) {
-                out[listener.account()]--;
+                openAttempts[listener.account()]--;
                 sheet.end(listener.account(), how, listener.id());
             }
             if (timer != null) {
--- a/src/test/java/cinderhollow/daemon/Answered.java
+++ b/src/test/java/cinderhollow/daemon/Answered.java
@@ -1,6 +1,6 @@
 package cinderhollow.daemon;
 
-import cinderhollow.http1.HostPool;
+import cinderhollow.http1.UpstreamPool;
 import cinderhollow.http1.Passage;
 import cinderhollow.lifecycle.SendDecision;
 import cinderhollow.lifecycle.TransitionMonitor;
@@ -12,14 +12,14 @@
 import java.util.function.BooleanSupplier;
 
 /** Result of one attempt: the body of its answer, or the outcome with which it ended without one. */
-final class Answered extends CompletableFuture<String> implements HostPool.Listener {
+final class Answered extends CompletableFuture<String> implements UpstreamPool.Listener {
     @Override
-    public void ended(HostPool.Attempt attempt, Outcome outcome, long atNanos, LoadReport load, ByteBuf body) {
+    public void onAttemptEnded(UpstreamPool.Attempt attempt, Outcome outcome, long atNanos, LoadReport load, ByteBuf body) {
         complete(outcome == Outcome.SERVED ? body.toString(StandardCharsets.US_ASCII) : outcome.toString());
     }
 
     @Override
-    public void written() { }
+    public void onRequestWritten() { }
 
     @Override
     public SendDecision decideSend(BooleanSupplier serverAvailable) {
@@ -32,7 +32,7 @@
     }
 
     @Override
-    public Passage begun(HostPool.Attempt attempt, long atNanos, LoadReport load, long length, Passage.Source source) {
+    public Passage onStreamStarted(UpstreamPool.Attempt attempt, long atNanos, LoadReport load, long length, Passage.Source source) {
         return null;
     }
 
--- a/src/test/java/cinderhollow/daemon/HalfSentTest.java
+++ b/src/test/java/cinderhollow/daemon/HalfSentTest.java
@@ -6,7 +6,7 @@
 
 import cinderhollow.core.GatewayClock;
 import cinderhollow.core.Transport;
-import cinderhollow.http1.HostPool;
+import cinderhollow.http1.UpstreamPool;
 import cinderhollow.membership.EndpointList;
 import cinderhollow.membership.EndpointList.Endpoint;
 import cinderhollow.policy.Protocol.Readiness;
@@ -43,12 +43,12 @@
     private final Answered ended = new Answered();
     private ServerSocket listener;
     private Socket host;
-    private HostPool hosts;
+    private UpstreamPool hosts;
 
     @BeforeEach
     void start() throws Exception {
         listener = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
-        hosts = new HostPool(loop, Transport.TCP, new GatewayClock(), LONG_NANOS, LONG_NANOS, 10, null, 0);
+        hosts = new UpstreamPool(loop, Transport.TCP, new GatewayClock(), LONG_NANOS, LONG_NANOS, 10, null, 0);
         loop.submit(() -> hosts.update(new EndpointList(1, true, List.of(new Endpoint(new ServerInfo("h", "a", "std", 0,
                 Readiness.READY, 1, 0), (InetSocketAddress) listener.getLocalSocketAddress()))))).get();
     }
@@ -61,11 +61,11 @@
     }
 
     /** Starts the attempt and waits until the server has received its first bytes. */
-    private HostPool.Attempt begins(long timeoutNanos) throws Exception {
+    private UpstreamPool.Attempt begins(long timeoutNanos) throws Exception {
         FullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.POST, "/submit",
                 Unpooled.wrappedBuffer(new byte[MORE_THAN_BUFFERS]));
         request.headers().setInt("Content-Length", MORE_THAN_BUFFERS);
-        HostPool.Attempt attempt = loop.submit(() -> hosts.send("h", request, timeoutNanos, ended)).get();
+        UpstreamPool.Attempt attempt = loop.submit(() -> hosts.send("h", request, timeoutNanos, ended)).get();
         host = listener.accept();
         host.setSoTimeout(PATIENCE_MILLIS);
         assertEquals('P', host.getInputStream().read());
@@ -82,8 +82,8 @@
      */
     @Test
     void isCalledOffAndNeverComesWhole() throws Exception {
-        HostPool.Attempt attempt = begins(LONG_NANOS);
-        loop.submit(attempt::callOff).get();
+        UpstreamPool.Attempt attempt = begins(LONG_NANOS);
+        loop.submit(attempt::cancelIfUnsent).get();
         assertEquals("CANCELLED", outcome());
         assertTrue(attempt.isUnsent());
         assertTrue(host.getInputStream().readAllBytes().length < MORE_THAN_BUFFERS);
--- a/src/test/java/cinderhollow/daemon/SecondAnswerTest.java
+++ b/src/test/java/cinderhollow/daemon/SecondAnswerTest.java
@@ -5,7 +5,7 @@
 
 import cinderhollow.core.GatewayClock;
 import cinderhollow.core.Transport;
-import cinderhollow.http1.HostPool;
+import cinderhollow.http1.UpstreamPool;
 import cinderhollow.membership.EndpointList;
 import cinderhollow.membership.EndpointList.Endpoint;
 import cinderhollow.policy.Protocol.Readiness;
@@ -45,7 +45,7 @@
         group.shutdownGracefully(0, 100, TimeUnit.MILLISECONDS).await(PATIENCE_MILLIS);
     }
 
-    private Answered ask(HostPool hosts, String path) {
+    private Answered ask(UpstreamPool hosts, String path) {
         Answered answered = new Answered();
         loop.execute(() -> hosts.send("h", new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, path,
                 Unpooled.EMPTY_BUFFER), LONG_NANOS, answered));
@@ -56,8 +56,8 @@
         assertEquals(expected, answered.get(PATIENCE_MILLIS, TimeUnit.MILLISECONDS));
     }
 
-    private HostPool pool(ScriptedHost host) {
-        HostPool hosts = new HostPool(loop, Transport.TCP, clock, LONG_NANOS, LONG_NANOS, 10, null, 0);
+    private UpstreamPool pool(ScriptedHost host) {
+        UpstreamPool hosts = new UpstreamPool(loop, Transport.TCP, clock, LONG_NANOS, LONG_NANOS, 10, null, 0);
         loop.execute(() -> hosts.update(new EndpointList(1, true, List.of(new Endpoint(
                 new ServerInfo("h", "a", "std", 0, Readiness.READY, 1, 0), host.address())))));
         return hosts;
@@ -86,7 +86,7 @@
     void isNotTakenForTheAnswerToTheNextRequest() throws Exception {
         Twice twice = new Twice();
         try (ScriptedHost host = new ScriptedHost(twice)) {
-            HostPool hosts = pool(host);
+            UpstreamPool hosts = pool(host);
             assertAnswer("/zero", ask(hosts, "/zero"));
             assertAnswer("/one", ask(hosts, "/one"));
             now.addAndGet(TimeUnit.MILLISECONDS.toNanos(5));
@@ -101,7 +101,7 @@
     @Test
     void aConnectionThatHasSettledCarriesWhatHasWaitedForIt() throws Exception {
         try (ScriptedHost host = new ScriptedHost(new Twice())) {
-            HostPool hosts = pool(host);
+            UpstreamPool hosts = pool(host);
             assertAnswer("/zero", ask(hosts, "/zero"));
             assertAnswer("/one", ask(hosts, "/one"));
             Answered two = ask(hosts, "/two");
