--- a/src/main/java/cinderhollow/daemon/Gateway.java
+++ b/src/main/java/cinderhollow/daemon/Gateway.java
@@ -10,7 +10,7 @@
 import cinderhollow.http1.DownstreamConnectionManager.Reply;
 import cinderhollow.http1.DownstreamConnectionManager;
 import cinderhollow.http1.UpstreamPool;
-import cinderhollow.http1.Passage;
+import cinderhollow.http1.ResponseSink;
 import cinderhollow.http1.RequestReader;
 import cinderhollow.http1.Upload;
 import cinderhollow.evacuation.Order;
@@ -895,7 +895,7 @@
     }
 
     /** A request that is not answered yet, or some of whose attempts have not ended. */
-    private final class OpenRequest implements UpstreamPool.Listener, Upload.Listener, Passage {
+    private final class OpenRequest implements UpstreamPool.Listener, Upload.Listener, ResponseSink {
         private final String id;
         private final FullHttpRequest request;
         /** Null where the request was received with its whole body. */
@@ -976,7 +976,7 @@
         }
 
         @Override
-        public Passage onStreamStarted(UpstreamPool.Attempt attempt, long at, LoadReport load, long length, Passage.Source source) {
+        public ResponseSink onStreamStarted(UpstreamPool.Attempt attempt, long at, LoadReport load, long length, ResponseSink.Source source) {
             int number = over(attempt, Outcome.SERVED);
             boolean wanted = !reply.isConcluded();
             if (wanted) {
@@ -995,19 +995,19 @@
         }
 
         @Override
-        public void part(ByteBuf bytes) {
+        public void onData(ByteBuf bytes) {
             reply.writeData(bytes);
         }
 
         @Override
-        public void end() {
+        public void onEnd() {
             complete();
             reply.endStreaming();
             forgetIfOver();
         }
 
         @Override
-        public void broken() {
+        public void onAborted() {
             complete();
             reply.abortStreaming();
             forgetIfOver();
--- a/src/main/java/cinderhollow/http1/DownstreamConnectionManager.java
+++ b/src/main/java/cinderhollow/http1/DownstreamConnectionManager.java
@@ -529,7 +529,7 @@
         /** Whether the response's head has been sent, or the client has gone. */
         private boolean done;
         /** Upstream side of a streamed response until its end; otherwise null. */
-        private Passage.Source source;
+        private ResponseSink.Source source;
         /**
          * Whether the body of the streamed response is delimited by the end of the connection, so that only the way the
          * connection ends tells a complete response from an aborted one.
@@ -596,7 +596,7 @@
          * Sends the head of a server's response that is streamed. {@code contentLength} is the length of the body in bytes, or -1
          * if it is known only once the body ends.
          */
-        public void startStreaming(long length, Passage.Source from) {
+        public void startStreaming(long length, ResponseSink.Source from) {
             done = true;
             source = from;
             if (account != NO_ACCOUNT) {
@@ -1214,7 +1214,7 @@
                 }
                 unanswered.left.run();
             } else if (unanswered != null && unanswered.source != null) {
-                Passage.Source source = unanswered.source;
+                ResponseSink.Source source = unanswered.source;
                 unanswered.source = null;
                 source.cancel();
                 unanswered.left.run();
--- a/src/main/java/cinderhollow/http1/Passage.java
+++ b/src/main/java/cinderhollow/http1/ResponseSink.java
@@ -3,7 +3,7 @@
 import io.netty.buffer.ByteBuf;
 
 /** Receives a streamed response on the side of the client; called by the upstream side. Belongs to one event loop. */
-public interface Passage {
+public interface ResponseSink {
     /** Upstream side of the streamed response. */
     interface Source {
         /** Sets whether to read on from the server; reading stops while the client's side is full. */
@@ -14,14 +14,14 @@
     }
 
     /** Receives body bytes, and releases them. */
-    void part(ByteBuf bytes);
+    void onData(ByteBuf bytes);
 
     /** Called when the response is complete. */
-    void end();
+    void onEnd();
 
     /**
      * Called when the response can never be completed because the connection to the server broke or stalled. The client must be
      * able to tell.
      */
-    void broken();
+    void onAborted();
 }
--- a/src/main/java/cinderhollow/http1/UpstreamPool.java
+++ b/src/main/java/cinderhollow/http1/UpstreamPool.java
@@ -78,7 +78,7 @@
          * called for it. {@code length} is the length of the body in bytes, or -1 if it is known only once the body ends. Returns
          * the receiver of the body, or null if the response is not wanted any more.
          */
-        Passage onStreamStarted(Attempt attempt, long atNanos, LoadReport load, long length, Passage.Source source);
+        ResponseSink onStreamStarted(Attempt attempt, long atNanos, LoadReport load, long length, ResponseSink.Source source);
 
         /** Returns the number of the ledger account that the request belongs to; used only if a ledger is kept. */
         int account();
@@ -382,7 +382,7 @@
     }
 
     /** One connection to a server, open or being dialled. */
-    private final class Connection implements AnswerReader.Listener, Upload.Sink, Passage.Source {
+    private final class Connection implements AnswerReader.Listener, Upload.Sink, ResponseSink.Source {
         private final Host host;
         private final long openedAt = clock.nanos();
         private Channel channel;
@@ -392,7 +392,7 @@
         private boolean carried;
         private boolean closed;
         /** Receiver of the response, if the response is being streamed; otherwise null. */
-        private Passage passage;
+        private ResponseSink passage;
         /** When a part of a large body was last sent or received. */
         private long movedAt;
         /** Whether this side has paused reading the response from the server. */
@@ -499,7 +499,7 @@
         public void part(ByteBuf bytes) {
             if (passage != null) {
                 moved();
-                passage.part(bytes);
+                passage.onData(bytes);
             } else if (attempt != null && attempt.upload != null) {
                 moved();
                 channel.writeAndFlush(new DefaultHttpContent(bytes));
@@ -568,12 +568,12 @@
 
         @Override
         public void ended(HttpResponse head, boolean reusable) {
-            Passage done = passage;
+            ResponseSink done = passage;
             passage = null;
             moving.remove(this);
             release(reusable && HttpUtil.isKeepAlive(head));
             if (done != null) {
-                done.end();
+                done.onEnd();
             }
         }
 
@@ -622,10 +622,10 @@
         }
 
         private void breakOff() {
-            Passage broken = passage;
+            ResponseSink broken = passage;
             passage = null;
             if (broken != null) {
-                broken.broken();
+                broken.onAborted();
             }
         }
 
@@ -755,7 +755,7 @@
             }
         }
 
-        private Passage begun(LoadReport load, long length, Passage.Source source) {
+        private ResponseSink begun(LoadReport load, long length, ResponseSink.Source source) {
             if (lifecycle.isEnded()) {
                 return null;
             }
