--- a/src/main/java/cinderhollow/daemon/Gateway.java
+++ b/src/main/java/cinderhollow/daemon/Gateway.java
@@ -947,10 +947,10 @@
             }
             servers.add(server);
             if (upload == null) {
-                attempts.add(hosts.send(server, RequestReader.forHost(request, timeoutNanos), timeoutNanos, this));
+                attempts.add(hosts.send(server, RequestReader.toUpstreamRequest(request, timeoutNanos), timeoutNanos, this));
             } else {
                 long answeredIn = Math.min(expiresIn, timeoutNanos);
-                attempts.add(hosts.send(server, RequestReader.forHost(request, upload, answeredIn), upload, this));
+                attempts.add(hosts.send(server, RequestReader.toUpstreamRequest(request, upload, answeredIn), upload, this));
                 if (upload.isWhole()) {
                     attempts.get(attempts.size() - 1).setTimeout(answeredIn);
                 }
--- a/src/main/java/cinderhollow/http1/RequestReader.java
+++ b/src/main/java/cinderhollow/http1/RequestReader.java
@@ -151,7 +151,7 @@
     }
 
     /** Returns the request as it is sent to a server, with the time that is left of it, in nanoseconds. */
-    public static FullHttpRequest forHost(FullHttpRequest request, long timeoutNanos) {
+    public static FullHttpRequest toUpstreamRequest(FullHttpRequest request, long timeoutNanos) {
         FullHttpRequest copy = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, request.method(), request.uri(),
                 request.content().retainedDuplicate(), AS_READ, AS_READ);
         passOn(request, copy, timeoutNanos);
@@ -160,7 +160,7 @@
     }
 
     /** Returns the head of the request as it is sent to a server; the body follows from the upload. */
-    public static HttpRequest forHost(FullHttpRequest request, Upload upload, long timeoutNanos) {
+    public static HttpRequest toUpstreamRequest(FullHttpRequest request, Upload upload, long timeoutNanos) {
         HttpRequest copy = new DefaultHttpRequest(HttpVersion.HTTP_1_1, request.method(), request.uri(), AS_READ);
         passOn(request, copy, timeoutNanos);
         if (upload.length() < 0) {
