--- a/src/main/java/cinderhollow/daemon/Gateway.java
+++ b/src/main/java/cinderhollow/daemon/Gateway.java
@@ -855,7 +855,7 @@
             if (upload == null) {
                 tell(at, arrived);
             } else {
-                upload.tell(r);
+                upload.setListener(r);
                 tell(at, new RequestHeadArrived(arrived));
             }
         }
@@ -951,7 +951,7 @@
             } else {
                 long answeredIn = Math.min(expiresIn, timeoutNanos);
                 attempts.add(hosts.send(server, RequestReader.toUpstreamRequest(request, upload, answeredIn), upload, this));
-                if (upload.isWhole()) {
+                if (upload.isFullyReceived()) {
                     attempts.get(attempts.size() - 1).setTimeout(answeredIn);
                 }
             }
@@ -961,13 +961,13 @@
         }
 
         @Override
-        public void spent() {
+        public void onFirstByteSent() {
             tell(new RequestNotReplayable(id));
         }
 
         /** Starts the request's deadline once its body is complete, as for any other request. */
         @Override
-        public void whole() {
+        public void onFullyReceived() {
             if (!reply.isConcluded()) {
                 lifecycle.received(clock.nanos() + expiresIn);
                 attempts.forEach(attempt -> attempt.setTimeout(expiresIn));
--- a/src/main/java/cinderhollow/http1/DownstreamConnectionManager.java
+++ b/src/main/java/cinderhollow/http1/DownstreamConnectionManager.java
@@ -663,7 +663,7 @@
             // Pipelined requests must still be answered. While a body is still being received, it is unknown where the next
             // request begins.
             boolean spared = (crowded() || ending || standby) && connection.pipelined.isEmpty();
-            return keepAlive && !spared && (upload == null || upload.isWhole());
+            return keepAlive && !spared && (upload == null || upload.isFullyReceived());
         }
 
         private void tellConnection(HttpResponse head) {
@@ -943,7 +943,7 @@
          */
         private void checkMoving(long now) {
             Upload upload = open == null ? null : open.upload;
-            boolean comes = upload != null && !upload.isWhole();
+            boolean comes = upload != null && !upload.isFullyReceived();
             if (comes) {
                 arrival.observe(now, assembler.received(), upload.isRead());
             }
@@ -1047,7 +1047,7 @@
         /** Writes the response to the open request, or its last part, and takes up the next request or ends the connection. */
         private void answer(HttpObject answer, boolean keepAlive) {
             Upload left = open == null ? null : open.upload;
-            boolean partial = left != null && !left.isWhole();
+            boolean partial = left != null && !left.isFullyReceived();
             if (left != null) {
                 left.drop();
             }
--- a/src/main/java/cinderhollow/http1/Upload.java
+++ b/src/main/java/cinderhollow/http1/Upload.java
@@ -29,10 +29,10 @@
     /** Receives the progress of the upload. */
     public interface Listener {
         /** Called when the first byte is sent to a server: no other server can receive the whole body any more. */
-        void spent();
+        void onFirstByteSent();
 
         /** Called when the last byte has been received from the client. */
-        void whole();
+        void onFullyReceived();
     }
 
     private final long length;
@@ -61,7 +61,7 @@
     }
 
     /** Returns whether the last byte has been received from the client. */
-    public boolean isWhole() {
+    public boolean isFullyReceived() {
         return whole;
     }
 
@@ -71,10 +71,10 @@
     }
 
     /** Sets the listener. If the body has been fully received, notifies the listener at once. */
-    public void tell(Listener told) {
+    public void setListener(Listener told) {
         listener = told;
         if (whole) {
-            told.whole();
+            told.onFullyReceived();
         }
     }
 
@@ -93,7 +93,7 @@
     void end() {
         whole = true;
         if (listener != null && !dropped) {
-            listener.whole();
+            listener.onFullyReceived();
         }
         flow();
     }
@@ -109,7 +109,7 @@
         while (sink != null && bytes > keptBack() && sink.roomy()) {
             if (!spent) {
                 spent = true;
-                listener.spent();
+                listener.onFirstByteSent();
             }
             ByteBuf part = waiting.poll();
             bytes -= part.readableBytes();
