--- a/src/main/java/cinderhollow/http1/Acceptor.java
+++ b/src/main/java/cinderhollow/http1/Acceptor.java
@@ -26,29 +26,29 @@
     private static final long RECHECK_MILLIS = 20;
 
     private final EventLoop loop;
-    private final List<DownstreamConnectionManager> servers;
+    private final List<DownstreamConnectionManager> connectionManagers;
     private NioServerSocketChannel listener = new NioServerSocketChannel();
     /** Whether another process holds the listening socket too; this process then never closes it. */
-    private boolean shared;
+    private boolean listenerShared;
     private volatile boolean stopped;
     /** Whether no connection is dispatched to any loop any more. */
-    private volatile boolean done;
+    private volatile boolean dispatchStopped;
     /** Number of connections accepted so far. */
-    private long accepted;
+    private long acceptedCount;
 
     /**
      * Creates an acceptor that runs on the given event loop and dispatches connections to {@code connectionManagers}, each of
      * which runs on an event loop of its own.
      */
-    public Acceptor(EventLoop loop, List<DownstreamConnectionManager> servers) {
+    public Acceptor(EventLoop loop, List<DownstreamConnectionManager> connectionManagers) {
         this.loop = loop;
-        this.servers = List.copyOf(servers);
+        this.connectionManagers = List.copyOf(connectionManagers);
     }
 
     /** Starts to listen on an address. The future fails if the address cannot be bound. May be called from any thread. */
     public ChannelFuture listen(SocketAddress address) {
         listener.config().setOption(ChannelOption.SO_BACKLOG, DownstreamConnectionManager.BACKLOG);
-        listener.pipeline().addLast(new HandsOver());
+        listener.pipeline().addLast(new ConnectionDispatcher());
         ChannelPromise bound = listener.newPromise();
         loop.register(listener).addListener(registered -> {
             if (registered.isSuccess()) {
@@ -64,12 +64,12 @@
      * Accepts from a bound listening socket that another process holds too. {@code firstConnection} has already been accepted
      * from it, or is null.
      */
-    public ChannelFuture listen(ServerSocketChannel held, SocketChannel first) {
-        shared = true;
-        listener = new NioServerSocketChannel(held);
-        listener.pipeline().addLast(new HandsOver());
-        if (first != null) {
-            choose().adopt(new NioSocketChannel(first));
+    public ChannelFuture listen(ServerSocketChannel inherited, SocketChannel firstConnection) {
+        listenerShared = true;
+        listener = new NioServerSocketChannel(inherited);
+        listener.pipeline().addLast(new ConnectionDispatcher());
+        if (firstConnection != null) {
+            chooseLeastLoaded().addConnection(new NioSocketChannel(firstConnection));
         }
         return loop.register(listener);
     }
@@ -87,11 +87,11 @@
         loop.execute(() -> {
             if (!stopped) {
                 stopped = true;
-                if (shared) {
+                if (listenerShared) {
                     listener.config().setAutoRead(false);
-                    done = true;
+                    dispatchStopped = true;
                 } else {
-                    closeOnceEmpty(DownstreamConnectionManager.MOST_LOOKS);
+                    closeListenerWhenBacklogEmpty(DownstreamConnectionManager.MAX_BACKLOG_POLLS);
                 }
             }
         });
@@ -102,52 +102,52 @@
      * from any thread.
      */
     public boolean canDispatch() {
-        return !done;
+        return !dispatchStopped;
     }
 
     /**
      * Closes the listener once no further connection comes from the backlog, or no polls are left. Closing it earlier would reset
      * connections in the backlog, whose requests count as accepted by the rules of the platform.
      */
-    private void closeOnceEmpty(int looks) {
-        long before = accepted;
+    private void closeListenerWhenBacklogEmpty(int pollsLeft) {
+        long acceptedBefore = acceptedCount;
         loop.schedule(() -> {
-            if (looks > 0 && (accepted != before || !listener.config().isAutoRead())) {
-                closeOnceEmpty(looks - 1);
+            if (pollsLeft > 0 && (acceptedCount != acceptedBefore || !listener.config().isAutoRead())) {
+                closeListenerWhenBacklogEmpty(pollsLeft - 1);
             } else {
                 listener.close();
-                done = true;
+                dispatchStopped = true;
             }
-        }, DownstreamConnectionManager.LOOK_MILLIS, TimeUnit.MILLISECONDS);
+        }, DownstreamConnectionManager.SOCKET_POLL_MILLIS, TimeUnit.MILLISECONDS);
     }
 
     /**
      * Returns the loop with the fewest connections that has room, or null. Loops with dispatched connections that they have not
      * registered yet come after all others.
      */
-    private DownstreamConnectionManager choose() {
+    private DownstreamConnectionManager chooseLeastLoaded() {
         DownstreamConnectionManager chosen = null;
-        for (DownstreamConnectionManager server : servers) {
-            if (server.hasRoom() && (chosen == null || server.strain() < chosen.strain())) {
-                chosen = server;
+        for (DownstreamConnectionManager candidate : connectionManagers) {
+            if (candidate.hasRoom() && (chosen == null || candidate.loadScore() < chosen.loadScore())) {
+                chosen = candidate;
             }
         }
         return chosen;
     }
 
     /** Handler of the listening socket that dispatches accepted connections to the loops. */
-    private final class HandsOver extends ChannelInboundHandlerAdapter {
+    private final class ConnectionDispatcher extends ChannelInboundHandlerAdapter {
         @Override
         public void channelRead(ChannelHandlerContext ctx, Object connection) {
             Channel channel = (Channel) connection;
-            accepted++;
-            DownstreamConnectionManager chosen = choose();
+            acceptedCount++;
+            DownstreamConnectionManager chosen = chooseLeastLoaded();
             if (chosen == null) {
                 // Accepted in the same batch as the last connection that found room; further ones wait in the backlog.
-                chosen = servers.get(0);
+                chosen = connectionManagers.get(0);
             }
-            chosen.adopt(channel);
-            if (choose() == null) {
+            chosen.addConnection(channel);
+            if (chooseLeastLoaded() == null) {
                 pause(ctx);
             }
         }
@@ -162,10 +162,10 @@
 
         private void recheckLater(ChannelHandlerContext ctx) {
             loop.schedule(() -> {
-                if (stopped && shared) {
+                if (stopped && listenerShared) {
                     return;
                 }
-                if (choose() != null) {
+                if (chooseLeastLoaded() != null) {
                     ctx.channel().config().setAutoRead(true);
                 } else {
                     recheckLater(ctx);
--- a/src/main/java/cinderhollow/http1/DownstreamConnectionManager.java
+++ b/src/main/java/cinderhollow/http1/DownstreamConnectionManager.java
@@ -102,49 +102,49 @@
      * Bounds, in bytes, of pipelined requests: of one connection, and of all connections together. Each request counts with a
      * fixed overhead beside its body. A connection over its bound is not read.
      */
-    private static final int MOST_AHEAD = 128 * 1024, MOST_AHEAD_IN_ALL = 4 * 1024 * 1024, AHEAD_EACH = 1024;
+    private static final int MAX_PIPELINED_BYTES = 128 * 1024, MAX_TOTAL_PIPELINED_BYTES = 4 * 1024 * 1024, PIPELINED_REQUEST_OVERHEAD_BYTES = 1024;
     /**
      * Number of bytes that are still read and discarded from a connection whose input is invalid, in order to notice when the
      * client closes it.
      */
-    private static final long MOST_DISCARDED = 256 * 1024;
+    private static final long MAX_DISCARDED_BYTES = 256 * 1024;
     /** A connection that brings no byte for this long after the connect is closed. */
-    private static final long SAYS_NOTHING_NANOS = TimeUnit.SECONDS.toNanos(2);
+    private static final long FIRST_BYTE_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(2);
     /** A client that reads nothing of a large response for this long is presumed gone, and its connection is closed. */
-    private static final long UNREAD_NANOS = TimeUnit.SECONDS.toNanos(20);
+    private static final long WRITE_STALL_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(20);
     /** Bounds of the outbound buffer of one connection, so that memory does not grow with the number of large responses. */
     private static final WriteBufferWaterMark WATER_MARK = new WriteBufferWaterMark(32 * 1024, 64 * 1024);
     /** Time after which the backlog is empty once accepting has resumed, unless accepting has been paused again by then. */
-    private static final long BACKLOG_NANOS = TimeUnit.SECONDS.toNanos(1);
+    private static final long BACKLOG_CLEAR_NANOS = TimeUnit.SECONDS.toNanos(1);
     /**
      * A client that connects in order to send a request does so within this time; until then its new connection is not closed to
      * make room.
      */
-    private static final long YOUNG_NANOS = TimeUnit.MILLISECONDS.toNanos(50);
+    private static final long FIRST_REQUEST_GRACE_NANOS = TimeUnit.MILLISECONDS.toNanos(50);
     /**
      * In milliseconds: the interval of the check for room while the connection limit is exceeded; the delay of the close after a
      * response to unreadable input; the time for which the rest of an upload is discarded before the close; the minimum delay of
      * any other close after a response.
      */
-    private static final long RECHECK_MILLIS = 20, LINGER_MILLIS = 200, DISCARD_MILLIS = 1_000, CLOSE_MILLIS = 50;
+    private static final long RECHECK_MILLIS = 20, LINGER_MILLIS = 200, UPLOAD_DISCARD_MILLIS = 1_000, CLOSE_DELAY_MILLIS = 50;
     /**
      * Clients may read a response at a rate as low as 64 kB/s; the delay of the close behind a response allows for it. Of a
      * streamed response, up to {@code MAX_UNSENT_STREAMED_BYTES} may still be in the socket's send buffer.
      */
-    private static final int SLOWEST_BYTES_PER_MILLI = 64, LARGE_ANSWER = 128 * 1024;
+    private static final int MIN_CLIENT_BYTES_PER_MILLI = 64, MAX_UNSENT_STREAMED_BYTES = 128 * 1024;
     /** Interval of the polls of the backlog during shutdown, in milliseconds, and their maximum number. */
-    static final long LOOK_MILLIS = 5;
-    static final int MOST_LOOKS = 100;
+    static final long SOCKET_POLL_MILLIS = 5;
+    static final int MAX_BACKLOG_POLLS = 100;
     /**
      * Idle timeout of connections while more than half of the connection limit is in use: a client that has sent no request for
      * this long is presumed to have no more to send.
      */
-    private static final long LONG_IDLE_NANOS = TimeUnit.SECONDS.toNanos(2);
+    private static final long CROWDED_IDLE_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(2);
     /**
      * Time in standby before unused connections are closed. A load balancer in front of the gateway polls {@code /ready}
      * periodically, and stops sending this long after the first negative answer at the latest.
      */
-    private static final long FRONT_NANOS = TimeUnit.MILLISECONDS.toNanos(400);
+    private static final long STANDBY_GRACE_NANOS = TimeUnit.MILLISECONDS.toNanos(400);
 
     private final EventLoop loop;
     private final Transport transport;
@@ -152,50 +152,50 @@
     private final EventLoopLag lag;
     private final Listener listener;
     /** Ledger counters for requests; null if no ledger is kept. */
-    private final Sheet sheet;
-    private final int mostConnections;
+    private final Sheet ledgerCounters;
+    private final int maxConnections;
     private final Set<Connection> connections = new LinkedHashSet<>();
     /** Connections that have had a request and have none open, the longest idle first. */
-    private final Set<Connection> idle = new LinkedHashSet<>();
+    private final Set<Connection> idleConnections = new LinkedHashSet<>();
     /**
      * Connections with no request open that have never sent one, or have sent a part of the next one; the longest waiting first.
      */
-    private final Set<Connection> due = new LinkedHashSet<>();
+    private final Set<Connection> awaitingRequest = new LinkedHashSet<>();
     /** Connections whose last response has been sent and that are about to be closed. */
-    private final Set<Connection> lingering = new LinkedHashSet<>();
+    private final Set<Connection> lingeringConnections = new LinkedHashSet<>();
     /** Connections with a large body under way, in either direction, or with a response that is not flushed yet. */
-    private final Set<Connection> moving = new LinkedHashSet<>();
-    private final AcceptErrorHandler acceptErrors = new AcceptErrorHandler(this::acceptAgain);
+    private final Set<Connection> streamingConnections = new LinkedHashSet<>();
+    private final AcceptErrorHandler acceptErrors = new AcceptErrorHandler(this::setAccepting);
     /** Whether accepting is paused because an accept has failed a moment ago. */
     private boolean acceptPaused;
     /** Connections accepted before this time may have waited in the backlog, because accepting was paused for a time. */
-    private long heldBackUntil = Long.MIN_VALUE;
+    private long backlogDelayUntil = Long.MIN_VALUE;
     /** Channel of the listening socket; null if an {@link Acceptor} accepts the connections. */
-    private Channel acceptor;
+    private Channel listenerChannel;
     /** Whether another process holds the listening socket too; this process then never closes it. */
-    private boolean shared;
+    private boolean listenerShared;
     /**
      * Connections dispatched by an {@link Acceptor} that are not registered yet. This and the next two fields are read by the
      * acceptor's thread.
      */
-    private final AtomicInteger handedOver = new AtomicInteger();
+    private final AtomicInteger pendingRegistrations = new AtomicInteger();
     /** Number of connections. */
-    private volatile int held;
-    private volatile boolean room = true;
+    private volatile int connectionCount;
+    private volatile boolean roomAvailable = true;
     /** Whether each response ends its connection from now on. */
-    private boolean ending;
+    private boolean shuttingDown;
     /** Whether idle connections are closed from now on. */
-    private boolean emptying;
+    private boolean closingIdle;
     /** True from the start of the shutdown until the listener is closed. */
-    private boolean stopping;
+    private boolean listenerClosing;
     private boolean standby;
-    private boolean sharesPlaces;
+    private boolean sharesConnectionLimit;
     /** Number of connections taken in so far. */
-    private long takenIn;
+    private long acceptedCount;
     /** Size of the pipelined requests of all connections, in bytes. */
-    private long ahead;
+    private long totalPipelinedBytes;
     private long standbySince;
-    private boolean rechecking;
+    private boolean roomCheckPending;
 
     /**
      * Creates the manager, which accepts no connections yet.
@@ -208,18 +208,18 @@
      * @param listener handles the requests
      * @param sheet ledger counters for requests, or null
      */
-    public DownstreamConnectionManager(EventLoop loop, Transport transport, GatewayClock clock, EventLoopLag lag, int mostConnections,
-                        Listener listener, Sheet sheet) {
+    public DownstreamConnectionManager(EventLoop loop, Transport transport, GatewayClock clock, EventLoopLag lag, int maxConnections,
+                        Listener listener, Sheet ledgerCounters) {
         this.lag = lag;
-        this.sheet = sheet;
+        this.ledgerCounters = ledgerCounters;
         this.loop = loop;
         this.transport = transport;
         this.clock = clock;
-        this.mostConnections = mostConnections;
+        this.maxConnections = maxConnections;
         this.listener = listener;
         // The check runs after the next poll of the sockets: after a time in which the loop was busy, it must not close
         // connections whose request has been waiting unread.
-        loop.scheduleWithFixedDelay(() -> afterALook(this::endOverdue), ArrivalTimer.SWEEP_MILLIS, ArrivalTimer.SWEEP_MILLIS,
+        loop.scheduleWithFixedDelay(() -> runAfterNextPoll(this::closeOverdueConnections), RequestReceiveTimeout.SWEEP_INTERVAL_MILLIS, RequestReceiveTimeout.SWEEP_INTERVAL_MILLIS,
                 TimeUnit.MILLISECONDS);
     }
 
@@ -240,22 +240,22 @@
      * Accepts from a bound listening socket that another process holds too. {@code first} is a connection that has already been
      * accepted from it, or null.
      */
-    public ChannelFuture listen(ServerSocketChannel held, SocketChannel first) {
-        ChannelFuture registered = new ServerBootstrap().group(loop).channelFactory(() -> new NioServerSocketChannel(held))
-                .handler(acceptErrors).childHandler(new Begins()).register();
-        acceptor = registered.channel();
-        shared = true;
-        if (first != null) {
-            adopt(new NioSocketChannel(first));
+    public ChannelFuture listen(ServerSocketChannel inherited, SocketChannel firstConnection) {
+        ChannelFuture registered = new ServerBootstrap().group(loop).channelFactory(() -> new NioServerSocketChannel(inherited))
+                .handler(acceptErrors).childHandler(new ConnectionInitializer()).register();
+        listenerChannel = registered.channel();
+        listenerShared = true;
+        if (firstConnection != null) {
+            addConnection(new NioSocketChannel(firstConnection));
         }
         return registered;
     }
 
     /** Stops accepting from a listening socket that another process holds too. From now on each response ends its connection. */
     public void stopAcceptingFromSharedListener() {
-        ending = true;
-        if (acceptor != null) {
-            acceptor.config().setAutoRead(false);
+        shuttingDown = true;
+        if (listenerChannel != null) {
+            listenerChannel.config().setAutoRead(false);
         }
     }
 
@@ -263,29 +263,29 @@
         if (transport != Transport.IN_PROCESS) {
             bootstrap.option(ChannelOption.SO_BACKLOG, BACKLOG);
         }
-        ChannelFuture bound = bootstrap.group(loop).channel(transport.serverChannelType())
-                .handler(acceptErrors).childHandler(new Begins()).bind(address);
-        acceptor = bound.channel();
-        return bound;
+        ChannelFuture bindFuture = bootstrap.group(loop).channel(transport.serverChannelType())
+                .handler(acceptErrors).childHandler(new ConnectionInitializer()).bind(address);
+        listenerChannel = bindFuture.channel();
+        return bindFuture;
     }
 
     /** Sets up the pipeline of a client's connection. */
-    private final class Begins extends ChannelInitializer<Channel> {
+    private final class ConnectionInitializer extends ChannelInitializer<Channel> {
         @Override
         protected void initChannel(Channel channel) {
             Connection connection = new Connection(channel);
             channel.config().setOption(ChannelOption.WRITE_BUFFER_WATER_MARK, WATER_MARK);
-            channel.config().setRecvByteBufAllocator(new AdaptiveRecvByteBufAllocator(64, 2048, UpstreamPool.LARGEST_READ));
+            channel.config().setRecvByteBufAllocator(new AdaptiveRecvByteBufAllocator(64, 2048, UpstreamPool.MAX_READ_BYTES));
             channel.pipeline().addLast(connection.decoder, new HttpResponseEncoder(), connection.assembler, connection);
         }
     }
 
     /** Takes over a connection that an {@link Acceptor} has accepted. Called on the acceptor's thread. */
-    void adopt(Channel channel) {
-        handedOver.incrementAndGet();
-        channel.pipeline().addLast(new Begins());
+    void addConnection(Channel channel) {
+        pendingRegistrations.incrementAndGet();
+        channel.pipeline().addLast(new ConnectionInitializer());
         loop.register(channel).addListener(registered -> {
-            handedOver.decrementAndGet();
+            pendingRegistrations.decrementAndGet();
             if (!registered.isSuccess()) {
                 channel.close();
             }
@@ -297,20 +297,20 @@
      * be called from any thread.
      */
     boolean hasRoom() {
-        return room && held + handedOver.get() <= mostConnections;
+        return roomAvailable && connectionCount + pendingRegistrations.get() <= maxConnections;
     }
 
     /**
      * Returns the load by which an {@link Acceptor} orders event loops; the lowest is given the next connection. Connections that
      * were dispatched and are not registered yet outweigh all connections that are held. May be called from any thread.
      */
-    long strain() {
-        return held + ((long) handedOver.get() << Integer.SIZE);
+    long loadScore() {
+        return connectionCount + ((long) pendingRegistrations.get() << Integer.SIZE);
     }
 
     /** Returns the address it listens on, with the actual port if an ephemeral one was requested. */
     public InetSocketAddress address() {
-        return (InetSocketAddress) acceptor.localAddress();
+        return (InetSocketAddress) listenerChannel.localAddress();
     }
 
     /**
@@ -319,11 +319,11 @@
      * requests that were not read yet count as accepted by the rules of the platform, though this process has not seen them.
      */
     public void stopAccepting() {
-        ending = true;
-        emptying = true;
-        stopping = true;
-        bound();
-        lookAgain(MOST_LOOKS);
+        shuttingDown = true;
+        closingIdle = true;
+        listenerClosing = true;
+        enforceConnectionLimit();
+        closeListenerWhenBacklogEmpty(MAX_BACKLOG_POLLS);
     }
 
     /**
@@ -331,48 +331,48 @@
      * the rest would come too late.
      */
     public void closeAllWithoutOpenRequest() {
-        List.copyOf(due).forEach(Connection::overdue);
-        List.copyOf(idle).forEach(Connection::drop);
+        List.copyOf(awaitingRequest).forEach(Connection::closeOverdue);
+        List.copyOf(idleConnections).forEach(Connection::closeAndUnregister);
     }
 
     /**
      * Closes unused connections after each poll of the sockets, and closes the listener once no further connection can be in the
      * backlog, or no polls are left.
      */
-    private void lookAgain(int left) {
-        long before = takenIn;
-        afterALook(() -> {
-            List.copyOf(idle).forEach(Connection::drop);
-            long old = clock.nanos() - YOUNG_NANOS;
-            List.copyOf(due).stream().filter(c -> !c.begun && c.dueSince <= old).forEach(Connection::drop);
-            bound();
-            boolean mayWait = takenIn != before || !room || acceptPaused || !due.isEmpty() && due.iterator().next().dueSince > old;
-            if (mayWait && left > 0) {
-                lookAgain(left - 1);
+    private void closeListenerWhenBacklogEmpty(int pollsLeft) {
+        long acceptedBefore = acceptedCount;
+        runAfterNextPoll(() -> {
+            List.copyOf(idleConnections).forEach(Connection::closeAndUnregister);
+            long graceStart = clock.nanos() - FIRST_REQUEST_GRACE_NANOS;
+            List.copyOf(awaitingRequest).stream().filter(c -> !c.requestPartlyReceived && c.awaitingRequestSince <= graceStart).forEach(Connection::closeAndUnregister);
+            enforceConnectionLimit();
+            boolean backlogMayHoldMore = acceptedCount != acceptedBefore || !roomAvailable || acceptPaused || !awaitingRequest.isEmpty() && awaitingRequest.iterator().next().awaitingRequestSince > graceStart;
+            if (backlogMayHoldMore && pollsLeft > 0) {
+                closeListenerWhenBacklogEmpty(pollsLeft - 1);
                 return;
             }
-            stopping = false;
-            if (acceptor != null && !shared) {
-                acceptor.close();
+            listenerClosing = false;
+            if (listenerChannel != null && !listenerShared) {
+                listenerChannel.close();
             }
         });
     }
 
     /** Turns standby on or off. In standby each response ends its connection, and after a time unused connections are closed. */
-    public void setStandby(boolean empty) {
+    public void setStandby(boolean enabled) {
         standbySince = standby ? standbySince : clock.nanos();
-        standby = empty;
+        standby = enabled;
     }
 
     /**
      * Closes unused connections in standby, also those that were opened late and never sent a request; otherwise clients would
      * stay with a gateway that has been drained.
      */
-    private void empty() {
+    private void closeUnusedInStandby() {
         long now = clock.nanos();
-        if (standby && now - standbySince >= FRONT_NANOS) {
-            List.copyOf(idle).forEach(Connection::drop);
-            List.copyOf(due).stream().filter(c -> !c.begun && now - c.dueSince >= FRONT_NANOS).forEach(Connection::drop);
+        if (standby && now - standbySince >= STANDBY_GRACE_NANOS) {
+            List.copyOf(idleConnections).forEach(Connection::closeAndUnregister);
+            List.copyOf(awaitingRequest).stream().filter(c -> !c.requestPartlyReceived && now - c.awaitingRequestSince >= STANDBY_GRACE_NANOS).forEach(Connection::closeAndUnregister);
         }
     }
 
@@ -382,13 +382,13 @@
     }
 
     /** Sets whether another process uses a part of the connection limit; if so, this side uses at most half of it. */
-    public void setConnectionLimitShared(boolean shares) {
-        sharesPlaces = shares;
-        bound();
+    public void setConnectionLimitShared(boolean limitShared) {
+        sharesConnectionLimit = limitShared;
+        enforceConnectionLimit();
     }
 
-    private int most() {
-        return sharesPlaces ? Math.max(1, mostConnections / 2) : mostConnections;
+    private int connectionLimit() {
+        return sharesConnectionLimit ? Math.max(1, maxConnections / 2) : maxConnections;
     }
 
     /**
@@ -396,18 +396,18 @@
      * ledger's counters.
      */
     public long[] openRequestsByAccount(int accounts) {
-        long[] waiting = new long[accounts];
+        long[] openRequests = new long[accounts];
         for (Connection connection : connections) {
-            if (connection.open != null && connection.open.account != NO_ACCOUNT) {
-                waiting[connection.open.account]++;
+            if (connection.openReply != null && connection.openReply.account != NO_ACCOUNT) {
+                openRequests[connection.openReply.account]++;
             }
         }
-        return waiting;
+        return openRequests;
     }
 
     /** Returns whether any connection is open, or may yet be taken in. */
     public boolean hasOpenOrPendingConnections() {
-        return stopping || handedOver.get() > 0 || !connections.isEmpty();
+        return listenerClosing || pendingRegistrations.get() > 0 || !connections.isEmpty();
     }
 
     /**
@@ -415,50 +415,50 @@
      * requests. With too many connections, the one of least use is closed; while none can be spared, new connections wait in the
      * backlog.
      */
-    private void bound() {
-        countRoom();
-        if (!room && !rechecking) {
-            rechecking = true;
+    private void enforceConnectionLimit() {
+        updateAccepting();
+        if (!roomAvailable && !roomCheckPending) {
+            roomCheckPending = true;
             // After the next poll of the sockets: a connection must not be closed whose request has arrived and is only not read
             // yet.
-            afterALook(this::makeRoom);
+            runAfterNextPoll(this::makeRoom);
         }
     }
 
     private void makeRoom() {
-        while (connections.size() > most()) {
-            Connection spared = leastUseful();
-            if (spared == null) {
+        while (connections.size() > connectionLimit()) {
+            Connection candidate = chooseConnectionToClose();
+            if (candidate == null) {
                 break;
             }
-            spared.drop();
+            candidate.closeAndUnregister();
         }
-        countRoom();
-        if (room) {
-            rechecking = false;
+        updateAccepting();
+        if (roomAvailable) {
+            roomCheckPending = false;
         } else {
             loop.schedule(this::makeRoom, RECHECK_MILLIS, TimeUnit.MILLISECONDS);
         }
     }
 
-    private void countRoom() {
-        room = connections.size() <= most();
-        held = connections.size();
-        boolean accepts = room && !acceptPaused && !(shared && ending);
-        if (!accepts) {
-            heldBackUntil = Long.MAX_VALUE;
-        } else if (heldBackUntil == Long.MAX_VALUE) {
-            heldBackUntil = clock.nanos() + BACKLOG_NANOS;
+    private void updateAccepting() {
+        roomAvailable = connections.size() <= connectionLimit();
+        connectionCount = connections.size();
+        boolean accepting = roomAvailable && !acceptPaused && !(listenerShared && shuttingDown);
+        if (!accepting) {
+            backlogDelayUntil = Long.MAX_VALUE;
+        } else if (backlogDelayUntil == Long.MAX_VALUE) {
+            backlogDelayUntil = clock.nanos() + BACKLOG_CLEAR_NANOS;
         }
-        if (acceptor != null) {
-            acceptor.config().setAutoRead(accepts);
+        if (listenerChannel != null) {
+            listenerChannel.config().setAutoRead(accepting);
         }
     }
 
-    private void acceptAgain(boolean on) {
-        acceptPaused = !on;
-        if (acceptor.isOpen()) {
-            countRoom();
+    private void setAccepting(boolean accepting) {
+        acceptPaused = !accepting;
+        if (listenerChannel.isOpen()) {
+            updateAccepting();
         }
     }
 
@@ -466,8 +466,8 @@
      * Runs a task once the sockets have been polled again. The task is delayed because all tasks that are due run before the next
      * poll.
      */
-    private void afterALook(Runnable task) {
-        loop.schedule(task, LOOK_MILLIS, TimeUnit.MILLISECONDS);
+    private void runAfterNextPoll(Runnable task) {
+        loop.schedule(task, SOCKET_POLL_MILLIS, TimeUnit.MILLISECONDS);
     }
 
     /**
@@ -475,15 +475,15 @@
      * one that has waited longest for a request, if its grace period is over; the longest idle one only if there is no such
      * connection at all.
      */
-    private Connection leastUseful() {
-        if (!lingering.isEmpty()) {
-            return lingering.iterator().next();
+    private Connection chooseConnectionToClose() {
+        if (!lingeringConnections.isEmpty()) {
+            return lingeringConnections.iterator().next();
         }
-        if (!due.isEmpty()) {
-            Connection longest = due.iterator().next();
-            return clock.nanos() - longest.dueSince >= YOUNG_NANOS ? longest : null;
+        if (!awaitingRequest.isEmpty()) {
+            Connection longest = awaitingRequest.iterator().next();
+            return clock.nanos() - longest.awaitingRequestSince >= FIRST_REQUEST_GRACE_NANOS ? longest : null;
         }
-        return idle.isEmpty() ? null : idle.iterator().next();
+        return idleConnections.isEmpty() ? null : idleConnections.iterator().next();
     }
 
     /**
@@ -492,79 +492,79 @@
      * after the other, until those with requests find none; the same goes for crowds of silent clients that take what is left.
      * This could do harm where connecting is slow or expensive and more clients than half the limit come back often.
      */
-    private boolean crowded() {
+    private boolean isCrowded() {
         // Connections that have had their last response are closed first for room, so they take no place from anybody.
-        return connections.size() - lingering.size() > mostConnections / 2;
+        return connections.size() - lingeringConnections.size() > maxConnections / 2;
     }
 
     /**
      * Closes connections that exceed a time limit, such as those of clients that send nothing, or send so slowly that their
      * request never completes.
      */
-    private void endOverdue() {
-        empty();
-        long unused = clock.nanos() - LONG_IDLE_NANOS;
-        while (crowded() && !idle.isEmpty() && idle.iterator().next().idleSince <= unused) {
-            idle.iterator().next().drop();
+    private void closeOverdueConnections() {
+        closeUnusedInStandby();
+        long idleBefore = clock.nanos() - CROWDED_IDLE_TIMEOUT_NANOS;
+        while (isCrowded() && !idleConnections.isEmpty() && idleConnections.iterator().next().idleSince <= idleBefore) {
+            idleConnections.iterator().next().closeAndUnregister();
         }
         long now = clock.nanos();
-        for (Connection connection : List.copyOf(due)) {
+        for (Connection connection : List.copyOf(awaitingRequest)) {
             if (connection.isOverdue(now)) {
-                connection.overdue();
+                connection.closeOverdue();
             }
         }
-        List.copyOf(moving).forEach(connection -> connection.checkMoving(now));
+        List.copyOf(streamingConnections).forEach(connection -> connection.checkStreamingProgress(now));
     }
 
     /** Sends the response to one request. Only the first response is written; later ones are ignored. */
     public final class Reply {
         private final Connection connection;
-        private final boolean keepAlive;
-        private Runnable left = () -> { };
+        private final boolean keepAliveRequested;
+        private Runnable abandonedHandler = () -> { };
         /** Number of the ledger account, if the request was accepted and a ledger is kept. */
         private int account = NO_ACCOUNT;
         private String id;
         /** Counters of requests; may be null. */
-        private RequestCounters tally;
+        private RequestCounters counters;
         /** Whether the response's head has been sent, or the client has gone. */
-        private boolean done;
+        private boolean concluded;
         /** Upstream side of a streamed response until its end; otherwise null. */
         private ResponseSink.Source source;
         /**
          * Whether the body of the streamed response is delimited by the end of the connection, so that only the way the
          * connection ends tells a complete response from an aborted one.
          */
-        private boolean unframed;
+        private boolean closeDelimited;
         /** Whether the connection is kept after this response. */
-        private boolean keepsAlive;
+        private boolean keepAliveGranted;
         /** Upload that carries the request's body; null if the request was received whole. */
         private final Upload upload;
         /** Whether the response must have no body, because the request is a HEAD. */
         private final boolean bodyless;
         /** Whether the request came in HTTP/1.0, whose clients do not know the chunked coding. */
-        private final boolean old;
+        private final boolean http10;
 
-        private Reply(Connection connection, FullHttpRequest request, Upload upload, boolean keepAlive) {
+        private Reply(Connection connection, FullHttpRequest request, Upload upload, boolean keepAliveRequested) {
             this.connection = connection;
             this.upload = upload;
-            this.keepAlive = keepAlive;
+            this.keepAliveRequested = keepAliveRequested;
             bodyless = request != null && request.method().equals(HttpMethod.HEAD);
-            old = request != null && request.protocolVersion().equals(HttpVersion.HTTP_1_0);
+            http10 = request != null && request.protocolVersion().equals(HttpVersion.HTTP_1_0);
         }
 
         /** Sets the ledger account of the request, and its id. Must be called before the request is answered. */
-        public void setAccount(int number, String name) {
-            account = number;
-            id = name;
+        public void setAccount(int accountNumber, String requestId) {
+            account = accountNumber;
+            id = requestId;
         }
 
         /** Sets the counters that count the request's end. Must be called before the request is answered. */
         public void setCounters(RequestCounters counts) {
-            tally = counts;
+            counters = counts;
         }
 
-        private void count(End end) {
-            sheet.end(account, end, id);
+        private void recordEnd(End end) {
+            ledgerCounters.end(account, end, id);
         }
 
         /**
@@ -572,60 +572,60 @@
          * after a failure.
          */
         public void onAbandoned(Runnable action) {
-            left = action;
+            abandonedHandler = action;
         }
 
         /**
          * Returns whether the client's connection is open. Reads its socket first if input may have been waiting there for long.
          */
         public boolean isClientPresent() {
-            return connection.isPresent();
+            return connection.isClientPresent();
         }
 
         /** Returns whether the response's head has been sent, or the client has gone. */
         public boolean isConcluded() {
-            return done;
+            return concluded;
         }
 
         /** Returns whether nothing more of the response is to come. */
         public boolean isFinished() {
-            return done && source == null;
+            return concluded && source == null;
         }
 
         /**
          * Sends the head of a server's response that is streamed. {@code contentLength} is the length of the body in bytes, or -1
          * if it is known only once the body ends.
          */
-        public void startStreaming(long length, ResponseSink.Source from) {
-            done = true;
-            source = from;
+        public void startStreaming(long contentLength, ResponseSink.Source upstreamSource) {
+            concluded = true;
+            source = upstreamSource;
             if (account != NO_ACCOUNT) {
-                count(End.SERVED);
+                recordEnd(End.SERVED);
             }
             DefaultHttpResponse head = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
-            unframed = length < 0 && old;
-            if (length >= 0) {
-                head.headers().set(HttpHeaderNames.CONTENT_LENGTH, length);
-            } else if (!old) {
+            closeDelimited = contentLength < 0 && http10;
+            if (contentLength >= 0) {
+                head.headers().set(HttpHeaderNames.CONTENT_LENGTH, contentLength);
+            } else if (!http10) {
                 head.headers().set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
             }
-            keepsAlive = staysOpen() && !unframed;
-            tellConnection(head);
-            if (unframed) {
+            keepAliveGranted = canKeepAlive() && !closeDelimited;
+            setConnectionHeader(head);
+            if (closeDelimited) {
                 // The body ends with the connection, and a reset marks it as incomplete: whatever ends the connection before,
                 // also a kill of this process, must be a reset.
-                connection.lingerOnClose(0);
+                connection.setSoLinger(0);
             }
-            connection.movedAt = clock.nanos();
-            moving.add(connection);
+            connection.lastProgressAt = clock.nanos();
+            streamingConnections.add(connection);
             connection.channel.write(head);
         }
 
         /** Writes body bytes of a streamed response, and releases them. */
         public void writeData(ByteBuf bytes) {
-            connection.movedAt = clock.nanos();
+            connection.lastProgressAt = clock.nanos();
             connection.channel.writeAndFlush(new DefaultHttpContent(bytes));
-            connection.pace();
+            connection.applyBackpressure();
         }
 
         /** Completes a streamed response. */
@@ -634,13 +634,13 @@
                 return;
             }
             source = null;
-            if (tally != null) {
-                tally.answered(HttpResponseStatus.OK.code());
+            if (counters != null) {
+                counters.answered(HttpResponseStatus.OK.code());
             }
-            if (unframed) {
-                connection.lingerOnClose(-1);
+            if (closeDelimited) {
+                connection.setSoLinger(-1);
             }
-            connection.answer(LastHttpContent.EMPTY_LAST_CONTENT, keepsAlive && connection.channel.isActive());
+            connection.writeResponse(LastHttpContent.EMPTY_LAST_CONTENT, keepAliveGranted && connection.channel.isActive());
         }
 
         /**
@@ -652,24 +652,24 @@
                 return;
             }
             source = null;
-            if (tally != null) {
-                tally.answerAborted();
+            if (counters != null) {
+                counters.answerAborted();
             }
-            connection.open = null;
-            connection.drop();
+            connection.openReply = null;
+            connection.closeAndUnregister();
         }
 
-        private boolean staysOpen() {
+        private boolean canKeepAlive() {
             // Pipelined requests must still be answered. While a body is still being received, it is unknown where the next
             // request begins.
-            boolean spared = (crowded() || ending || standby) && connection.pipelined.isEmpty();
-            return keepAlive && !spared && (upload == null || upload.isFullyReceived());
+            boolean shouldClose = (isCrowded() || shuttingDown || standby) && connection.pipelined.isEmpty();
+            return keepAliveRequested && !shouldClose && (upload == null || upload.isFullyReceived());
         }
 
-        private void tellConnection(HttpResponse head) {
-            if (!keepsAlive) {
+        private void setConnectionHeader(HttpResponse head) {
+            if (!keepAliveGranted) {
                 head.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
-            } else if (old) {
+            } else if (http10) {
                 head.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.KEEP_ALIVE);
             }
         }
@@ -683,54 +683,54 @@
          * Sends a status and a line of plain text. {@code retryAfterNanos} is sent as {@code Retry-After}, in seconds; 0 sends
          * none.
          */
-        public void respondPlainText(HttpResponseStatus status, String line, long pauseNanos) {
-            write(status, Unpooled.copiedBuffer(line + "\n", StandardCharsets.UTF_8), pauseNanos);
+        public void respondPlainText(HttpResponseStatus status, String line, long retryAfterNanos) {
+            write(status, Unpooled.copiedBuffer(line + "\n", StandardCharsets.UTF_8), retryAfterNanos);
         }
 
-        private void write(HttpResponseStatus status, ByteBuf body, long pauseNanos) {
-            if (done) {
+        private void write(HttpResponseStatus status, ByteBuf body, long retryAfterNanos) {
+            if (concluded) {
                 body.release();
                 return;
             }
-            done = true;
+            concluded = true;
             if (account != NO_ACCOUNT) {
                 // Recorded by the status that is sent, not by the intended one.
-                count(status.equals(HttpResponseStatus.OK) ? End.SERVED
+                recordEnd(status.equals(HttpResponseStatus.OK) ? End.SERVED
                         : status.equals(HttpResponseStatus.SERVICE_UNAVAILABLE) ? End.REFUSED : End.FAILED);
             }
-            if (tally != null) {
-                tally.answered(status.code());
+            if (counters != null) {
+                counters.answered(status.code());
             }
             int length = body.readableBytes();
             if (bodyless) {
                 body.clear();
             }
-            DefaultFullHttpResponse answer = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, body);
-            answer.headers().setInt(HttpHeaderNames.CONTENT_LENGTH, length);
-            if (pauseNanos > 0) {
-                answer.headers().set(HttpHeaderNames.RETRY_AFTER, String.format(Locale.ROOT, "%.3f",
-                        (double) pauseNanos / TimeUnit.SECONDS.toNanos(1)));
+            DefaultFullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, body);
+            response.headers().setInt(HttpHeaderNames.CONTENT_LENGTH, length);
+            if (retryAfterNanos > 0) {
+                response.headers().set(HttpHeaderNames.RETRY_AFTER, String.format(Locale.ROOT, "%.3f",
+                        (double) retryAfterNanos / TimeUnit.SECONDS.toNanos(1)));
             }
-            keepsAlive = staysOpen();
-            tellConnection(answer);
-            connection.answer(answer, keepsAlive);
+            keepAliveGranted = canKeepAlive();
+            setConnectionHeader(response);
+            connection.writeResponse(response, keepAliveGranted);
         }
     }
 
     /** A request, or what stands for one that was unreadable, and when its last byte was received. */
-    private record Arrived(FullHttpRequest request, Upload upload, long at) {
+    private record ReceivedRequest(FullHttpRequest request, Upload upload, long receivedAt) {
         /** Returns roughly how many bytes of memory it takes while it waits. */
-        long size() {
-            return AHEAD_EACH + request.content().capacity();
+        long sizeBytes() {
+            return PIPELINED_REQUEST_OVERHEAD_BYTES + request.content().capacity();
         }
     }
 
     /** Netty's request decoder, made stricter, which can change over to discarding its input. */
     private static final class Decoder extends HttpRequestDecoder {
         /** Value of the budget while input is decoded and not discarded. */
-        private static final long READS = -1;
+        private static final long NOT_DISCARDING = -1;
         /** Number of input bytes that may still be discarded. */
-        private long mayDiscard = READS;
+        private long discardBudgetBytes = NOT_DISCARDING;
 
         Decoder() {
             super(new HttpDecoderConfig().setAllowDuplicateContentLengths(true));
@@ -745,7 +745,7 @@
             throw new IllegalArgumentException("request has both Content-Length and chunked Transfer-Encoding");
         }
 
-        boolean holdsBytes() {
+        boolean hasBufferedBytes() {
             return actualReadableBytes() > 0;
         }
 
@@ -753,59 +753,59 @@
          * Discards all input from now on, up to the given number of bytes; then stops reading. Reading on makes the end of the
          * connection visible.
          */
-        void discard(long most) {
-            mayDiscard = most;
+        void startDiscarding(long maxBytes) {
+            discardBudgetBytes = maxBytes;
         }
 
         @Override
         public void channelRead(ChannelHandlerContext ctx, Object message) throws Exception {
-            if (mayDiscard == READS) {
+            if (discardBudgetBytes == NOT_DISCARDING) {
                 super.channelRead(ctx, message);
                 return;
             }
-            mayDiscard = Math.max(0, mayDiscard - ((ByteBuf) message).readableBytes());
+            discardBudgetBytes = Math.max(0, discardBudgetBytes - ((ByteBuf) message).readableBytes());
             ReferenceCountUtil.release(message);
-            if (mayDiscard == 0) {
+            if (discardBudgetBytes == 0) {
                 ctx.channel().config().setAutoRead(false);
             }
         }
     }
 
     /** One connection of a client, and the requests on it. */
-    private final class Connection extends SimpleChannelInboundHandler<RequestAssembler.Incoming> {
+    private final class Connection extends SimpleChannelInboundHandler<RequestAssembler.AssembledRequest> {
         private final Channel channel;
         private final Decoder decoder = new Decoder();
-        private final RequestAssembler assembler = new RequestAssembler(this::isFree, this::read, this::uploadBroke);
+        private final RequestAssembler assembler = new RequestAssembler(this::hasNoPendingRequest, this::setUploadReading, this::onUploadBroken);
         /** Pipelined requests: received before the response to an earlier one was complete. */
-        private final ArrayDeque<Arrived> pipelined = new ArrayDeque<>();
+        private final ArrayDeque<ReceivedRequest> pipelined = new ArrayDeque<>();
         /** Reply of the request that is open, or null. */
-        private Reply open;
+        private Reply openReply;
         /** Number of responses, or last parts of them, that are not flushed because the client has not read them yet. */
-        private int unflushed;
+        private int unflushedWrites;
         /** Size of the pipelined requests in bytes. */
-        private long ahead;
+        private long pipelinedBytes;
         /** Whether the upload under way wants more data. */
-        private boolean uploadReads = true;
+        private boolean uploadReading = true;
         /** Since when the next request is awaited: the time of the connect, or of the request's first byte. */
-        private long dueSince;
+        private long awaitingRequestSince;
         /** Earliest time since when bytes may have been waiting on the connection when it was accepted. */
-        private long openSince;
+        private long earliestFirstByteAt;
         private long idleSince;
         /** Time limits of the request that is being received. */
-        private final ArrivalTimer arrival = new ArrivalTimer();
+        private final RequestReceiveTimeout receiveTimeout = new RequestReceiveTimeout();
         /** When a part of a large response last went out. */
-        private long movedAt;
+        private long lastProgressAt;
         /** Whether a request has been received on this connection. */
-        private boolean asked;
+        private boolean hadRequest;
         /**
          * Whether the connection may have waited in the backlog, so that its input is old: the client's close may already follow
          * its request.
          */
-        private boolean waitedInBacklog;
+        private boolean mayHaveWaitedInBacklog;
         /** Whether a part of the next request has been received. */
-        private boolean begun;
+        private boolean requestPartlyReceived;
         /** Whether input is ignored: it is unreadable, or the response under way announces the end of the connection. */
-        private boolean deaf;
+        private boolean inputIgnored;
         private boolean closing;
 
         Connection(Channel channel) {
@@ -816,46 +816,46 @@
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
             connections.add(this);
-            takenIn++;
-            dueSince = clock.nanos();
-            openSince = lag.earliestArrivalOnNewConnection(dueSince);
-            waitedInBacklog = dueSince < heldBackUntil;
-            due.add(this);
-            bound();
+            acceptedCount++;
+            awaitingRequestSince = clock.nanos();
+            earliestFirstByteAt = lag.earliestArrivalOnNewConnection(awaitingRequestSince);
+            mayHaveWaitedInBacklog = awaitingRequestSince < backlogDelayUntil;
+            awaitingRequest.add(this);
+            enforceConnectionLimit();
         }
 
-        private boolean isFree() {
-            return open == null && pipelined.isEmpty();
+        private boolean hasNoPendingRequest() {
+            return openReply == null && pipelined.isEmpty();
         }
 
         @Override
-        protected void channelRead0(ChannelHandlerContext ctx, RequestAssembler.Incoming incoming) {
+        protected void channelRead0(ChannelHandlerContext ctx, RequestAssembler.AssembledRequest incoming) {
             FullHttpRequest request = incoming.request();
-            if (deaf) {
+            if (inputIgnored) {
                 request.release();
                 if (incoming.upload() != null) {
-                    incoming.upload().drop();
+                    incoming.upload().discard();
                 }
                 return;
             }
-            begun = false;
+            requestPartlyReceived = false;
             if (!request.decoderResult().isSuccess()) {
                 // Spends no time on parsing the rest of unreadable input.
-                deaf = true;
-                decoder.discard(MOST_DISCARDED);
+                inputIgnored = true;
+                decoder.startDiscarding(MAX_DISCARDED_BYTES);
             }
             long now = clock.nanos();
-            Arrived arrived = new Arrived(request, incoming.upload(), asked ? lag.earliestArrival(now) : earliestArrival(now));
-            boolean free = isFree();
-            if (free && !mayBeOld(now)) {
-                take(arrived);
+            ReceivedRequest received = new ReceivedRequest(request, incoming.upload(), hadRequest ? lag.earliestArrival(now) : earliestArrival(now));
+            boolean noPendingRequest = hasNoPendingRequest();
+            if (noPendingRequest && !mayBeStale(now)) {
+                handleRequest(received);
                 return;
             }
-            pipelined.add(arrived);
-            count(arrived.size());
-            if (free) {
+            pipelined.add(received);
+            addPipelinedBytes(received.sizeBytes());
+            if (noPendingRequest) {
                 // The client's close may already follow the request; that is read first.
-                loop.execute(this::takeNext);
+                loop.execute(this::handleNextPipelined);
             }
         }
 
@@ -863,20 +863,20 @@
          * Returns whether what is read now may have waited for long, because the event loop was late or since before the
          * connection was accepted.
          */
-        private boolean mayBeOld(long now) {
-            return lag.isStale(now) || waitedInBacklog;
+        private boolean mayBeStale(long now) {
+            return lag.isStale(now) || mayHaveWaitedInBacklog;
         }
 
         private long earliestArrival(long now) {
-            return openSince < dueSince && now - dueSince <= EventLoopLag.TICK_INTERVAL_NANOS ? openSince : lag.earliestArrival(now);
+            return earliestFirstByteAt < awaitingRequestSince && now - awaitingRequestSince <= EventLoopLag.TICK_INTERVAL_NANOS ? earliestFirstByteAt : lag.earliestArrival(now);
         }
 
         /**
          * Returns whether the client is present, as far as the operating system can tell. Must not be called from within a read
          * of this connection.
          */
-        private boolean isPresent() {
-            if (channel.isActive() && mayBeOld(clock.nanos())) {
+        private boolean isClientPresent() {
+            if (channel.isActive() && mayBeStale(clock.nanos())) {
                 SocketReads.readNow(channel);
             }
             return channel.isActive();
@@ -887,53 +887,53 @@
          * pile up and the open request is not aborted. While a response is pending, the connection is read where possible: only a
          * read shows that the client has left, and pipelined requests would otherwise still be sent to a server.
          */
-        private void count(long more) {
-            ahead += more;
-            DownstreamConnectionManager.this.ahead += more;
-            readOn();
+        private void addPipelinedBytes(long deltaBytes) {
+            pipelinedBytes += deltaBytes;
+            DownstreamConnectionManager.this.totalPipelinedBytes += deltaBytes;
+            updateAutoRead();
         }
 
-        private void readOn() {
-            boolean full = ahead >= MOST_AHEAD || ahead > 0 && DownstreamConnectionManager.this.ahead >= MOST_AHEAD_IN_ALL;
-            channel.config().setAutoRead(uploadReads && !full && decoder.mayDiscard != 0);
+        private void updateAutoRead() {
+            boolean full = pipelinedBytes >= MAX_PIPELINED_BYTES || pipelinedBytes > 0 && DownstreamConnectionManager.this.totalPipelinedBytes >= MAX_TOTAL_PIPELINED_BYTES;
+            channel.config().setAutoRead(uploadReading && !full && decoder.discardBudgetBytes != 0);
         }
 
         /**
          * Sets whether the upload under way wants more data. The reading of later requests is decided by the pipelining bounds.
          */
-        private void read(boolean on) {
-            uploadReads = on;
-            readOn();
+        private void setUploadReading(boolean enabled) {
+            uploadReading = enabled;
+            updateAutoRead();
         }
 
         /** Answers or closes a request whose body cannot be read any further. */
-        private void uploadBroke() {
-            endUpload(HttpResponseStatus.BAD_REQUEST, "the body can't be read");
+        private void onUploadBroken() {
+            abortUpload(HttpResponseStatus.BAD_REQUEST, "the body can't be read");
         }
 
-        private void endUpload(HttpResponseStatus status, String line) {
-            Reply reply = open;
-            if (reply != null && !reply.done) {
+        private void abortUpload(HttpResponseStatus status, String line) {
+            Reply reply = openReply;
+            if (reply != null && !reply.concluded) {
                 reply.respondPlainText(status, line, 0);
-                reply.left.run();
+                reply.abandonedHandler.run();
             } else {
                 channel.close();
             }
         }
 
         /** Stops reading the streamed response from the server while the client's outbound buffer is full. */
-        private void pace() {
-            if (open != null && open.source != null) {
-                open.source.reading(channel.isWritable());
+        private void applyBackpressure() {
+            if (openReply != null && openReply.source != null) {
+                openReply.source.setReading(channel.isWritable());
             }
         }
 
         @Override
         public void channelWritabilityChanged(ChannelHandlerContext ctx) {
             if (channel.isWritable()) {
-                movedAt = clock.nanos();
+                lastProgressAt = clock.nanos();
             }
-            pace();
+            applyBackpressure();
             ctx.fireChannelWritabilityChanged();
         }
 
@@ -941,163 +941,163 @@
          * Enforces the time limits of large bodies: clients must not occupy a place for good by sending a body too slowly, or by
          * reading nothing of a response.
          */
-        private void checkMoving(long now) {
-            Upload upload = open == null ? null : open.upload;
-            boolean comes = upload != null && !upload.isFullyReceived();
-            if (comes) {
-                arrival.observe(now, assembler.received(), upload.isRead());
+        private void checkStreamingProgress(long now) {
+            Upload upload = openReply == null ? null : openReply.upload;
+            boolean receivingUpload = upload != null && !upload.isFullyReceived();
+            if (receivingUpload) {
+                receiveTimeout.observe(now, assembler.receivedBytes(), upload.isReading());
             }
-            boolean stuck = open != null && open.source != null ? !channel.isWritable() : unflushed > 0;
-            if (comes && arrival.isOverdue(now)) {
-                endUpload(HttpResponseStatus.REQUEST_TIMEOUT, "the body did not come in time");
-            } else if (stuck && now - movedAt > UNREAD_NANOS) {
+            boolean writeStalled = openReply != null && openReply.source != null ? !channel.isWritable() : unflushedWrites > 0;
+            if (receivingUpload && receiveTimeout.isOverdue(now)) {
+                abortUpload(HttpResponseStatus.REQUEST_TIMEOUT, "the body did not come in time");
+            } else if (writeStalled && now - lastProgressAt > WRITE_STALL_TIMEOUT_NANOS) {
                 channel.close();
-            } else if (unflushed == 0 && (open == null || !comes && open.source == null)) {
-                moving.remove(this);
+            } else if (unflushedWrites == 0 && (openReply == null || !receivingUpload && openReply.source == null)) {
+                streamingConnections.remove(this);
             }
         }
 
         /** Returns whether the connection, which has no request open, has waited too long for its next request. */
         private boolean isOverdue(long now) {
-            if (!begun) {
-                return now - dueSince >= SAYS_NOTHING_NANOS;
+            if (!requestPartlyReceived) {
+                return now - awaitingRequestSince >= FIRST_BYTE_TIMEOUT_NANOS;
             }
-            arrival.observe(now, assembler.received(), true);
-            return arrival.isOverdue(now);
+            receiveTimeout.observe(now, assembler.receivedBytes(), true);
+            return receiveTimeout.isOverdue(now);
         }
 
         /** Starts the time limit of a request at its first byte; no later byte renews it. */
         @Override
         public void channelReadComplete(ChannelHandlerContext ctx) {
-            boolean amidst = decoder.holdsBytes() || assembler.amidst();
-            if (amidst && !begun) {
-                dueSince = asked ? clock.nanos() : dueSince;
-                arrival.start(clock.nanos());
+            boolean receiving = decoder.hasBufferedBytes() || assembler.isReceiving();
+            if (receiving && !requestPartlyReceived) {
+                awaitingRequestSince = hadRequest ? clock.nanos() : awaitingRequestSince;
+                receiveTimeout.start(clock.nanos());
             }
-            begun = amidst;
-            place();
+            requestPartlyReceived = receiving;
+            updateConnectionSets();
             ctx.fireChannelReadComplete();
         }
 
         /** Puts the connection into the sets that its state belongs to. */
-        private void place() {
+        private void updateConnectionSets() {
             // A connection with a response that the client has not read yet is kept until the rest is read.
-            boolean rests = connections.contains(this) && isFree() && !deaf && unflushed == 0;
-            boolean isDue = rests && (begun || !asked);
-            keep(due, isDue);
-            boolean wasIdle = idle.contains(this);
-            keep(idle, rests && !isDue);
+            boolean quiescent = connections.contains(this) && hasNoPendingRequest() && !inputIgnored && unflushedWrites == 0;
+            boolean awaitsRequest = quiescent && (requestPartlyReceived || !hadRequest);
+            addOrRemove(awaitingRequest, awaitsRequest);
+            boolean wasIdle = idleConnections.contains(this);
+            addOrRemove(idleConnections, quiescent && !awaitsRequest);
             idleSince = wasIdle ? idleSince : clock.nanos();
         }
 
-        private void keep(Set<Connection> set, boolean in) {
-            if (in) {
+        private void addOrRemove(Set<Connection> set, boolean member) {
+            if (member) {
                 set.add(this);
             } else {
                 set.remove(this);
             }
         }
 
-        private void take(Arrived arrived) {
-            FullHttpRequest request = arrived.request;
-            asked = true;
+        private void handleRequest(ReceivedRequest received) {
+            FullHttpRequest request = received.request;
+            hadRequest = true;
             boolean readable = request.decoderResult().isSuccess();
-            boolean probes = request.uri().equals("/ready");
+            boolean readinessProbe = request.uri().equals("/ready");
             // Readiness probes come on a connection of their own each; closing it after the response keeps them from taking
             // clients' places.
-            Reply reply = new Reply(this, request, arrived.upload, readable && !probes && HttpUtil.isKeepAlive(request));
-            open = reply;
-            place();
-            if (arrived.upload != null) {
-                arrival.start(clock.nanos());
-                moving.add(this);
+            Reply reply = new Reply(this, request, received.upload, readable && !readinessProbe && HttpUtil.isKeepAlive(request));
+            openReply = reply;
+            updateConnectionSets();
+            if (received.upload != null) {
+                receiveTimeout.start(clock.nanos());
+                streamingConnections.add(this);
             }
             try {
                 if (!readable) {
                     reply.respondPlainText(HttpResponseStatus.BAD_REQUEST, "not a readable HTTP request", 0);
-                } else if (probes) {
+                } else if (readinessProbe) {
                     boolean ready = listener.isReady();
                     reply.respondPlainText(ready ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE,
                             ready ? "ready" : "starting", 0);
                 } else {
-                    listener.onRequest(request, arrived.upload, arrived.at, reply);
-                    if (arrived.upload != null && !reply.done) {
-                        assembler.goOn();
+                    listener.onRequest(request, received.upload, received.receivedAt, reply);
+                    if (received.upload != null && !reply.concluded) {
+                        assembler.sendPendingContinue();
                     }
                     if (reply.account != NO_ACCOUNT) {
-                        sheet.open(reply.account, reply.id);
+                        ledgerCounters.open(reply.account, reply.id);
                     }
                 }
             } catch (BadRequest e) {
                 reply.respondPlainText(e.status, e.getMessage(), 0);
             } catch (RuntimeException e) {
                 // A request that was read is always answered, whatever fails here.
-                answerFault(reply, e);
+                respondInternalError(reply, e);
             } finally {
                 request.release();
             }
         }
 
-        private void answerFault(Reply reply, Throwable fault) {
+        private void respondInternalError(Reply reply, Throwable fault) {
             listener.onInternalError(fault);
             reply.respondPlainText(HttpResponseStatus.BAD_GATEWAY, "failed: it may have run", 0);
-            reply.left.run();
+            reply.abandonedHandler.run();
         }
 
         /** Writes the response to the open request, or its last part, and takes up the next request or ends the connection. */
-        private void answer(HttpObject answer, boolean keepAlive) {
-            Upload left = open == null ? null : open.upload;
-            boolean partial = left != null && !left.isFullyReceived();
-            if (left != null) {
-                left.drop();
+        private void writeResponse(HttpObject response, boolean keepAlive) {
+            Upload upload = openReply == null ? null : openReply.upload;
+            boolean uploadIncomplete = upload != null && !upload.isFullyReceived();
+            if (upload != null) {
+                upload.discard();
             }
-            open = null;
-            waitedInBacklog = false;
-            moving.remove(this);
+            openReply = null;
+            mayHaveWaitedInBacklog = false;
+            streamingConnections.remove(this);
             if (keepAlive) {
-                flushed(channel.writeAndFlush(answer).addListener(ChannelFutureListener.CLOSE_ON_FAILURE));
+                trackFlush(channel.writeAndFlush(response).addListener(ChannelFutureListener.CLOSE_ON_FAILURE));
                 if (!pipelined.isEmpty()) {
                     // Scheduled, to avoid recursion through a series of requests that are answered at once.
-                    loop.execute(this::takeNext);
+                    loop.execute(this::handleNextPipelined);
                 } else {
-                    assembler.goOn();
+                    assembler.sendPendingContinue();
                 }
             } else {
-                boolean unread = deaf;
-                deaf = true;
+                boolean inputWasIgnored = inputIgnored;
+                inputIgnored = true;
                 closing = true;
-                int length = answer instanceof FullHttpResponse full ? full.content().readableBytes() : LARGE_ANSWER;
-                ChannelFuture written = channel.writeAndFlush(answer);
-                flushed(written);
-                if (partial) {
-                    endLater(written, DISCARD_MILLIS);
-                } else if (unread) {
-                    written.addListener(done -> keep(lingering, connections.contains(this)));
-                    endLater(written, LINGER_MILLIS);
+                int length = response instanceof FullHttpResponse full ? full.content().readableBytes() : MAX_UNSENT_STREAMED_BYTES;
+                ChannelFuture written = channel.writeAndFlush(response);
+                trackFlush(written);
+                if (uploadIncomplete) {
+                    closeAfterLinger(written, UPLOAD_DISCARD_MILLIS);
+                } else if (inputWasIgnored) {
+                    written.addListener(done -> addOrRemove(lingeringConnections, connections.contains(this)));
+                    closeAfterLinger(written, LINGER_MILLIS);
                 } else {
-                    closeBehind(written, length);
+                    closeAfterWrite(written, length);
                 }
             }
-            place();
+            updateConnectionSets();
         }
 
         /**
          * Counts a write until it is flushed. A connection must not be taken for idle, and closed, while its client still reads a
          * response.
          */
-        private void flushed(ChannelFuture written) {
+        private void trackFlush(ChannelFuture written) {
             if (!written.isDone()) {
-                unflushed++;
-                movedAt = clock.nanos();
-                moving.add(this);
+                unflushedWrites++;
+                lastProgressAt = clock.nanos();
+                streamingConnections.add(this);
                 written.addListener(done -> {
-                    unflushed--;
-                    movedAt = clock.nanos();
-                    place();
-                    if (emptying) {
-                        afterALook(() -> {
-                            if (idle.contains(this)) {
-                                drop();
+                    unflushedWrites--;
+                    lastProgressAt = clock.nanos();
+                    updateConnectionSets();
+                    if (closingIdle) {
+                        runAfterNextPoll(() -> {
+                            if (idleConnections.contains(this)) {
+                                closeAndUnregister();
                             }
                         });
                     }
@@ -1110,7 +1110,7 @@
          * causes a reset, which would discard the response of a client that is still sending. The time starts when the response
          * has been written.
          */
-        private void endLater(ChannelFuture written, long millis) {
+        private void closeAfterLinger(ChannelFuture written, long millis) {
             written.addListener(done -> {
                 if (done.isSuccess()) {
                     ((DuplexChannel) channel).shutdownOutput();
@@ -1126,24 +1126,24 @@
          * response and close its own side. Input received meanwhile stays unread, so that the client can tell that nobody
          * processed it; an immediate close with such input pending would cause a reset, which discards the response.
          */
-        private void closeBehind(ChannelFuture written, int length) {
+        private void closeAfterWrite(ChannelFuture written, int length) {
             written.addListener(done -> {
                 if (!done.isSuccess() || !(channel instanceof DuplexChannel duplex)) {
                     channel.close();
                     return;
                 }
-                keep(lingering, connections.contains(this));
+                addOrRemove(lingeringConnections, connections.contains(this));
                 channel.config().setAutoRead(false);
                 duplex.shutdownOutput();
-                loop.schedule(() -> channel.close(), CLOSE_MILLIS + length / SLOWEST_BYTES_PER_MILLI, TimeUnit.MILLISECONDS);
+                loop.schedule(() -> channel.close(), CLOSE_DELAY_MILLIS + length / MIN_CLIENT_BYTES_PER_MILLI, TimeUnit.MILLISECONDS);
             });
         }
 
-        private void takeNext() {
-            if (open == null && !closing && channel.isActive() && !pipelined.isEmpty()) {
-                Arrived next = pipelined.poll();
-                count(-next.size());
-                take(next);
+        private void handleNextPipelined() {
+            if (openReply == null && !closing && channel.isActive() && !pipelined.isEmpty()) {
+                ReceivedRequest next = pipelined.poll();
+                addPipelinedBytes(-next.sizeBytes());
+                handleRequest(next);
             }
         }
 
@@ -1151,15 +1151,15 @@
          * Ends a connection whose next request has not been received in time: with a 408 if a part of it has been received,
          * otherwise without a response.
          */
-        private void overdue() {
-            if (begun) {
-                deaf = true;
-                decoder.discard(MOST_DISCARDED);
+        private void closeOverdue() {
+            if (requestPartlyReceived) {
+                inputIgnored = true;
+                decoder.startDiscarding(MAX_DISCARDED_BYTES);
                 Reply reply = new Reply(this, null, null, false);
-                open = reply;
+                openReply = reply;
                 reply.respondPlainText(HttpResponseStatus.REQUEST_TIMEOUT, "the request did not come in time", 0);
             } else {
-                drop();
+                closeAndUnregister();
             }
         }
 
@@ -1167,7 +1167,7 @@
          * Sets {@code SO_LINGER}: with 0 the close is a reset, with -1 it is a normal one. Setting it fails on a connection that
          * is broken by now, which is then closed.
          */
-        private void lingerOnClose(int seconds) {
+        private void setSoLinger(int seconds) {
             try {
                 channel.config().setOption(ChannelOption.SO_LINGER, seconds);
             } catch (ChannelException e) {
@@ -1176,59 +1176,59 @@
         }
 
         /** Closes the connection and removes it from all sets, so that its place is free at once. */
-        private void drop() {
-            forget();
+        private void closeAndUnregister() {
+            unregister();
             channel.close();
         }
 
-        private void forget() {
+        private void unregister() {
             connections.remove(this);
-            idle.remove(this);
-            due.remove(this);
-            lingering.remove(this);
-            moving.remove(this);
+            idleConnections.remove(this);
+            awaitingRequest.remove(this);
+            lingeringConnections.remove(this);
+            streamingConnections.remove(this);
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
-            forget();
+            unregister();
             pipelined.forEach(arrived -> {
                 arrived.request.release();
                 if (arrived.upload != null) {
-                    arrived.upload.drop();
+                    arrived.upload.discard();
                 }
             });
             pipelined.clear();
-            count(-ahead);
-            bound();
-            Reply unanswered = open;
-            open = null;
+            addPipelinedBytes(-pipelinedBytes);
+            enforceConnectionLimit();
+            Reply unanswered = openReply;
+            openReply = null;
             if (unanswered != null && unanswered.upload != null) {
                 // Applies also to an upload that was received whole and still waits for a server.
-                unanswered.upload.drop();
+                unanswered.upload.discard();
             }
-            if (unanswered != null && !unanswered.done) {
-                unanswered.done = true;
+            if (unanswered != null && !unanswered.concluded) {
+                unanswered.concluded = true;
                 if (unanswered.account != NO_ACCOUNT) {
-                    unanswered.count(End.ABANDONED);
+                    unanswered.recordEnd(End.ABANDONED);
                 }
-                unanswered.left.run();
+                unanswered.abandonedHandler.run();
             } else if (unanswered != null && unanswered.source != null) {
                 ResponseSink.Source source = unanswered.source;
                 unanswered.source = null;
                 source.cancel();
-                unanswered.left.run();
+                unanswered.abandonedHandler.run();
             }
             ctx.fireChannelInactive();
         }
 
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            if (cause instanceof IOException || open == null || open.done) {
+            if (cause instanceof IOException || openReply == null || openReply.concluded) {
                 ctx.close();
             } else {
                 // The failure is not of this connection but of the handling here.
-                answerFault(open, cause);
+                respondInternalError(openReply, cause);
             }
         }
     }
--- a/src/main/java/cinderhollow/http1/RequestAssembler.java
+++ b/src/main/java/cinderhollow/http1/RequestAssembler.java
@@ -33,20 +33,20 @@
  */
 final class RequestAssembler extends ChannelInboundHandlerAdapter {
     /** A request: whole, or with the rest of its body still to come, in which case {@code upload} is not null. */
-    record Incoming(FullHttpRequest request, Upload upload) { }
+    record AssembledRequest(FullHttpRequest request, Upload upload) { }
 
-    private final BooleanSupplier free;
-    private final Consumer<Boolean> reading;
-    private final Runnable brokenUpload;
+    private final BooleanSupplier noPendingRequest;
+    private final Consumer<Boolean> readControl;
+    private final Runnable uploadBrokenHandler;
     private ChannelHandlerContext context;
     private HttpRequest head;
     /** Body buffered so far; null once the body has become an upload. */
     private CompositeByteBuf body;
     private Upload upload;
     /** Number of body bytes received of the current request. */
-    private long received;
+    private long receivedBytes;
     /** Whether the client waits for {@code 100 Continue}. */
-    private boolean owesContinue;
+    private boolean continuePending;
     private boolean failed;
 
     /**
@@ -54,28 +54,28 @@
      * request is pending. {@code readControl} pauses and resumes reading from the client; {@code uploadBrokenHandler} runs when
      * the rest of an upload cannot be read.
      */
-    RequestAssembler(BooleanSupplier free, Consumer<Boolean> reading, Runnable brokenUpload) {
-        this.free = free;
-        this.reading = reading;
-        this.brokenUpload = brokenUpload;
+    RequestAssembler(BooleanSupplier noPendingRequest, Consumer<Boolean> readControl, Runnable uploadBrokenHandler) {
+        this.noPendingRequest = noPendingRequest;
+        this.readControl = readControl;
+        this.uploadBrokenHandler = uploadBrokenHandler;
     }
 
     /** Returns whether the head of a request has been received and the end of its body has not. */
-    boolean amidst() {
+    boolean isReceiving() {
         return head != null;
     }
 
     /** Returns the number of body bytes received of the current request. */
-    long received() {
-        return received;
+    long receivedBytes() {
+        return receivedBytes;
     }
 
     /** Sends {@code 100 Continue} if the client waits for it. */
-    void goOn() {
-        if (owesContinue && received == 0) {
+    void sendPendingContinue() {
+        if (continuePending && receivedBytes == 0) {
             context.writeAndFlush(new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.CONTINUE));
         }
-        owesContinue = false;
+        continuePending = false;
     }
 
     @Override
@@ -97,35 +97,35 @@
     private void read(HttpObject part) {
         if (part instanceof HttpRequest request) {
             head = request;
-            received = 0;
+            receivedBytes = 0;
             body = context.alloc().compositeBuffer();
-            request.setUri(origin(request.uri()));
+            request.setUri(toOriginForm(request.uri()));
         }
-        String fault = part.decoderResult().isFailure() ? "malformed request" : part instanceof HttpRequest ? fault(head) : null;
+        String fault = part.decoderResult().isFailure() ? "malformed request" : part instanceof HttpRequest ? findFault(head) : null;
         if (fault != null) {
             fail(fault);
             return;
         }
         if (part instanceof HttpRequest) {
-            owesContinue = HttpUtil.is100ContinueExpected(head);
-            if (HttpUtil.getContentLength(head, 0L) > AnswerReader.LARGEST_BODY) {
-                pass(HttpUtil.getContentLength(head, 0L));
-            } else if (free.getAsBoolean()) {
-                goOn();
+            continuePending = HttpUtil.is100ContinueExpected(head);
+            if (HttpUtil.getContentLength(head, 0L) > ResponseAssembler.MAX_BUFFERED_BODY_BYTES) {
+                startUpload(HttpUtil.getContentLength(head, 0L));
+            } else if (noPendingRequest.getAsBoolean()) {
+                sendPendingContinue();
             }
         }
         if (part instanceof HttpContent content) {
             add(content.content());
         }
         if (part instanceof LastHttpContent) {
-            end();
+            endRequest();
         }
     }
 
     private void add(ByteBuf bytes) {
-        received += bytes.readableBytes();
-        if (upload == null && received > AnswerReader.LARGEST_BODY) {
-            pass(-1);
+        receivedBytes += bytes.readableBytes();
+        if (upload == null && receivedBytes > ResponseAssembler.MAX_BUFFERED_BODY_BYTES) {
+            startUpload(-1);
         }
         if (upload != null) {
             upload.add(bytes.retain());
@@ -135,35 +135,35 @@
     }
 
     /** Changes over from buffering the body to an upload, which is forwarded as it arrives. */
-    private void pass(long length) {
-        Upload begins = new Upload(length, reading);
-        CompositeByteBuf begun = body;
-        upload = begins;
+    private void startUpload(long length) {
+        Upload newUpload = new Upload(length, readControl);
+        CompositeByteBuf buffered = body;
+        upload = newUpload;
         body = null;
-        context.fireChannelRead(new Incoming(request(Unpooled.EMPTY_BUFFER), begins));
-        begins.add(begun);
+        context.fireChannelRead(new AssembledRequest(createRequest(Unpooled.EMPTY_BUFFER), newUpload));
+        newUpload.add(buffered);
     }
 
-    private void end() {
+    private void endRequest() {
         if (upload != null) {
-            Upload done = upload;
-            forget();
-            if (done.wasHeld()) {
+            Upload finishedUpload = upload;
+            reset();
+            if (finishedUpload.wasEverPaused()) {
                 // The client may have left while reading was paused. That shows only right behind the last byte, at the next poll
                 // of the socket; until then the end of the body is not forwarded.
-                context.executor().schedule(done::end, DownstreamConnectionManager.LOOK_MILLIS, TimeUnit.MILLISECONDS);
+                context.executor().schedule(finishedUpload::end, DownstreamConnectionManager.SOCKET_POLL_MILLIS, TimeUnit.MILLISECONDS);
             } else {
-                done.end();
+                finishedUpload.end();
             }
         } else {
-            FullHttpRequest whole = request(body);
+            FullHttpRequest completeRequest = createRequest(body);
             body = null;
-            forget();
-            context.fireChannelRead(new Incoming(whole, null));
+            reset();
+            context.fireChannelRead(new AssembledRequest(completeRequest, null));
         }
     }
 
-    private FullHttpRequest request(ByteBuf content) {
+    private FullHttpRequest createRequest(ByteBuf content) {
         DefaultFullHttpRequest request = new DefaultFullHttpRequest(head.protocolVersion(), head.method(), head.uri(), content);
         request.headers().set(head.headers());
         return request;
@@ -171,15 +171,15 @@
 
     private void fail(String fault) {
         failed = true;
-        boolean amidstUpload = upload != null;
+        boolean uploadActive = upload != null;
         HttpMethod method = head == null ? HttpMethod.GET : head.method();
-        forget();
-        if (amidstUpload) {
-            brokenUpload.run();
+        reset();
+        if (uploadActive) {
+            uploadBrokenHandler.run();
         } else {
-            DefaultFullHttpRequest told = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, method, "/", Unpooled.EMPTY_BUFFER);
-            told.setDecoderResult(DecoderResult.failure(new IllegalArgumentException(fault)));
-            context.fireChannelRead(new Incoming(told, null));
+            DefaultFullHttpRequest invalidRequest = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, method, "/", Unpooled.EMPTY_BUFFER);
+            invalidRequest.setDecoderResult(DecoderResult.failure(new IllegalArgumentException(fault)));
+            context.fireChannelRead(new AssembledRequest(invalidRequest, null));
         }
     }
 
@@ -187,7 +187,7 @@
      * Returns what is wrong with the request's transfer coding, or null. A body that two readers would end at two different
      * places is rejected (RFC 9112, section 6.3).
      */
-    private static String fault(HttpRequest request) {
+    private static String findFault(HttpRequest request) {
         List<String> codings = request.headers().getAll(HttpHeaderNames.TRANSFER_ENCODING);
         boolean coded = !codings.isEmpty();
         if (coded && (codings.size() > 1 || !HttpHeaderValues.CHUNKED.contentEqualsIgnoreCase(codings.get(0).strip()))) {
@@ -200,7 +200,7 @@
      * Returns the origin form of a request target: clients that take the gateway for a proxy send the absolute form (RFC 9112,
      * section 3.2.2).
      */
-    private static String origin(String target) {
+    private static String toOriginForm(String target) {
         int scheme = target.regionMatches(true, 0, "http://", 0, "http://".length()) ? "http://".length()
                 : target.regionMatches(true, 0, "https://", 0, "https://".length()) ? "https://".length() : 0;
         if (scheme == 0) {
@@ -212,22 +212,22 @@
                 : query < 0 ? "/" : "/" + target.substring(query);
     }
 
-    private void forget() {
+    private void reset() {
         if (body != null) {
             body.release();
         }
         head = null;
         body = null;
         upload = null;
-        owesContinue = false;
+        continuePending = false;
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
         if (upload != null) {
-            upload.drop();
+            upload.discard();
         }
-        forget();
+        reset();
         ctx.fireChannelInactive();
     }
 }
--- a/src/main/java/cinderhollow/http1/AnswerReader.java
+++ b/src/main/java/cinderhollow/http1/ResponseAssembler.java
@@ -26,46 +26,46 @@
  * only then is it known whether the connection can carry another request. A 200 response that is larger than the bound, or that
  * comes slowly and without a length, is streamed instead.
  */
-final class AnswerReader extends ChannelDuplexHandler {
+final class ResponseAssembler extends ChannelDuplexHandler {
     /** Receives the response. */
     interface Listener {
         /** Returns whether a request is in flight on the connection. */
-        boolean waits();
+        boolean expectsResponse();
 
         /**
          * Called when the whole response has been received. {@code framed}: its head said where it ends; {@code noExtraData}:
          * nothing followed it. The body is valid only during the call.
          */
-        void answered(HttpResponse head, ByteBuf body, boolean framed, boolean clean);
+        void onResponse(HttpResponse head, ByteBuf body, boolean framed, boolean noExtraData);
 
         /**
          * Called when the input is no valid response, or none that this gateway accepts. The connection cannot be used any more.
          */
-        void spoilt();
+        void onInvalidResponse();
 
         /**
          * Called when a 200 response begins that is streamed. {@code length} is the length of the body in bytes, or -1 if it is
          * known only once the body ends. Returns false if the response is not wanted any more.
          */
-        boolean begun(HttpResponse head, long length);
+        boolean onStreamStarted(HttpResponse head, long length);
 
         /** Called with body bytes of a streamed response; the listener releases them. */
-        void part(ByteBuf bytes);
+        void onData(ByteBuf bytes);
 
         /**
          * Called when a streamed response is complete. {@code reusable} tells that nothing followed it and that its head said
          * where it ends.
          */
-        void ended(HttpResponse head, boolean reusable);
+        void onStreamEnded(HttpResponse head, boolean reusable);
 
         /** Called when the connection accepts outbound data again. */
-        void writable();
+        void onWritable();
     }
 
     /** Length in bytes of the longest body that is buffered whole. */
-    static final int LARGEST_BODY = 64 * 1024;
+    static final int MAX_BUFFERED_BODY_BYTES = 64 * 1024;
     /** Time after the head at which a response of unknown length is streamed: it may be a large one that comes slowly. */
-    private static final long GATHER_NANOS = TimeUnit.MILLISECONDS.toNanos(50);
+    private static final long MAX_BUFFERING_NANOS = TimeUnit.MILLISECONDS.toNanos(50);
 
     private final Decoder decoder = new Decoder();
     private final Listener listener;
@@ -73,23 +73,23 @@
     private HttpResponse head;
     private CompositeByteBuf body;
     /** When the head was received. */
-    private long headAt;
+    private long headReceivedAt;
     /** Content-Length in bytes, or -1 if unknown. */
-    private long length;
+    private long contentLength;
     /** Whether the head says where the body ends, by a length or by chunks. */
     private boolean framed;
     /** Whether the last content has been received. */
-    private boolean whole;
+    private boolean complete;
     /** Whether something was received behind the response. */
-    private boolean surplus;
+    private boolean extraDataReceived;
     /** Whether the response cannot be accepted. */
-    private boolean spoilt;
+    private boolean invalid;
     /** Whether the body is forwarded as it arrives. */
-    private boolean passing;
+    private boolean streaming;
     /** Whether the connection failed or is being closed from this side: what comes now is no end that the server intended. */
-    private boolean broken;
+    private boolean connectionAborted;
 
-    AnswerReader(Listener listener, GatewayClock clock) {
+    ResponseAssembler(Listener listener, GatewayClock clock) {
         this.listener = listener;
         this.clock = clock;
     }
@@ -102,10 +102,10 @@
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object message) {
         try {
-            if (whole || spoilt) {
-                surplus = true;
+            if (complete || invalid) {
+                extraDataReceived = true;
             } else if (!(message instanceof HttpObject part) || part.decoderResult().isFailure()) {
-                spoilt = true;
+                invalid = true;
             } else {
                 read(ctx, part);
             }
@@ -116,73 +116,73 @@
 
     private void read(ChannelHandlerContext ctx, HttpObject part) {
         if (part instanceof HttpResponse response) {
-            begin(ctx, response);
+            startResponse(ctx, response);
         }
-        if (part instanceof HttpContent content && !spoilt) {
+        if (part instanceof HttpContent content && !invalid) {
             add(content.content());
         }
-        if (part instanceof LastHttpContent && !spoilt) {
+        if (part instanceof LastHttpContent && !invalid) {
             // An informational (1xx) response precedes the actual response and must not be taken for it.
-            whole = !informational();
-            if (!whole) {
-                forget();
-            } else if (!framed && broken) {
+            complete = !isInformational();
+            if (!complete) {
+                reset();
+            } else if (!framed && connectionAborted) {
                 // A body that is delimited by the end of the connection is not complete if the connection broke.
-                spoilt = true;
+                invalid = true;
             }
         }
     }
 
-    private void begin(ChannelHandlerContext ctx, HttpResponse response) {
+    private void startResponse(ChannelHandlerContext ctx, HttpResponse response) {
         head = response;
-        headAt = clock.nanos();
-        length = HttpUtil.getContentLength(response, -1L);
+        headReceivedAt = clock.nanos();
+        contentLength = HttpUtil.getContentLength(response, -1L);
         boolean ok = response.status().equals(HttpResponseStatus.OK);
         // Rejects unknown versions, a switch of protocols that nobody requested, and responses other than 200 that announce a
         // body over the bound, which may have gigabytes.
-        spoilt = !response.protocolVersion().equals(HttpVersion.HTTP_1_1)
+        invalid = !response.protocolVersion().equals(HttpVersion.HTTP_1_1)
                 && !response.protocolVersion().equals(HttpVersion.HTTP_1_0)
-                || length > LARGEST_BODY && !ok
+                || contentLength > MAX_BUFFERED_BODY_BYTES && !ok
                 || response.status().equals(HttpResponseStatus.SWITCHING_PROTOCOLS);
         boolean chunked = HttpUtil.isTransferEncodingChunked(response);
-        framed = length >= 0 || chunked;
-        length = chunked ? -1 : length;
+        framed = contentLength >= 0 || chunked;
+        contentLength = chunked ? -1 : contentLength;
         // The body of an error response that is delimited by the end of the connection is not waited for.
-        whole = !framed && !ok && !informational();
+        complete = !framed && !ok && !isInformational();
         body = ctx.alloc().compositeBuffer();
     }
 
     private void add(ByteBuf bytes) {
-        if (passing) {
-            listener.part(bytes.retain());
+        if (streaming) {
+            listener.onData(bytes.retain());
             return;
         }
         body.addComponent(true, bytes.retain());
         // Streaming does not start before there is body data: if the connection breaks right behind the head, the attempt can
         // still be retried, and the client does not get a response that ends without any data.
-        if (body.readableBytes() > LARGEST_BODY || length > LARGEST_BODY && body.isReadable()) {
+        if (body.readableBytes() > MAX_BUFFERED_BODY_BYTES || contentLength > MAX_BUFFERED_BODY_BYTES && body.isReadable()) {
             if (head.status().equals(HttpResponseStatus.OK)) {
-                pass();
+                startStreaming();
             } else {
-                spoilt = true;
+                invalid = true;
             }
         }
     }
 
     /** Changes over from buffering the response to streaming it. */
-    private void pass() {
-        passing = true;
-        CompositeByteBuf begun = body;
+    private void startStreaming() {
+        streaming = true;
+        CompositeByteBuf buffered = body;
         body = null;
-        if (!listener.begun(head, length)) {
-            spoilt = true;
-            begun.release();
+        if (!listener.onStreamStarted(head, contentLength)) {
+            invalid = true;
+            buffered.release();
         } else {
-            listener.part(begun);
+            listener.onData(buffered);
         }
     }
 
-    private boolean informational() {
+    private boolean isInformational() {
         return head.status().codeClass() == HttpStatusClass.INFORMATIONAL;
     }
 
@@ -192,32 +192,32 @@
      */
     @Override
     public void channelReadComplete(ChannelHandlerContext ctx) {
-        if (spoilt) {
-            forget();
-            listener.spoilt();
-        } else if (whole) {
-            HttpResponse answer = head;
+        if (invalid) {
+            reset();
+            listener.onInvalidResponse();
+        } else if (complete) {
+            HttpResponse response = head;
             CompositeByteBuf bytes = body;
-            boolean clean = !surplus && !decoder.holdsBytes();
-            boolean hasEnd = framed;
-            boolean passed = passing;
+            boolean noExtraData = !extraDataReceived && !decoder.hasBufferedBytes();
+            boolean wasFramed = framed;
+            boolean wasStreaming = streaming;
             body = null;
-            forget();
-            if (passed) {
-                listener.ended(answer, clean && hasEnd);
+            reset();
+            if (wasStreaming) {
+                listener.onStreamEnded(response, noExtraData && wasFramed);
                 return;
             }
             try {
-                listener.answered(answer, bytes, hasEnd, clean);
+                listener.onResponse(response, bytes, wasFramed, noExtraData);
             } finally {
                 bytes.release();
             }
-        } else if (head != null && !passing && length < 0 && head.status().equals(HttpResponseStatus.OK)
-                && body.isReadable() && clock.nanos() - headAt >= GATHER_NANOS) {
-            pass();
-            if (spoilt) {
-                forget();
-                listener.spoilt();
+        } else if (head != null && !streaming && contentLength < 0 && head.status().equals(HttpResponseStatus.OK)
+                && body.isReadable() && clock.nanos() - headReceivedAt >= MAX_BUFFERING_NANOS) {
+            startStreaming();
+            if (invalid) {
+                reset();
+                listener.onInvalidResponse();
             }
         }
     }
@@ -225,7 +225,7 @@
     /** Reports a response that is delimited by the end of the connection, which the decoder completes only now. */
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-        if (whole || spoilt) {
+        if (complete || invalid) {
             channelReadComplete(ctx);
         }
         ctx.fireChannelInactive();
@@ -234,13 +234,13 @@
     @Override
     public void channelWritabilityChanged(ChannelHandlerContext ctx) {
         if (ctx.channel().isWritable()) {
-            listener.writable();
+            listener.onWritable();
         }
     }
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-        broken = true;
+        connectionAborted = true;
         ctx.close();
     }
 
@@ -250,24 +250,24 @@
      */
     @Override
     public void close(ChannelHandlerContext ctx, ChannelPromise promise) {
-        broken = true;
+        connectionAborted = true;
         ctx.close(promise);
     }
 
     @Override
     public void handlerRemoved(ChannelHandlerContext ctx) {
-        forget();
+        reset();
     }
 
-    private void forget() {
+    private void reset() {
         if (body != null) {
             body.release();
         }
         head = null;
         body = null;
-        whole = false;
-        surplus = false;
-        passing = false;
+        complete = false;
+        extraDataReceived = false;
+        streaming = false;
     }
 
     /** Netty's response decoder, made strict where it is lenient with servers. */
@@ -279,11 +279,11 @@
         /** Rejects input while no request is in flight: it would be taken for the start of the next response. */
         @Override
         public void channelRead(ChannelHandlerContext ctx, Object message) throws Exception {
-            if (listener.waits()) {
+            if (listener.expectsResponse()) {
                 super.channelRead(ctx, message);
             } else {
                 ReferenceCountUtil.release(message);
-                listener.spoilt();
+                listener.onInvalidResponse();
             }
         }
 
@@ -296,7 +296,7 @@
             return super.splitHeaderName(line, start, length);
         }
 
-        boolean holdsBytes() {
+        boolean hasBufferedBytes() {
             return actualReadableBytes() > 0;
         }
     }
--- a/src/main/java/cinderhollow/http1/ResponseSink.java
+++ b/src/main/java/cinderhollow/http1/ResponseSink.java
@@ -7,7 +7,7 @@
     /** Upstream side of the streamed response. */
     interface Source {
         /** Sets whether to read on from the server; reading stops while the client's side is full. */
-        void reading(boolean on);
+        void setReading(boolean enabled);
 
         /** Cancels the response because the client has gone. */
         void cancel();
--- a/src/main/java/cinderhollow/http1/Upload.java
+++ b/src/main/java/cinderhollow/http1/Upload.java
@@ -12,18 +12,18 @@
  */
 public final class Upload {
     /** Bound of the bytes of one body that are buffered; only the read that crosses it may exceed it. */
-    private static final int MOST_WAITING = 32 * 1024;
+    private static final int MAX_BUFFERED_BYTES = 32 * 1024;
 
     /** Upstream side: the connection to a server that the body is forwarded to. */
     interface Sink {
-        /** Returns whether the sink accepts more now. When it does again, it calls {@link Upload#flow}. */
-        boolean roomy();
+        /** Returns whether the sink accepts more now. When it does again, it calls {@link Upload#forwardBuffered}. */
+        boolean isWritable();
 
         /** Forwards body bytes, and releases them. */
-        void part(ByteBuf bytes);
+        void onData(ByteBuf bytes);
 
         /** Called when the body is complete. */
-        void last();
+        void onEnd();
     }
 
     /** Receives the progress of the upload. */
@@ -36,23 +36,23 @@
     }
 
     private final long length;
-    private final Consumer<Boolean> reading;
-    private final ArrayDeque<ByteBuf> waiting = new ArrayDeque<>();
-    private int bytes;
+    private final Consumer<Boolean> readControl;
+    private final ArrayDeque<ByteBuf> buffered = new ArrayDeque<>();
+    private int bufferedBytes;
     private Listener listener;
     private Sink sink;
-    private boolean spent;
-    private boolean whole;
-    private boolean dropped;
-    private boolean held;
+    private boolean firstByteSent;
+    private boolean fullyReceived;
+    private boolean discarded;
+    private boolean everPaused;
 
     /**
      * Creates an upload. {@code length} is its length in bytes, or -1 if it is known only once the body ends; {@code readControl}
      * pauses and resumes reading from the client.
      */
-    Upload(long length, Consumer<Boolean> reading) {
+    Upload(long length, Consumer<Boolean> readControl) {
         this.length = length;
-        this.reading = reading;
+        this.readControl = readControl;
     }
 
     /** Returns the length in bytes, or -1 if it is known only once the body ends. */
@@ -62,67 +62,67 @@
 
     /** Returns whether the last byte has been received from the client. */
     public boolean isFullyReceived() {
-        return whole;
+        return fullyReceived;
     }
 
     /** Returns whether more is being read from the client now; if not, the upload waits for the server. */
-    boolean isRead() {
-        return !whole && bytes - keptBack() < MOST_WAITING;
+    boolean isReading() {
+        return !fullyReceived && bufferedBytes - withheldBytes() < MAX_BUFFERED_BYTES;
     }
 
     /** Sets the listener. If the body has been fully received, notifies the listener at once. */
-    public void setListener(Listener told) {
-        listener = told;
-        if (whole) {
-            told.onFullyReceived();
+    public void setListener(Listener newListener) {
+        listener = newListener;
+        if (fullyReceived) {
+            newListener.onFullyReceived();
         }
     }
 
     /** Adds body bytes, and takes ownership of them. */
     void add(ByteBuf part) {
-        if (dropped || !part.isReadable()) {
+        if (discarded || !part.isReadable()) {
             part.release();
             return;
         }
-        waiting.add(part);
-        bytes += part.readableBytes();
-        flow();
+        buffered.add(part);
+        bufferedBytes += part.readableBytes();
+        forwardBuffered();
     }
 
     /** Marks the body as fully received from the client. */
     void end() {
-        whole = true;
-        if (listener != null && !dropped) {
+        fullyReceived = true;
+        if (listener != null && !discarded) {
             listener.onFullyReceived();
         }
-        flow();
+        forwardBuffered();
     }
 
     /** Sets the connection that the body is forwarded to from now on; null for none. */
-    void to(Sink next) {
-        sink = next;
-        flow();
+    void setSink(Sink newSink) {
+        sink = newSink;
+        forwardBuffered();
     }
 
     /** Forwards what the sink accepts, and pauses or resumes reading from the client. */
-    void flow() {
-        while (sink != null && bytes > keptBack() && sink.roomy()) {
-            if (!spent) {
-                spent = true;
+    void forwardBuffered() {
+        while (sink != null && bufferedBytes > withheldBytes() && sink.isWritable()) {
+            if (!firstByteSent) {
+                firstByteSent = true;
                 listener.onFirstByteSent();
             }
-            ByteBuf part = waiting.poll();
-            bytes -= part.readableBytes();
-            sink.part(part);
+            ByteBuf part = buffered.poll();
+            bufferedBytes -= part.readableBytes();
+            sink.onData(part);
         }
-        if (sink != null && whole && waiting.isEmpty()) {
-            Sink last = sink;
+        if (sink != null && fullyReceived && buffered.isEmpty()) {
+            Sink finishedSink = sink;
             sink = null;
-            last.last();
+            finishedSink.onEnd();
         }
-        boolean reads = dropped || whole || isRead();
-        held |= !reads;
-        reading.accept(reads);
+        boolean keepReading = discarded || fullyReceived || isReading();
+        everPaused |= !keepReading;
+        readControl.accept(keepReading);
     }
 
     /**
@@ -131,22 +131,22 @@
      * therefore waits until the body is known to be complete, so that a server does not receive a whole request that its client
      * has abandoned.
      */
-    private int keptBack() {
-        return held && !whole && !waiting.isEmpty() ? waiting.peekLast().readableBytes() : 0;
+    private int withheldBytes() {
+        return everPaused && !fullyReceived && !buffered.isEmpty() ? buffered.peekLast().readableBytes() : 0;
     }
 
     /** Returns whether reading from the client was paused at some time. */
-    boolean wasHeld() {
-        return held;
+    boolean wasEverPaused() {
+        return everPaused;
     }
 
     /** Discards what is buffered and all that is still to come, which is still read from the client. */
-    void drop() {
-        dropped = true;
+    void discard() {
+        discarded = true;
         sink = null;
-        waiting.forEach(ByteBuf::release);
-        waiting.clear();
-        bytes = 0;
-        reading.accept(true);
+        buffered.forEach(ByteBuf::release);
+        buffered.clear();
+        bufferedBytes = 0;
+        readControl.accept(true);
     }
 }
--- a/src/main/java/cinderhollow/http1/UpstreamPool.java
+++ b/src/main/java/cinderhollow/http1/UpstreamPool.java
@@ -91,7 +91,7 @@
      * Part of the servers' idle timeout for which an idle connection is kept. Below 1, so that a request is not sent just as the
      * server closes its idle connection.
      */
-    private static final double IDLE_PART = 2.0 / 3;
+    private static final double IDLE_TIMEOUT_FRACTION = 2.0 / 3;
     /**
      * Reuse delay, and for how long it applies. Some servers send a second response a few milliseconds after the first; if
      * another request were in flight on the connection by then, those bytes would be taken for its response. Once a server has
@@ -99,36 +99,36 @@
      * seen for 60 s. The request waits for the delay rather than for a new connection: dialling takes as long and costs the
      * server work, and under load each connection would be discarded for the next request.
      */
-    private static final long SETTLED_NANOS = TimeUnit.MILLISECONDS.toNanos(8), UNTIDY_NANOS = TimeUnit.SECONDS.toNanos(60);
-    private static final long SWEEP_MILLIS = 500;
+    private static final long REUSE_DELAY_NANOS = TimeUnit.MILLISECONDS.toNanos(8), REUSE_DELAY_ACTIVE_NANOS = TimeUnit.SECONDS.toNanos(60);
+    private static final long SWEEP_INTERVAL_MILLIS = 500;
     /**
      * A connection with a large body on which the server neither sends nor accepts data for this long is closed; the server is
      * presumed gone.
      */
-    private static final long SILENT_NANOS = TimeUnit.SECONDS.toNanos(10);
+    private static final long STREAM_IDLE_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(10);
     /**
      * Bounds of the outbound buffer of one connection, so that memory does not grow with the number of large bodies in flight.
      */
     private static final WriteBufferWaterMark WATER_MARK = new WriteBufferWaterMark(32 * 1024, 64 * 1024);
     /** Maximum number of bytes of one socket read. */
-    static final int LARGEST_READ = 64 * 1024;
+    static final int MAX_READ_BYTES = 64 * 1024;
 
     private final EventLoop loop;
     private final GatewayClock clock;
     private final LagAwareTimers timers;
-    private final int mostConnections;
+    private final int maxConnections;
     /** Ledger counters for attempts; null if no ledger is kept. */
-    private final Sheet sheet;
+    private final Sheet ledgerCounters;
     /** Number of attempts in flight, by account. */
     private final long[] openAttempts;
-    private long idleNanos;
+    private long idleTimeoutNanos;
     private final Bootstrap bootstrap;
-    private final Map<String, Host> hosts = new HashMap<>();
+    private final Map<String, Server> servers = new HashMap<>();
     /** Connections with a large body under way. */
-    private final Set<Connection> moving = new HashSet<>();
-    private int connections;
-    private long untidyUntil = Long.MIN_VALUE;
-    private boolean sharesPlaces;
+    private final Set<Connection> streamingConnections = new HashSet<>();
+    private int connectionCount;
+    private long reuseDelayUntil = Long.MIN_VALUE;
+    private boolean sharesConnectionLimit;
 
     /**
      * Creates a pool without servers.
@@ -142,26 +142,26 @@
      * @param sheet ledger counters for attempts, or null
      * @param accounts number of ledger accounts
      */
-    public UpstreamPool(EventLoop loop, Transport transport, GatewayClock clock, long dialTimeoutNanos, long idleNanos,
-             int mostConnections, Sheet sheet, int accounts) {
-        this.sheet = sheet;
+    public UpstreamPool(EventLoop loop, Transport transport, GatewayClock clock, long dialTimeoutNanos, long serverIdleTimeoutNanos,
+             int maxConnections, Sheet ledgerCounters, int accounts) {
+        this.ledgerCounters = ledgerCounters;
         openAttempts = new long[accounts];
         this.loop = loop;
         this.clock = clock;
         timers = new LagAwareTimers(loop, clock);
-        this.mostConnections = mostConnections;
+        this.maxConnections = maxConnections;
         bootstrap = new Bootstrap().group(loop).channel(transport.clientChannelType())
                 .option(ChannelOption.WRITE_BUFFER_WATER_MARK, WATER_MARK)
-                .option(ChannelOption.RECVBUF_ALLOCATOR, new AdaptiveRecvByteBufAllocator(64, 2048, LARGEST_READ));
-        setTimeouts(dialTimeoutNanos, idleNanos);
-        loop.scheduleWithFixedDelay(this::retireIdle, SWEEP_MILLIS, SWEEP_MILLIS, TimeUnit.MILLISECONDS);
+                .option(ChannelOption.RECVBUF_ALLOCATOR, new AdaptiveRecvByteBufAllocator(64, 2048, MAX_READ_BYTES));
+        setTimeouts(dialTimeoutNanos, serverIdleTimeoutNanos);
+        loop.scheduleWithFixedDelay(this::closeIdleAndStalled, SWEEP_INTERVAL_MILLIS, SWEEP_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
     }
 
     /**
      * Sets the connect timeout and the servers' idle timeout. The connect timeout applies to connections dialled from now on.
      */
-    public void setTimeouts(long dialTimeoutNanos, long hostsIdleNanos) {
-        idleNanos = (long) (hostsIdleNanos * IDLE_PART);
+    public void setTimeouts(long dialTimeoutNanos, long serverIdleTimeoutNanos) {
+        idleTimeoutNanos = (long) (serverIdleTimeoutNanos * IDLE_TIMEOUT_FRACTION);
         bootstrap.option(ChannelOption.CONNECT_TIMEOUT_MILLIS,
                 (int) Math.max(1, TimeUnit.NANOSECONDS.toMillis(dialTimeoutNanos)));
     }
@@ -171,15 +171,15 @@
      * it may choose has an address here.
      */
     public void update(EndpointList list) {
-        Set<String> named = new HashSet<>();
+        Set<String> listedIds = new HashSet<>();
         for (Endpoint endpoint : list.endpoints()) {
-            named.add(endpoint.info().id());
+            listedIds.add(endpoint.info().id());
             update(endpoint);
         }
         if (list.snapshot()) {
-            for (String name : List.copyOf(hosts.keySet())) {
-                if (!named.contains(name)) {
-                    hosts.remove(name).keepConnections(false);
+            for (String name : List.copyOf(servers.keySet())) {
+                if (!listedIds.contains(name)) {
+                    servers.remove(name).setAvailable(false);
                 }
             }
         }
@@ -187,44 +187,44 @@
 
     private void update(Endpoint endpoint) {
         String name = endpoint.info().id();
-        Host old = hosts.get(name);
+        Server old = servers.get(name);
         if (endpoint.isGone()) {
-            hosts.remove(name);
-        } else if (old == null || !old.is(endpoint)) {
-            hosts.put(name, new Host(endpoint));
+            servers.remove(name);
+        } else if (old == null || !old.matches(endpoint)) {
+            servers.put(name, new Server(endpoint));
         } else {
             old.endpoint = endpoint;
-            old.keepConnections(endpoint.info().readiness() == Readiness.READY);
+            old.setAvailable(endpoint.info().readiness() == Readiness.READY);
             return;
         }
         if (old != null) {
-            old.keepConnections(false);
+            old.setAvailable(false);
             if (!endpoint.isGone()) {
-                old.breakBefore(endpoint.info().startedAtNanos());
+                old.closeConnectionsOpenedBefore(endpoint.info().startedAtNanos());
             }
         }
     }
 
     /** Starts an attempt. This method takes ownership of the request and releases it. */
-    public Attempt send(String host, FullHttpRequest request, long timeoutNanos, Listener listener) {
+    public Attempt send(String server, FullHttpRequest request, long timeoutNanos, Listener listener) {
         Attempt attempt = new Attempt(request, null, clock.nanos(), listener);
         attempt.setTimeout(timeoutNanos);
-        return start(host, attempt);
+        return start(server, attempt);
     }
 
     /**
      * Starts an attempt of a request whose body is forwarded as it arrives. Its timeout starts with {@link Attempt#setTimeout}.
      */
-    public Attempt send(String host, HttpRequest head, Upload upload, Listener listener) {
-        return start(host, new Attempt(head, upload, clock.nanos(), listener));
+    public Attempt send(String server, HttpRequest head, Upload upload, Listener listener) {
+        return start(server, new Attempt(head, upload, clock.nanos(), listener));
     }
 
-    private Attempt start(String host, Attempt attempt) {
-        Host target = hosts.get(host);
+    private Attempt start(String server, Attempt attempt) {
+        Server target = servers.get(server);
         Connection idle = target == null ? null : target.takeIdle();
         if (idle != null) {
-            idle.carryOnceSettled(attempt);
-        } else if (target != null && (connections < (sharesPlaces ? mostConnections / 2 : mostConnections) || closeOneIdle())) {
+            idle.sendWhenReusable(attempt);
+        } else if (target != null && (connectionCount < (sharesConnectionLimit ? maxConnections / 2 : maxConnections) || closeOneIdle())) {
             target.dial(attempt);
         } else {
             loop.execute(() -> attempt.end(Outcome.CONNECT_FAILED, null, null));
@@ -238,35 +238,35 @@
     }
 
     /** Sets whether another process uses a part of the connection limit; if so, this pool uses at most half of it. */
-    public void setConnectionLimitShared(boolean shares) {
-        sharesPlaces = shares;
+    public void setConnectionLimitShared(boolean limitShared) {
+        sharesConnectionLimit = limitShared;
     }
 
     /** Returns the endpoints of the current list. */
     public List<Endpoint> endpoints() {
-        return hosts.values().stream().map(host -> host.endpoint).toList();
+        return servers.values().stream().map(host -> host.endpoint).toList();
     }
 
     /** Returns the number of servers in the current list. */
     public int serverCount() {
-        return hosts.size();
+        return servers.size();
     }
 
     /** Returns the number of connections that are open or being dialled. */
-    public int connections() {
-        return connections;
+    public int connectionCount() {
+        return connectionCount;
     }
 
-    private void retireIdle() {
-        long before = clock.nanos() - idleNanos;
-        hosts.values().forEach(host -> host.closeIdle(before));
-        long silent = clock.nanos() - SILENT_NANOS;
-        List.copyOf(moving).forEach(connection -> connection.closeIfStill(silent));
+    private void closeIdleAndStalled() {
+        long before = clock.nanos() - idleTimeoutNanos;
+        servers.values().forEach(host -> host.closeIdle(before));
+        long silent = clock.nanos() - STREAM_IDLE_TIMEOUT_NANOS;
+        List.copyOf(streamingConnections).forEach(connection -> connection.closeIfStalled(silent));
     }
 
     private boolean closeOneIdle() {
-        for (Host host : hosts.values()) {
-            Connection longest = host.idle.pollFirst();
+        for (Server server : servers.values()) {
+            Connection longest = server.idleConnections.pollFirst();
             if (longest != null) {
                 longest.channel.close();
                 return true;
@@ -276,19 +276,19 @@
     }
 
     /** One server since its last start, at one address. A restart or a change of address makes a new instance. */
-    private final class Host {
+    private final class Server {
         private Endpoint endpoint;
         /** Idle connections, the most recently used last. */
-        private final ArrayDeque<Connection> idle = new ArrayDeque<>();
-        private final Set<Connection> all = new HashSet<>();
-        private boolean keeps;
+        private final ArrayDeque<Connection> idleConnections = new ArrayDeque<>();
+        private final Set<Connection> allConnections = new HashSet<>();
+        private boolean available;
 
-        Host(Endpoint endpoint) {
+        Server(Endpoint endpoint) {
             this.endpoint = endpoint;
-            keeps = endpoint.info().readiness() == Readiness.READY;
+            available = endpoint.info().readiness() == Readiness.READY;
         }
 
-        boolean is(Endpoint other) {
+        boolean matches(Endpoint other) {
             return endpoint.address().equals(other.address())
                     && endpoint.info().startedAtNanos() == other.info().startedAtNanos();
         }
@@ -300,42 +300,42 @@
          */
         Connection takeIdle() {
             long now = clock.nanos();
-            Connection resting = null;
-            for (Iterator<Connection> latestFirst = idle.descendingIterator(); latestFirst.hasNext();) {
+            Connection soonestReusable = null;
+            for (Iterator<Connection> latestFirst = idleConnections.descendingIterator(); latestFirst.hasNext();) {
                 Connection connection = latestFirst.next();
-                if (connection.channel.isActive() && now - connection.idleSince <= idleNanos) {
-                    if (connection.rest(now) <= 0) {
+                if (connection.channel.isActive() && now - connection.idleSince <= idleTimeoutNanos) {
+                    if (connection.remainingReuseDelayNanos(now) <= 0) {
                         latestFirst.remove();
                         return connection;
                     }
-                    resting = connection;
+                    soonestReusable = connection;
                 } else {
                     latestFirst.remove();
                     connection.channel.close();
                 }
             }
-            if (resting != null) {
-                idle.remove(resting);
+            if (soonestReusable != null) {
+                idleConnections.remove(soonestReusable);
             }
-            return resting;
+            return soonestReusable;
         }
 
         void dial(Attempt attempt) {
-            connections++;
+            connectionCount++;
             Connection connection = new Connection(this, attempt);
-            all.add(connection);
+            allConnections.add(connection);
             attempt.connection = connection;
             ChannelFuture dial = bootstrap.clone().handler(new ChannelInitializer<Channel>() {
                 @Override
                 protected void initChannel(Channel channel) {
-                    AnswerReader reader = new AnswerReader(connection, clock);
+                    ResponseAssembler reader = new ResponseAssembler(connection, clock);
                     channel.pipeline().addLast(reader.decoder(), new HttpRequestEncoder(), reader);
                 }
             }).connect(endpoint.address());
             connection.channel = dial.channel();
             // Runs after the channel's last read: a response that is delimited by the end of the connection is completed in a
             // task of its own.
-            ConnectFutures.onClose(dial, loop, () -> loop.execute(connection::closed));
+            ConnectFutures.onClose(dial, loop, () -> loop.execute(connection::onClosed));
             dial.addListener(done -> {
                 if (!done.isSuccess()) {
                     // If no socket could be created, the future is completed on another thread.
@@ -344,14 +344,14 @@
             });
             dial.addListener(done -> {
                 if (loop.inEventLoop()) {
-                    connection.dialled(done);
+                    connection.onDialCompleted(done);
                 }
             });
         }
 
         void closeIdle(long before) {
-            while (!idle.isEmpty() && idle.peekFirst().idleSince <= before) {
-                idle.pollFirst().channel.close();
+            while (!idleConnections.isEmpty() && idleConnections.peekFirst().idleSince <= before) {
+                idleConnections.pollFirst().channel.close();
             }
         }
 
@@ -360,11 +360,11 @@
          * may allow only a few, and fails the attempts that wait for a connection, since the connection may come up late and the
          * request would still be sent to this server. Requests that have been sent may still be answered.
          */
-        void keepConnections(boolean keep) {
-            keeps = keep;
-            if (!keep) {
+        void setAvailable(boolean nowAvailable) {
+            available = nowAvailable;
+            if (!nowAvailable) {
                 closeIdle(Long.MAX_VALUE);
-                all.forEach(Connection::turnBack);
+                allConnections.forEach(Connection::failUnsentAttempt);
             }
         }
 
@@ -372,9 +372,9 @@
          * Closes the connections opened before the server restarted: the process at their other end no longer exists, and its
          * machine may never report that.
          */
-        void breakBefore(long startOfNext) {
-            for (Connection connection : List.copyOf(all)) {
-                if (connection.openedAt < startOfNext) {
+        void closeConnectionsOpenedBefore(long restartedAt) {
+            for (Connection connection : List.copyOf(allConnections)) {
+                if (connection.openedAt < restartedAt) {
                     ConnectFutures.closeIfOpen(connection.channel);
                 }
             }
@@ -382,24 +382,24 @@
     }
 
     /** One connection to a server, open or being dialled. */
-    private final class Connection implements AnswerReader.Listener, Upload.Sink, ResponseSink.Source {
-        private final Host host;
+    private final class Connection implements ResponseAssembler.Listener, Upload.Sink, ResponseSink.Source {
+        private final Server server;
         private final long openedAt = clock.nanos();
         private Channel channel;
         private Attempt attempt;
         private long idleSince;
         /** Whether a request has been sent on this connection. */
-        private boolean carried;
+        private boolean used;
         private boolean closed;
         /** Receiver of the response, if the response is being streamed; otherwise null. */
-        private ResponseSink passage;
+        private ResponseSink responseSink;
         /** When a part of a large body was last sent or received. */
-        private long movedAt;
+        private long lastProgressAt;
         /** Whether this side has paused reading the response from the server. */
-        private boolean heldBack;
+        private boolean readPaused;
 
-        Connection(Host host, Attempt first) {
-            this.host = host;
+        Connection(Server server, Attempt first) {
+            this.server = server;
             attempt = first;
         }
 
@@ -407,101 +407,101 @@
          * Ends an attempt that waits for this connection, as failed to connect: none of it has been written, so it can be sent to
          * another server.
          */
-        void turnBack() {
-            Attempt waits = attempt;
-            if (waits != null && !waits.lifecycle.isWritingOrWritten()) {
+        void failUnsentAttempt() {
+            Attempt unsent = attempt;
+            if (unsent != null && !unsent.lifecycle.isWritingOrWritten()) {
                 attempt = null;
-                waits.connection = null;
-                loop.execute(() -> waits.end(Outcome.CONNECT_FAILED, null, null));
+                unsent.connection = null;
+                loop.execute(() -> unsent.end(Outcome.CONNECT_FAILED, null, null));
             }
         }
 
-        void dialled(Future<?> done) {
-            if (!done.isSuccess()) {
+        void onDialCompleted(Future<?> dialFuture) {
+            if (!dialFuture.isSuccess()) {
                 ConnectFutures.closeIfOpen(channel);
                 return;
             }
             if (attempt == null) {
                 release(true);
             } else {
-                carry(attempt);
+                trySend(attempt);
             }
         }
 
         /** Returns how much longer the reuse delay lasts, in nanoseconds; zero or negative if the connection can be used now. */
-        long rest(long now) {
-            return carried && now < untidyUntil ? idleSince + SETTLED_NANOS - now : 0;
+        long remainingReuseDelayNanos(long now) {
+            return used && now < reuseDelayUntil ? idleSince + REUSE_DELAY_NANOS - now : 0;
         }
 
         /**
          * Sends the attempt now, or once the reuse delay is over. An attempt that waits for this is as unsent as one that waits
          * for a connect.
          */
-        void carryOnceSettled(Attempt next) {
-            long rest = rest(clock.nanos());
-            if (rest <= 0) {
-                carry(next);
+        void sendWhenReusable(Attempt newAttempt) {
+            long delayNanos = remainingReuseDelayNanos(clock.nanos());
+            if (delayNanos <= 0) {
+                trySend(newAttempt);
                 return;
             }
-            attempt = next;
-            next.connection = this;
+            attempt = newAttempt;
+            newAttempt.connection = this;
             loop.schedule(() -> {
-                if (attempt == next) {
-                    carryOnceSettled(next);
+                if (attempt == newAttempt) {
+                    sendWhenReusable(newAttempt);
                 } else if (attempt == null) {
                     release(true);
                 }
-            }, rest, TimeUnit.NANOSECONDS);
+            }, delayNanos, TimeUnit.NANOSECONDS);
         }
 
         /** Sends the attempt on this connection, unless its send deadline has passed or the listener decides against it. */
-        void carry(Attempt next) {
-            if (clock.nanos() > next.outBy) {
+        void trySend(Attempt newAttempt) {
+            if (clock.nanos() > newAttempt.sendDeadline) {
                 // The timer of the send deadline is due as well, but the event loop was late.
-                giveBack(next);
-                loop.execute(next::notOut);
+                releaseUnsent(newAttempt);
+                loop.execute(newAttempt::onSendTimeout);
                 return;
             }
-            if (next.listener.decideSend(() -> host.keeps) != SendDecision.SEND) {
-                giveBack(next);
-                loop.execute(next::withheld);
+            if (newAttempt.listener.decideSend(() -> server.available) != SendDecision.SEND) {
+                releaseUnsent(newAttempt);
+                loop.execute(newAttempt::endNotSent);
                 return;
             }
-            carried = true;
-            attempt = next;
-            next.connection = this;
-            HttpRequest request = next.request;
-            next.request = null;
-            next.lifecycle.transitionTo(AttemptState.WRITING);
-            next.tellDeadline(request);
-            if (next.upload == null) {
-                channel.writeAndFlush(request).addListener(write -> next.written(write.isSuccess(), channel));
+            used = true;
+            attempt = newAttempt;
+            newAttempt.connection = this;
+            HttpRequest request = newAttempt.request;
+            newAttempt.request = null;
+            newAttempt.lifecycle.transitionTo(AttemptState.WRITING);
+            newAttempt.updateTimeoutHeader(request);
+            if (newAttempt.upload == null) {
+                channel.writeAndFlush(request).addListener(write -> newAttempt.onWritten(write.isSuccess(), channel));
                 return;
             }
-            moved();
+            recordProgress();
             channel.writeAndFlush(request);
-            next.upload.to(this);
+            newAttempt.upload.setSink(this);
         }
 
         /** Releases the connection, for use by others, from an attempt that is not sent. */
-        private void giveBack(Attempt unsent) {
+        private void releaseUnsent(Attempt unsent) {
             attempt = null;
             unsent.connection = null;
             release(true);
         }
 
         @Override
-        public boolean roomy() {
+        public boolean isWritable() {
             return channel.isActive() && channel.isWritable();
         }
 
         @Override
-        public void part(ByteBuf bytes) {
-            if (passage != null) {
-                moved();
-                passage.onData(bytes);
+        public void onData(ByteBuf bytes) {
+            if (responseSink != null) {
+                recordProgress();
+                responseSink.onData(bytes);
             } else if (attempt != null && attempt.upload != null) {
-                moved();
+                recordProgress();
                 channel.writeAndFlush(new DefaultHttpContent(bytes));
             } else {
                 bytes.release();
@@ -509,123 +509,123 @@
         }
 
         @Override
-        public void last() {
-            Attempt last = attempt;
-            moving.remove(this);
-            if (last != null) {
+        public void onEnd() {
+            Attempt current = attempt;
+            streamingConnections.remove(this);
+            if (current != null) {
                 // The elapsed time counts from here. It excludes the upload's time, which depends on the client: a server starts
                 // processing with the last byte.
-                last.sentAt = clock.nanos();
+                current.sentAt = clock.nanos();
                 channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT)
-                        .addListener(write -> last.written(write.isSuccess(), channel));
+                        .addListener(write -> current.onWritten(write.isSuccess(), channel));
             }
         }
 
         @Override
-        public void writable() {
+        public void onWritable() {
             if (attempt != null && attempt.upload != null) {
-                moved();
-                attempt.upload.flow();
+                recordProgress();
+                attempt.upload.forwardBuffered();
             }
         }
 
-        private void moved() {
-            movedAt = clock.nanos();
-            moving.add(this);
+        private void recordProgress() {
+            lastProgressAt = clock.nanos();
+            streamingConnections.add(this);
         }
 
         /**
          * Closes the connection if the server has sent or accepted nothing of a large body since the given time. Time in which
          * the client, and not the server, has to make progress does not count.
          */
-        void closeIfStill(long since) {
-            boolean hostsTurn = passage != null ? !heldBack : attempt != null && attempt.upload != null && !attempt.upload.isRead();
-            if (!hostsTurn) {
-                movedAt = clock.nanos();
-            } else if (movedAt <= since) {
+        void closeIfStalled(long stalledSince) {
+            boolean waitsForServer = responseSink != null ? !readPaused : attempt != null && attempt.upload != null && !attempt.upload.isReading();
+            if (!waitsForServer) {
+                lastProgressAt = clock.nanos();
+            } else if (lastProgressAt <= stalledSince) {
                 channel.close();
             }
         }
 
         @Override
-        public boolean waits() {
-            return attempt != null && attempt.lifecycle.isWritingOrWritten() || passage != null;
+        public boolean expectsResponse() {
+            return attempt != null && attempt.lifecycle.isWritingOrWritten() || responseSink != null;
         }
 
         @Override
-        public boolean begun(HttpResponse head, long length) {
-            Attempt answered = attempt;
-            if (answered == null || answered.isUnsent()) {
+        public boolean onStreamStarted(HttpResponse head, long length) {
+            Attempt current = attempt;
+            if (current == null || current.isUnsent()) {
                 return false;
             }
             attempt = null;
-            passage = answered.begun(LoadReports.read(head.headers().getAll("X-Server-Load")), length, this);
-            if (passage != null) {
-                moved();
+            responseSink = current.startStreaming(LoadReportParser.parse(head.headers().getAll("X-Server-Load")), length, this);
+            if (responseSink != null) {
+                recordProgress();
             }
-            return passage != null;
+            return responseSink != null;
         }
 
         @Override
-        public void ended(HttpResponse head, boolean reusable) {
-            ResponseSink done = passage;
-            passage = null;
-            moving.remove(this);
+        public void onStreamEnded(HttpResponse head, boolean reusable) {
+            ResponseSink finishedSink = responseSink;
+            responseSink = null;
+            streamingConnections.remove(this);
             release(reusable && HttpUtil.isKeepAlive(head));
-            if (done != null) {
-                done.onEnd();
+            if (finishedSink != null) {
+                finishedSink.onEnd();
             }
         }
 
         @Override
-        public void reading(boolean on) {
-            heldBack = !on;
+        public void setReading(boolean on) {
+            readPaused = !on;
             channel.config().setAutoRead(on);
         }
 
         @Override
         public void cancel() {
-            passage = null;
+            responseSink = null;
             channel.close();
         }
 
         @Override
-        public void answered(HttpResponse head, ByteBuf body, boolean framed, boolean clean) {
-            Attempt answered = attempt;
-            if (answered == null) {
+        public void onResponse(HttpResponse head, ByteBuf body, boolean framed, boolean noExtraData) {
+            Attempt current = attempt;
+            if (current == null) {
                 return; // cancelled during this same read, and the connection closed
             }
             attempt = null;
-            if (!clean) {
-                untidyUntil = clock.nanos() + UNTIDY_NANOS;
+            if (!noExtraData) {
+                reuseDelayUntil = clock.nanos() + REUSE_DELAY_ACTIVE_NANOS;
             }
             // Releases the connection first: the decision module may send the next attempt at once.
-            release(clean && framed && HttpUtil.isKeepAlive(head) && !answered.isUnsent());
-            Outcome outcome = outcome(head, !answered.isUnsent());
-            answered.end(outcome, LoadReports.read(head.headers().getAll("X-Server-Load")),
+            release(noExtraData && framed && HttpUtil.isKeepAlive(head) && !current.isUnsent());
+            Outcome outcome = classifyResponse(head, !current.isUnsent());
+            current.end(outcome, LoadReportParser.parse(head.headers().getAll("X-Server-Load")),
                     outcome == Outcome.SERVED ? body : null);
         }
 
         @Override
-        public void spoilt() {
-            Attempt answered = attempt;
+        public void onInvalidResponse() {
+            Attempt current = attempt;
             attempt = null;
             channel.close();
-            boolean unasked = passage == null && (answered == null || !answered.lifecycle.isWritingOrWritten());
-            if (unasked) {
-                untidyUntil = clock.nanos() + UNTIDY_NANOS;
+            boolean unsolicited = responseSink == null && (current == null || !current.lifecycle.isWritingOrWritten());
+            if (unsolicited) {
+                reuseDelayUntil = clock.nanos() + REUSE_DELAY_ACTIVE_NANOS;
             }
-            if (answered != null) {
-                answered.end(unasked ? Outcome.CONNECT_FAILED : Outcome.ERROR, null, null);
+            if (current != null) {
+                current.end(unsolicited ? Outcome.CONNECT_FAILED : Outcome.ERROR, null, null);
             }
-            breakOff();
+            abortStream();
         }
 
-        private void breakOff() {
-            ResponseSink broken = passage;
-            passage = null;
-            if (broken != null) {
-                broken.onAborted();
+        private void abortStream() {
+            ResponseSink abortedSink = responseSink;
+            responseSink = null;
+            if (abortedSink != null) {
+                abortedSink.onAborted();
             }
         }
 
@@ -633,40 +633,40 @@
          * Returns the outcome of an attempt by its response. A 200 that comes before the whole request has been sent is an error:
          * no server can have processed a request that it does not have whole.
          */
-        private Outcome outcome(HttpResponse head, boolean asked) {
+        private Outcome classifyResponse(HttpResponse head, boolean requestSent) {
             HttpResponseStatus status = head.status();
             if (status.equals(HttpResponseStatus.OK)) {
-                return asked ? Outcome.SERVED : Outcome.ERROR;
+                return requestSent ? Outcome.SERVED : Outcome.ERROR;
             }
-            boolean turnedAway = status.equals(HttpResponseStatus.SERVICE_UNAVAILABLE)
+            boolean unavailable = status.equals(HttpResponseStatus.SERVICE_UNAVAILABLE)
                     || status.equals(HttpResponseStatus.GATEWAY_TIMEOUT);
-            return turnedAway && "1".equals(head.headers().get("X-Not-Processed")) ? Outcome.FULL : Outcome.ERROR;
+            return unavailable && "1".equals(head.headers().get("X-Not-Processed")) ? Outcome.FULL : Outcome.ERROR;
         }
 
         private void release(boolean reusable) {
-            if (reusable && host.keeps && channel.isActive()) {
+            if (reusable && server.available && channel.isActive()) {
                 idleSince = clock.nanos();
-                host.idle.addLast(this);
+                server.idleConnections.addLast(this);
             } else {
                 channel.close();
             }
         }
 
         /** Called after the last write has completed or failed, so that it is known by now whether the last byte was sent. */
-        private void closed() {
+        private void onClosed() {
             if (closed) {
                 return;
             }
             closed = true;
-            connections--;
-            moving.remove(this);
-            breakOff();
-            host.all.remove(this);
-            host.idle.remove(this);
-            Attempt broken = attempt;
+            connectionCount--;
+            streamingConnections.remove(this);
+            abortStream();
+            server.allConnections.remove(this);
+            server.idleConnections.remove(this);
+            Attempt current = attempt;
             attempt = null;
-            if (broken != null) {
-                broken.end(broken.isUnsent() ? Outcome.CONNECT_FAILED : Outcome.RESET, null, null);
+            if (current != null) {
+                current.end(current.isUnsent() ? Outcome.CONNECT_FAILED : Outcome.RESET, null, null);
             }
         }
     }
@@ -681,7 +681,7 @@
         private Connection connection;
         private Future<?> timer;
         /** Send deadline: from this time on no byte of the attempt is sent. */
-        private long outBy = Long.MAX_VALUE;
+        private long sendDeadline = Long.MAX_VALUE;
         /** When the attempt times out; {@code Long.MAX_VALUE} as long as that is unknown. */
         private long deadline = Long.MAX_VALUE;
         private final AttemptLifecycle lifecycle;
@@ -694,9 +694,9 @@
             this.sentAt = sentAt;
             this.listener = listener;
             lifecycle = new AttemptLifecycle(listener.id(), listener.monitor());
-            if (sheet != null) {
+            if (ledgerCounters != null) {
                 openAttempts[listener.account()]++;
-                sheet.open(listener.account(), listener.id());
+                ledgerCounters.open(listener.account(), listener.id());
             }
         }
 
@@ -714,38 +714,38 @@
         public void setTimeout(long nanos) {
             if (!lifecycle.isEnded()) {
                 deadline = clock.nanos() + nanos;
-                timer = timers.schedule(Math.max(0, nanos), this::timedOut);
+                timer = timers.schedule(Math.max(0, nanos), this::onTimeout);
             }
         }
 
         /** Sets {@code X-Timeout} to the time left now: the request may have waited for its connection. */
-        private void tellDeadline(HttpRequest unsent) {
+        private void updateTimeoutHeader(HttpRequest unsentRequest) {
             if (deadline != Long.MAX_VALUE) {
-                RequestReader.setTimeout(unsent, deadline - clock.nanos());
+                RequestReader.setTimeoutHeader(unsentRequest, deadline - clock.nanos());
             }
         }
 
-        private void withheld() {
+        private void endNotSent() {
             end(Outcome.NOT_SENT, null, null);
         }
 
         /** Requires the attempt to be sent whole within the given time from now; otherwise it ends as failed to connect. */
         public void setSendTimeout(long nanos) {
             if (!lifecycle.isEnded() && isUnsent()) {
-                outBy = clock.nanos() + nanos;
-                loop.schedule(this::notOut, nanos, TimeUnit.NANOSECONDS);
+                sendDeadline = clock.nanos() + nanos;
+                loop.schedule(this::onSendTimeout, nanos, TimeUnit.NANOSECONDS);
             }
         }
 
-        private void notOut() {
+        private void onSendTimeout() {
             if (isUnsent()) {
-                abandon();
+                detachFromConnection();
                 end(Outcome.CONNECT_FAILED, null, null);
             }
         }
 
-        private void written(boolean done, Channel channel) {
-            if (done) {
+        private void onWritten(boolean success, Channel channel) {
+            if (success) {
                 if (!lifecycle.isEnded()) {
                     lifecycle.transitionTo(AttemptState.WRITTEN);
                 }
@@ -755,17 +755,17 @@
             }
         }
 
-        private ResponseSink begun(LoadReport load, long length, ResponseSink.Source source) {
+        private ResponseSink startStreaming(LoadReport load, long length, ResponseSink.Source source) {
             if (lifecycle.isEnded()) {
                 return null;
             }
-            over(Outcome.SERVED);
+            markEnded(Outcome.SERVED);
             return listener.onStreamStarted(this, clock.nanos(), load, length, source);
         }
 
         /** Cancels the attempt; no further byte of it is sent. */
         public void cancel() {
-            abandon();
+            detachFromConnection();
             loop.execute(() -> end(Outcome.CANCELLED, null, null));
         }
 
@@ -788,8 +788,8 @@
             return !lifecycle.mayHaveRun();
         }
 
-        private void timedOut() {
-            abandon();
+        private void onTimeout() {
+            detachFromConnection();
             // A request that no server can have received whole has provably not run.
             end(isUnsent() ? Outcome.CONNECT_FAILED : Outcome.TIMED_OUT, null, null);
         }
@@ -798,7 +798,7 @@
          * Detaches the attempt from its connection. A connection on which the request was begun is closed; one that is still
          * being dialled is kept for other attempts.
          */
-        private void abandon() {
+        private void detachFromConnection() {
             if (!lifecycle.isEnded() && connection != null) {
                 connection.attempt = null;
                 if (lifecycle.isWritingOrWritten()) {
@@ -808,26 +808,26 @@
             }
         }
 
-        private void end(Outcome how, LoadReport load, ByteBuf body) {
+        private void end(Outcome finalOutcome, LoadReport load, ByteBuf body) {
             if (lifecycle.isEnded()) {
                 return;
             }
-            over(how);
-            listener.onAttemptEnded(this, how, clock.nanos(), load, body);
+            markEnded(finalOutcome);
+            listener.onAttemptEnded(this, finalOutcome, clock.nanos(), load, body);
         }
 
-        private void over(Outcome how) {
+        private void markEnded(Outcome finalOutcome) {
             lifecycle.transitionTo(AttemptState.ENDED);
-            outcome = how;
-            if (sheet != null) {
+            outcome = finalOutcome;
+            if (ledgerCounters != null) {
                 openAttempts[listener.account()]--;
-                sheet.end(listener.account(), how, listener.id());
+                ledgerCounters.end(listener.account(), finalOutcome, listener.id());
             }
             if (timer != null) {
                 timer.cancel(false);
             }
             if (upload != null) {
-                upload.to(null);
+                upload.setSink(null);
             }
             ReferenceCountUtil.release(request);
             request = null;
--- a/src/test/java/cinderhollow/http1/ClientServerFaultTest.java
+++ b/src/test/java/cinderhollow/http1/DownstreamConnectionManagerFaultTest.java
@@ -27,18 +27,18 @@
  * Tests that a request that was read is answered although its handling fails, and that a response that ends its connection
  * arrives although the client sends more.
  */
-class ClientServerFaultTest {
-    private static final int PATIENCE_MILLIS = 10_000, SMALL_WINDOW = 4_096;
+class DownstreamConnectionManagerFaultTest {
+    private static final int TIMEOUT_MILLIS = 10_000, RECEIVE_BUFFER_BYTES = 4_096;
     private static final String REQUEST = "GET /x HTTP/1.1\r\nHost: x\r\n\r\n";
 
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final List<String> faults = new CopyOnWriteArrayList<>();
 
-    private interface Handling {
-        void of(DownstreamConnectionManager.Reply reply);
+    private interface RequestHandler {
+        void handle(DownstreamConnectionManager.Reply reply);
     }
 
-    private Socket connect(Handling handling) throws Exception {
+    private Socket connect(RequestHandler handler) throws Exception {
         EventLoop loop = group.next();
         DownstreamConnectionManager server = loop.submit(() -> new DownstreamConnectionManager(loop, Transport.TCP, new GatewayClock(), new EventLoopLag(), 100,
                 new DownstreamConnectionManager.Listener() {
@@ -49,7 +49,7 @@
 
                     @Override
                     public void onRequest(FullHttpRequest request, Upload upload, long arrivedAt, DownstreamConnectionManager.Reply reply) {
-                        handling.of(reply);
+                        handler.handle(reply);
                     }
 
                     @Override
@@ -60,9 +60,9 @@
         server.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0)).sync();
         Socket socket = new Socket();
         // Set before the connect, so that the receive window is small from the first byte on.
-        socket.setReceiveBufferSize(SMALL_WINDOW);
+        socket.setReceiveBufferSize(RECEIVE_BUFFER_BYTES);
         socket.connect(server.address());
-        socket.setSoTimeout(PATIENCE_MILLIS);
+        socket.setSoTimeout(TIMEOUT_MILLIS);
         return socket;
     }
 
@@ -72,7 +72,7 @@
 
     @AfterEach
     void stop() throws Exception {
-        group.shutdownGracefully(0, 100, TimeUnit.MILLISECONDS).await(PATIENCE_MILLIS);
+        group.shutdownGracefully(0, 100, TimeUnit.MILLISECONDS).await(TIMEOUT_MILLIS);
     }
 
     @Test
@@ -93,19 +93,19 @@
     @Test
     void anAnswerThatEndsItsConnectionArrivesThoughMoreLiesUnread() throws Exception {
         int length = 120_000;
-        CountDownLatch asked = new CountDownLatch(1);
+        CountDownLatch requestReceived = new CountDownLatch(1);
         CountDownLatch moreSent = new CountDownLatch(1);
         try (Socket client = connect(reply -> {
-            asked.countDown();
+            requestReceived.countDown();
             try {
-                assertTrue(moreSent.await(PATIENCE_MILLIS, TimeUnit.MILLISECONDS));
+                assertTrue(moreSent.await(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS));
             } catch (InterruptedException e) {
                 throw new IllegalStateException(e);
             }
             reply.respondPlainText(HttpResponseStatus.OK, "x".repeat(length), 0);
         })) {
             send(client, "GET /x HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n");
-            assertTrue(asked.await(PATIENCE_MILLIS, TimeUnit.MILLISECONDS));
+            assertTrue(requestReceived.await(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS));
             send(client, REQUEST);
             moreSent.countDown();
             // The client reads only after the gateway has written the whole response.
