--- a/src/main/java/cinderhollow/cli/Main.java
+++ b/src/main/java/cinderhollow/cli/Main.java
@@ -1,6 +1,6 @@
 package cinderhollow.cli;
 
-import cinderhollow.daemon.Server;
+import cinderhollow.daemon.GatewayDaemon;
 import cinderhollow.sim.Wire;
 import java.io.IOException;
 import java.util.HashMap;
@@ -23,7 +23,7 @@
         String verb = args.length == 1 || operator ? args[0] : "";
         try {
             switch (verb) {
-                case "serve" -> Server.serve(operator ? withOperator(args[2]) : System.getenv());
+                case "serve" -> GatewayDaemon.serve(operator ? withOperator(args[2]) : System.getenv());
                 case "simhost" -> new Wire(System.in, System.out).run();
                 default -> Commands.run(args);
             }
--- a/src/main/java/cinderhollow/cli/RunCommand.java
+++ b/src/main/java/cinderhollow/cli/RunCommand.java
@@ -1,6 +1,6 @@
 package cinderhollow.cli;
 
-import cinderhollow.daemon.Server;
+import cinderhollow.daemon.GatewayDaemon;
 import cinderhollow.daemon.SmallSite;
 import java.io.IOException;
 import java.nio.file.Files;
@@ -53,7 +53,7 @@
             Files.readAllLines(file).stream().map(String::strip).filter(line -> !line.isEmpty() && !line.startsWith("#"))
                     .forEach(all::add);
         }
-        Server.serve(new SmallSite(listen, source.discovery, source.nodes, all, operator));
+        GatewayDaemon.serve(new SmallSite(listen, source.discovery, source.nodes, all, operator));
         return Commands.KEEPS_RUNNING;
     }
 }
--- a/src/main/java/cinderhollow/daemon/Server.java
+++ b/src/main/java/cinderhollow/daemon/GatewayDaemon.java
@@ -17,14 +17,14 @@
 import java.util.function.Consumer;
 
 /** The process that runs a {@link Gateway}: its event loops, start, signal handling and shutdown. */
-public final class Server {
+public final class GatewayDaemon {
     /**
      * Bound on the whole shutdown, and on stopping the event loops, in milliseconds. The platform kills the process no sooner
      * than 3.7 s after SIGTERM where the longest deadline is 3 s.
      */
     private static final long LONGEST_END_MILLIS = 3_600, LOOP_END_MILLIS = 100;
 
-    private Server() { }
+    private GatewayDaemon() { }
 
     /**
      * Starts the gateway that the environment describes and returns once it listens; it then runs until the process is asked
@@ -49,7 +49,7 @@
     }
 
     private static void start(GatewayConfig config, Consumer<Serving> started) {
-        MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(threads(config), NioIoHandler.newFactory());
+        MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(threadCount(config), NioIoHandler.newFactory());
         Serving gateway = open(group, config, System.out::println).join();
         started.accept(gateway);
         // Opened before the warm-up: operators may ask from the start, and are answered that the gateway does not serve yet.
@@ -92,13 +92,13 @@
      * Returns the number of event loop threads: one, or for several gateway loops one more, which accepts connections for
      * them.
      */
-    static int threads(GatewayConfig config) {
+    static int threadCount(GatewayConfig config) {
         return config.scale() == null || config.scale().loops() == 1 ? 1 : config.scale().loops() + 1;
     }
 
     /** Opens one gateway, or one per event loop. They follow discovery and do not accept clients yet. */
     static CompletableFuture<? extends Serving> open(EventLoopGroup group, GatewayConfig config, Consumer<String> log) {
-        return threads(config) == 1 ? Gateway.open(group.next(), config, Transport.TCP, log)
+        return threadCount(config) == 1 ? Gateway.open(group.next(), config, Transport.TCP, log)
                 : Loops.open(group, config, Transport.TCP, log);
     }
 
--- a/src/test/java/cinderhollow/daemon/GatewayFixture.java
+++ b/src/test/java/cinderhollow/daemon/GatewayFixture.java
@@ -112,8 +112,8 @@
         GatewayConfig read = GatewayConfig.read(Json.read(config), new InetSocketAddress("127.0.0.1", 0),
                 discovery.address(), operator)
                 .withDoor(door ? new InetSocketAddress("127.0.0.1", 0) : null);
-        group = new MultiThreadIoEventLoopGroup(Server.threads(read), NioIoHandler.newFactory());
-        gateway = Server.open(group, read, log).get(PATIENCE_MILLIS, TimeUnit.MILLISECONDS);
+        group = new MultiThreadIoEventLoopGroup(GatewayDaemon.threadCount(read), NioIoHandler.newFactory());
+        gateway = GatewayDaemon.open(group, read, log).get(PATIENCE_MILLIS, TimeUnit.MILLISECONDS);
         gateway.listen().get(PATIENCE_MILLIS, TimeUnit.MILLISECONDS);
         address = gateway.address();
         await("ready", () -> get("/ready").firstLine().contains(" 200 "));
