--- a/src/main/java/cinderhollow/daemon/Admin.java
+++ b/src/main/java/cinderhollow/daemon/Admin.java
@@ -56,7 +56,7 @@
     private static final int ORDER_PARTS = 3;
     private static final long LONGEST_ORDER_MILLIS = TimeUnit.DAYS.toMillis(30);
 
-    private final Serving gateway;
+    private final GatewayService gateway;
     /** Epoch of this run of the process: its start time, and a random number that no other run has. */
     private final String epoch = System.currentTimeMillis() + "-" + Long.toHexString(new Random().nextLong());
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1,
@@ -64,7 +64,7 @@
     private final ChannelGroup connections = new DefaultChannelGroup(group.next());
     private final Channel listener;
 
-    private Admin(SocketAddress address, Serving gateway) throws IOException {
+    private Admin(SocketAddress address, GatewayService gateway) throws IOException {
         this.gateway = gateway;
         Path file = address instanceof UnixDomainSocketAddress unix ? unix.getPath() : null;
         if (file != null) {
@@ -86,12 +86,12 @@
      * Starts an admin listener and returns a task that closes it. The return type is a plain one, so that a process without
      * an admin listener loads none of these classes.
      */
-    static Runnable start(SocketAddress address, Serving gateway) {
+    static Runnable start(SocketAddress address, GatewayService gateway) {
         return listen(address, gateway)::close;
     }
 
     /** Starts an admin listener. An address that cannot be bound causes an {@link IllegalArgumentException}. */
-    static Admin listen(SocketAddress address, Serving gateway) {
+    static Admin listen(SocketAddress address, GatewayService gateway) {
         try {
             return new Admin(address, gateway);
         } catch (Exception e) {
@@ -141,7 +141,7 @@
             if (!request.decoderResult().isSuccess()) {
                 answer(ctx, HttpResponseStatus.BAD_REQUEST, "not a readable HTTP request\n");
             } else if (wanted.equals("GET /metrics")) {
-                tell(ctx, gateway.figures().thenCombine(gateway.zones(), (figures, zones) ->
+                tell(ctx, gateway.ledgerMetrics().thenCombine(gateway.zones(), (figures, zones) ->
                         withZones(OpenMetrics.write(figures, epoch), zones)));
             } else if (wanted.equals("POST /ledger/acknowledge")) {
                 tell(ctx, gateway.acknowledge().thenApply(none -> "acknowledged\n"));
--- a/src/main/java/cinderhollow/daemon/Gateway.java
+++ b/src/main/java/cinderhollow/daemon/Gateway.java
@@ -87,7 +87,7 @@
  *
  * <p>Events that occur while the module is handling one are queued, so that an action never re-enters the module.
  */
-final class Gateway implements Actions, Serving {
+final class Gateway implements Actions, GatewayService {
     /** The platform kills the process no sooner than the longest request deadline plus this time after SIGTERM. */
     private static final long KILLED_AFTER_NANOS = TimeUnit.MILLISECONDS.toNanos(700);
     /** Cap on the deadline that counts for the shutdown time: a longer one counts as this. */
@@ -240,7 +240,7 @@
             if (gateway.talk == null) {
                 opened.complete(gateway);
             } else {
-                Serving.tell(opened, gateway.talk.open(), gateway);
+                GatewayService.tell(opened, gateway.talk.open(), gateway);
             }
         });
         return opened;
@@ -373,7 +373,7 @@
                 }
                 loop.schedule(() -> listen(started, listen, attemptsLeft - 1), LISTEN_RETRY_MILLIS, TimeUnit.MILLISECONDS);
             } else {
-                Serving.tell(started, bound, this);
+                GatewayService.tell(started, bound, this);
             }
         });
     }
@@ -384,12 +384,12 @@
     }
 
     @Override
-    public CompletableFuture<Boolean> serves() {
+    public CompletableFuture<Boolean> isServing() {
         return CompletableFuture.supplyAsync(() -> listening && askedForList && !ending, loop);
     }
 
     @Override
-    public CompletableFuture<Standing> standing() {
+    public CompletableFuture<Standing> stats() {
         return CompletableFuture.supplyAsync(() -> {
             Map<String, RequestCounters.Counts> counts = new HashMap<>();
             if (tallies != null) {
@@ -454,7 +454,7 @@
     }
 
     @Override
-    public CompletableFuture<Void> standby(boolean empty) {
+    public CompletableFuture<Void> setStandby(boolean empty) {
         return CompletableFuture.runAsync(() -> {
             standby = empty;
             clients.setStandby(empty);
@@ -475,7 +475,7 @@
      * from any thread.
      */
     @Override
-    public CompletableFuture<Void> end() {
+    public CompletableFuture<Void> shutDown() {
         // Measured from the request to shut down, not from when a busy loop gets to this task: the platform's kill does not
         // wait for the loop.
         long asked = clock.nanos();
@@ -515,7 +515,7 @@
     }
 
     @Override
-    public CompletableFuture<Void> retune(GatewayConfig next) {
+    public CompletableFuture<Void> reconfigure(GatewayConfig next) {
         checkRoutes(next);
         return CompletableFuture.runAsync(() -> {
             if (tallies != null) {
@@ -579,7 +579,7 @@
     }
 
     @Override
-    public CompletableFuture<List<Figures>> figures() {
+    public CompletableFuture<List<Figures>> ledgerMetrics() {
         return CompletableFuture.supplyAsync(() -> ledger == null ? List.of() : List.of(ledger.figures(openNow(),
                 journal == null ? List.of() : journal.earlier(), journal == null ? 0 : journal.lost())), loop);
     }
--- a/src/main/java/cinderhollow/daemon/GatewayDaemon.java
+++ b/src/main/java/cinderhollow/daemon/GatewayDaemon.java
@@ -48,9 +48,9 @@
         System.out.println("ready: " + site);
     }
 
-    private static void start(GatewayConfig config, Consumer<Serving> started) {
+    private static void start(GatewayConfig config, Consumer<GatewayService> started) {
         MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(threadCount(config), NioIoHandler.newFactory());
-        Serving gateway = open(group, config, System.out::println).join();
+        GatewayService gateway = open(group, config, System.out::println).join();
         started.accept(gateway);
         // Opened before the warm-up: operators may ask from the start, and are answered that the gateway does not serve yet.
         Runnable endOfDoor = config.door() == null ? null : Operations.open(group, config.door(), gateway);
@@ -76,7 +76,7 @@
         }
     }
 
-    private static void listen(Serving gateway, Thread ends) {
+    private static void listen(GatewayService gateway, Thread ends) {
         // Registered before clients can connect: otherwise a SIGTERM right after listening would end the process with
         // requests unanswered.
         Runtime.getRuntime().addShutdownHook(ends);
@@ -97,7 +97,7 @@
     }
 
     /** Opens one gateway, or one per event loop. They follow discovery and do not accept clients yet. */
-    static CompletableFuture<? extends Serving> open(EventLoopGroup group, GatewayConfig config, Consumer<String> log) {
+    static CompletableFuture<? extends GatewayService> open(EventLoopGroup group, GatewayConfig config, Consumer<String> log) {
         return threadCount(config) == 1 ? Gateway.open(group.next(), config, Transport.TCP, log)
                 : Loops.open(group, config, Transport.TCP, log);
     }
@@ -118,9 +118,9 @@
         }
     }
 
-    private static void end(Serving gateway, EventLoopGroup group, Runnable endOfAdmin, Runnable endOfDoor) {
+    private static void end(GatewayService gateway, EventLoopGroup group, Runnable endOfAdmin, Runnable endOfDoor) {
         try {
-            gateway.end().get(LONGEST_END_MILLIS, TimeUnit.MILLISECONDS);
+            gateway.shutDown().get(LONGEST_END_MILLIS, TimeUnit.MILLISECONDS);
             if (endOfAdmin != null) {
                 endOfAdmin.run();
             }
--- a/src/main/java/cinderhollow/daemon/Serving.java
+++ b/src/main/java/cinderhollow/daemon/GatewayService.java
@@ -13,7 +13,7 @@
 /**
  * The control interface of a process's gateway, on one event loop or on several. All methods may be called from any thread.
  */
-interface Serving {
+interface GatewayService {
     /** Starts to accept clients. The future completes once the gateway listens, or exceptionally if it cannot. */
     CompletableFuture<?> listen();
 
@@ -33,13 +33,13 @@
     }
 
     /** Returns whether client requests are accepted. */
-    CompletableFuture<Boolean> serves();
+    CompletableFuture<Boolean> isServing();
 
     /** Returns the statistics for the operators' socket, all taken at one instant. */
-    CompletableFuture<Standing> standing();
+    CompletableFuture<Standing> stats();
 
     /** Turns standby on (clients are sent to other gateways) or off; nothing else changes. */
-    CompletableFuture<Void> standby(boolean empty);
+    CompletableFuture<Void> setStandby(boolean empty);
 
     /** Returns a snapshot of what this gateway has learned, for a successor process. */
     CompletableFuture<Snapshot> snapshot();
@@ -54,10 +54,10 @@
     InetSocketAddress address();
 
     /** Shuts down gracefully: answers every accepted request, then completes the future. */
-    CompletableFuture<Void> end();
+    CompletableFuture<Void> shutDown();
 
     /** Returns the ledger figures of each event loop; empty where no ledger is kept. */
-    CompletableFuture<List<Figures>> figures();
+    CompletableFuture<List<Figures>> ledgerMetrics();
 
     /** Marks the ledger breaches found so far as seen, so that they are no longer reported as new. */
     CompletableFuture<Void> acknowledge();
@@ -68,7 +68,7 @@
      * The future completes once the configuration is in force. For a configuration that cannot be applied there is an {@link
      * IllegalArgumentException}, and nothing has changed.
      */
-    CompletableFuture<Void> retune(GatewayConfig next);
+    CompletableFuture<Void> reconfigure(GatewayConfig next);
 
     /** Returns the state of the fleet's zones, or null where this gateway has no peers. */
     CompletableFuture<ZoneStanding> zones();
--- a/src/main/java/cinderhollow/daemon/Handover.java
+++ b/src/main/java/cinderhollow/daemon/Handover.java
@@ -45,7 +45,7 @@
      * Offers this gateway's snapshot in the directory from now on, in place of any earlier offer. A failure is logged in one
      * line; a later upgrade then starts without a snapshot.
      */
-    static ChannelFuture offer(EventLoop loop, Path folder, Serving gateway, Consumer<String> log) {
+    static ChannelFuture offer(EventLoop loop, Path folder, GatewayService gateway, Consumer<String> log) {
         Path own = folder.resolve(NAME + "-" + ProcessHandle.current().pid() + "-" + System.nanoTime());
         return new ServerBootstrap().group(loop).channel(NioServerDomainSocketChannel.class)
                 .handler(new AcceptErrorHandler()).childHandler(new ChannelInitializer<Channel>() {
@@ -68,11 +68,11 @@
 
     /** Connection handler in the process that serves. */
     private static final class Predecessor extends SimpleChannelInboundHandler<ByteBuf> {
-        private final Serving gateway;
+        private final GatewayService gateway;
         private final Consumer<String> log;
         private boolean succeeded;
 
-        Predecessor(Serving gateway, Consumer<String> log) {
+        Predecessor(GatewayService gateway, Consumer<String> log) {
             this.gateway = gateway;
             this.log = log;
         }
@@ -117,7 +117,7 @@
      * Takes over the snapshot that a process offers in the directory. Returns when this gateway has restored it, or when
      * there is none, which makes this an ordinary start. The returned task tells the predecessor that this process serves.
      */
-    static Runnable takeOver(EventLoop loop, Path folder, Serving gateway, Consumer<String> log) {
+    static Runnable takeOver(EventLoop loop, Path folder, GatewayService gateway, Consumer<String> log) {
         Path path = folder.resolve(NAME);
         Successor successor = new Successor();
         if (Files.exists(path)) {
--- a/src/main/java/cinderhollow/daemon/Loops.java
+++ b/src/main/java/cinderhollow/daemon/Loops.java
@@ -22,7 +22,7 @@
  * the listener and the endpoint list, which the first one follows for all. The policy's limits, trials and cold budgets
  * depend on the number of gateways, and each loop counts as one.
  */
-final class Loops implements Serving {
+final class Loops implements GatewayService {
     private final List<Gateway> gateways;
     private final SocketAddress listen;
     /** Null where each loop has its own listener. */
@@ -42,7 +42,7 @@
      * Opens the gateways, like {@link Gateway#open}. The group has one loop more than there are gateways, which accepts
      * connections.
      */
-    static CompletableFuture<Serving> open(EventLoopGroup group, GatewayConfig config, Transport transport,
+    static CompletableFuture<GatewayService> open(EventLoopGroup group, GatewayConfig config, Transport transport,
                                            Consumer<String> log) {
         List<CompletableFuture<Gateway>> opened = new ArrayList<>();
         for (int i = 0; i < config.scale().loops(); i++) {
@@ -74,7 +74,7 @@
             return gateways.get(0).listen().thenCompose(first -> all(gateways.stream().skip(1)
                     .map(gateway -> gateway.listen(first.address())).toList()));
         }
-        return Serving.tell(new CompletableFuture<>(), inherited == null ? acceptor.listen(listen)
+        return GatewayService.tell(new CompletableFuture<>(), inherited == null ? acceptor.listen(listen)
                 : acceptor.listen(inherited.listener(), inherited.first()), this);
     }
 
@@ -88,35 +88,35 @@
      * accepting.
      */
     @Override
-    public CompletableFuture<Void> end() {
+    public CompletableFuture<Void> shutDown() {
         if (acceptor != null) {
             gateways.forEach(gateway -> gateway.stopsWith(acceptor));
         }
-        return all(gateways.stream().map(Gateway::end).toList());
+        return all(gateways.stream().map(Gateway::shutDown).toList());
     }
 
     @Override
-    public CompletableFuture<List<Figures>> figures() {
-        List<CompletableFuture<List<Figures>>> each = gateways.stream().map(Gateway::figures).toList();
+    public CompletableFuture<List<Figures>> ledgerMetrics() {
+        List<CompletableFuture<List<Figures>>> each = gateways.stream().map(Gateway::ledgerMetrics).toList();
         return all(each).thenApply(none -> each.stream().flatMap(figures -> figures.join().stream()).toList());
     }
 
     /** All loops must be serving: the endpoint list reaches the first loop first. */
     @Override
-    public CompletableFuture<Boolean> serves() {
-        List<CompletableFuture<Boolean>> each = gateways.stream().map(Gateway::serves).toList();
+    public CompletableFuture<Boolean> isServing() {
+        List<CompletableFuture<Boolean>> each = gateways.stream().map(Gateway::isServing).toList();
         return all(each).thenApply(none -> listening && each.stream().allMatch(CompletableFuture::join));
     }
 
     @Override
-    public CompletableFuture<Standing> standing() {
-        List<CompletableFuture<Standing>> each = gateways.stream().map(Gateway::standing).toList();
+    public CompletableFuture<Standing> stats() {
+        List<CompletableFuture<Standing>> each = gateways.stream().map(Gateway::stats).toList();
         return all(each).thenApply(none -> each.stream().map(CompletableFuture::join).reduce(Standing::plus).orElseThrow());
     }
 
     @Override
-    public CompletableFuture<Void> standby(boolean empty) {
-        return all(gateways.stream().map(gateway -> gateway.standby(empty)).toList());
+    public CompletableFuture<Void> setStandby(boolean empty) {
+        return all(gateways.stream().map(gateway -> gateway.setStandby(empty)).toList());
     }
 
     /** Returns the first loop's snapshot: what one loop has learned is valid for each loop of the successor. */
@@ -142,10 +142,10 @@
 
     /** Each loop applies the configuration at its own instant, since they share no request. */
     @Override
-    public CompletableFuture<Void> retune(GatewayConfig next) {
+    public CompletableFuture<Void> reconfigure(GatewayConfig next) {
         gateways.forEach(gateway -> gateway.checkRoutes(next));
         return all(IntStream.range(0, gateways.size())
-                .mapToObj(i -> gateways.get(i).retune(next.loop(i))).toList());
+                .mapToObj(i -> gateways.get(i).reconfigure(next.loop(i))).toList());
     }
 
     /** Returns the first loop's state: a gateway with several event loops has no peers. */
--- a/src/main/java/cinderhollow/daemon/Operations.java
+++ b/src/main/java/cinderhollow/daemon/Operations.java
@@ -15,21 +15,21 @@
      * Opens the operators' socket for this gateway and returns a task that closes it. An address that cannot be bound causes
      * an {@link IllegalArgumentException}, which fails the start.
      */
-    static Runnable open(EventLoopGroup group, SocketAddress address, Serving gateway) {
+    static Runnable open(EventLoopGroup group, SocketAddress address, GatewayService gateway) {
         Door door = new Door(group.next(), new Desk() {
             @Override
             public CompletableFuture<Boolean> serves() {
-                return gateway.serves();
+                return gateway.isServing();
             }
 
             @Override
             public CompletableFuture<Standing> standing() {
-                return gateway.standing();
+                return gateway.stats();
             }
 
             @Override
             public CompletableFuture<Void> standby(boolean empty) {
-                return gateway.standby(empty);
+                return gateway.setStandby(empty);
             }
         }, Gateway.DOOR_DESCRIPTORS - 1);
         Throwable fault = door.open(address).awaitUninterruptibly().cause();
--- a/src/main/java/cinderhollow/daemon/Reload.java
+++ b/src/main/java/cinderhollow/daemon/Reload.java
@@ -10,12 +10,12 @@
  */
 final class Reload {
     private final Map<String, String> environment;
-    private final Serving gateway;
+    private final GatewayService gateway;
     /** The configuration file that is in force. */
     private Json running;
 
     /** Creates the reload of a gateway that was started from this environment and this file. */
-    Reload(Map<String, String> environment, Json running, Serving gateway) {
+    Reload(Map<String, String> environment, Json running, GatewayService gateway) {
         this.environment = environment;
         this.running = running;
         this.gateway = gateway;
@@ -35,7 +35,7 @@
             }
             GatewayConfig config = GatewayConfig.read(next, null, EndpointList.parseAddress(discovery),
                     environment.get("LB_OPERATOR"));
-            gateway.retune(config).join();
+            gateway.reconfigure(config).join();
             running = next;
         } catch (IllegalArgumentException e) {
             System.err.println("cinderhollow: reload rejected, the old configuration stays in force: " + e.getMessage());
--- a/src/test/java/cinderhollow/daemon/AdminTest.java
+++ b/src/test/java/cinderhollow/daemon/AdminTest.java
@@ -54,7 +54,7 @@
             String shown = AdminClient.totals(List.of(text(admin))).table();
             assertTrue(shown.contains(" 10 "), shown);
             assertTrue(shown.endsWith("all adds up"), shown);
-            assertEquals(2, f.gateway.figures().join().size());
+            assertEquals(2, f.gateway.ledgerMetrics().join().size());
         }
     }
 
@@ -171,7 +171,7 @@
     void aScrapeDuringTheEndIsAnswered() throws Exception {
         try (ScriptedHost a = host(); GatewayFixture f = gateway("", a); Admin admin = onAnyPort(f)) {
             f.client().ask(status("r", LONG_MILLIS));
-            var ended = f.gateway.end();
+            var ended = f.gateway.shutDown();
             assertTrue(AdminClient.totals(List.of(text(admin))).table().endsWith("all adds up"));
             await("the end", ended::isDone);
             assertTrue(AdminClient.totals(List.of(text(admin))).table().endsWith("all adds up"));
--- a/src/test/java/cinderhollow/daemon/EndCrossingsTest.java
+++ b/src/test/java/cinderhollow/daemon/EndCrossingsTest.java
@@ -47,7 +47,7 @@
             Client kept = f.client();
             kept.ask(status("before", LONG_MILLIS));
             Client silent = f.client();
-            CompletableFuture<Void> ended = f.gateway.end();
+            CompletableFuture<Void> ended = f.gateway.shutDown();
             await("the end's begin", () -> f.get("/ready").firstLine().contains(" 503 "));
             Runnable goOn = f.holdLoopAtItsSockets();
             Client backlog = f.client();
@@ -169,7 +169,7 @@
                 client.write(status("r" + i, LONG_MILLIS));
             }
             await("all are answered", () -> host.requests.size() == many && f.open() == 0);
-            CompletableFuture<Void> ended = f.gateway.end();
+            CompletableFuture<Void> ended = f.gateway.shutDown();
             await("the listener's end", () -> !accepts(f));
             for (int i = 0; i < many; i++) {
                 Message answer = client.read();
@@ -221,7 +221,7 @@
             Client before = f.client();
             before.write(submit("before", LONG_MILLIS, "x"));
             await("the request", () -> host.requests.size() == 1);
-            CompletableFuture<Void> ended = f.gateway.end();
+            CompletableFuture<Void> ended = f.gateway.shutDown();
             await("the end's begin", () -> f.get("/ready").firstLine().contains(" 503 "));
             Client after = f.client();
             after.write(submit("after", LONG_MILLIS, "x"));
@@ -242,7 +242,7 @@
             client.write(submit("r", LONG_MILLIS, "x"));
             await("the request", () -> host.requests.size() == 1);
             Runnable goOn = f.holdLoop();
-            CompletableFuture<Void> ended = f.gateway.end();
+            CompletableFuture<Void> ended = f.gateway.shutDown();
             lieUnread(3_400);
             goOn.run();
             // If the time were counted from the notification of the loop, the answer would come 3.5 s later.
@@ -260,7 +260,7 @@
             half.write("POST /submit HTTP/1.1\r\nHost: x\r\nX-Request-ID: r\r\nContent-Length: 10000000\r\n\r\n");
             half.write("x".repeat(1_000_000));
             await("the request", () -> f.open() == 1);
-            CompletableFuture<Void> ended = f.gateway.end();
+            CompletableFuture<Void> ended = f.gateway.shutDown();
             // The client keeps sending, so that the time-out for silence does not end the request before the process ends.
             CompletableFuture<Message> answered = CompletableFuture.supplyAsync(() -> {
                 try {
--- a/src/test/java/cinderhollow/daemon/EndStagesTest.java
+++ b/src/test/java/cinderhollow/daemon/EndStagesTest.java
@@ -54,7 +54,7 @@
                 if (stage == Stage.HALF_ANSWERED) {
                     ScriptedHost.write(out, head + ANSWER.substring(0, 100_000));
                 }
-                ended = f.gateway.end();
+                ended = f.gateway.shutDown();
                 if (!answers) {
                     client.write(stage == Stage.HALF_READ ? request.substring(1_000) : request);
                 } else {
@@ -75,7 +75,7 @@
         f.get("/ready");
         Runnable goOn = f.holdLoop();
         client.write(request);
-        CompletableFuture<Void> ended = f.gateway.end();
+        CompletableFuture<Void> ended = f.gateway.shutDown();
         // As long as the gateway would accept requests: what is unread by then must not be closed with the idle connections.
         long asked = System.nanoTime();
         Await.until("it has lain unread", () -> System.nanoTime() - asked > TimeUnit.MILLISECONDS.toNanos(1_200));
--- a/src/test/java/cinderhollow/daemon/GatewayFixture.java
+++ b/src/test/java/cinderhollow/daemon/GatewayFixture.java
@@ -49,7 +49,7 @@
     private final MultiThreadIoEventLoopGroup group;
     private final List<Socket> clients = new ArrayList<>();
     private final ScriptedHost ownDiscovery;
-    final Serving gateway;
+    final GatewayService gateway;
     private final InetSocketAddress address;
 
     /** Starts a gateway whose list has these servers, all of them up for a long time, and whose discovery reports no changes. */
@@ -173,7 +173,7 @@
 
     /** Returns the number of requests that the gateway has accepted and not ended. */
     long open() {
-        return gateway.standing().join().open();
+        return gateway.stats().join().open();
     }
 
     static String entry(String name, ScriptedHost host, String status, long sinceMillis) {
--- a/src/test/java/cinderhollow/daemon/GatewayTest.java
+++ b/src/test/java/cinderhollow/daemon/GatewayTest.java
@@ -259,7 +259,7 @@
             Client open = f.client();
             open.write(submit("r", LONG_MILLIS, "x"));
             Socket socket = held.get(PATIENCE_MILLIS, TimeUnit.MILLISECONDS);
-            CompletableFuture<Void> ended = f.gateway.end();
+            CompletableFuture<Void> ended = f.gateway.shutDown();
             assertNull(idle.read(), "an idle connection is closed");
             assertFalse(ended.isDone(), "a request is still held");
             SERVES.answer(socket, null);
@@ -276,7 +276,7 @@
         try (ScriptedHost host = new ScriptedHost(SERVES); GatewayFixture f = GatewayFixture.knowing(host)) {
             Client client = f.client();
             client.ask(status("before", LONG_MILLIS));
-            CompletableFuture<Void> ended = f.gateway.end();
+            CompletableFuture<Void> ended = f.gateway.shutDown();
             await("the end's begin", () -> f.get("/ready").firstLine().contains(" 503 "));
             Message answer = client.ask(status("after", LONG_MILLIS));
             assertTrue(answer.firstLine().contains(" 200 "));
--- a/src/test/java/cinderhollow/daemon/HandoverTest.java
+++ b/src/test/java/cinderhollow/daemon/HandoverTest.java
@@ -75,7 +75,7 @@
             for (int i = 0; i < 20; i++) {
                 old.client().ask(status("r" + i, LONG_MILLIS));
             }
-            old.gateway.standby(true).get(PATIENCE_MILLIS, TimeUnit.MILLISECONDS);
+            old.gateway.setStandby(true).get(PATIENCE_MILLIS, TimeUnit.MILLISECONDS);
             offer(old);
             Runnable serves = takeOver(next);
             assertTrue(logged("took over"), log.toString());
--- a/src/test/java/cinderhollow/daemon/LedgerOnSocketsTest.java
+++ b/src/test/java/cinderhollow/daemon/LedgerOnSocketsTest.java
@@ -194,7 +194,7 @@
                 client.write(submit("c" + i, LONG_MILLIS, "x"));
             }
             await("all requests at hosts", () -> asked.size() == clients);
-            CompletableFuture<Void> ended = f.gateway.end();
+            CompletableFuture<Void> ended = f.gateway.shutDown();
             for (int i = 0; i < clients; i += 2) {
                 all.get(i).socket.close();
             }
--- a/src/test/java/cinderhollow/daemon/LoopsTest.java
+++ b/src/test/java/cinderhollow/daemon/LoopsTest.java
@@ -130,7 +130,7 @@
             Runnable goOn = f.holdLoop(3);
             Client client = f.client();
             client.write(status("r", LONG_MILLIS));
-            CompletableFuture<Void> ended = f.gateway.end();
+            CompletableFuture<Void> ended = f.gateway.shutDown();
             long begin = System.nanoTime();
             await("the others' end", () -> System.nanoTime() - begin > TimeUnit.MILLISECONDS.toNanos(1_500));
             assertFalse(ended.isDone());
@@ -180,7 +180,7 @@
                 int sent = i + 1;
                 await("request " + i + " at the host", () -> asked.size() == sent);
             }
-            CompletableFuture<Void> ended = f.gateway.end();
+            CompletableFuture<Void> ended = f.gateway.shutDown();
             assertTrue(f.get("/ready").firstLine().contains("503"), "the probe is told, on whichever loop");
             assertFalse(ended.isDone());
             for (Socket socket : asked) {
--- a/src/test/java/cinderhollow/daemon/RetuningTest.java
+++ b/src/test/java/cinderhollow/daemon/RetuningTest.java
@@ -107,7 +107,7 @@
     }
 
     private static Standing standing(GatewayFixture f) throws Exception {
-        return f.gateway.standing().get(PATIENCE_MILLIS, TimeUnit.MILLISECONDS);
+        return f.gateway.stats().get(PATIENCE_MILLIS, TimeUnit.MILLISECONDS);
     }
 
     /** One class is added and one is removed while it has an open request; the next file adds it again. */
--- a/src/test/java/cinderhollow/daemon/StandbyTest.java
+++ b/src/test/java/cinderhollow/daemon/StandbyTest.java
@@ -22,11 +22,11 @@
 /** Standby and return to active: connections of clients are closed and accepted again; and the counts that operators read. */
 class StandbyTest {
     private static Standing standing(GatewayFixture f) throws Exception {
-        return f.gateway.standing().get(PATIENCE_MILLIS, TimeUnit.MILLISECONDS);
+        return f.gateway.stats().get(PATIENCE_MILLIS, TimeUnit.MILLISECONDS);
     }
 
     private static void standby(GatewayFixture f, boolean empty) throws Exception {
-        f.gateway.standby(empty).get(PATIENCE_MILLIS, TimeUnit.MILLISECONDS);
+        f.gateway.setStandby(empty).get(PATIENCE_MILLIS, TimeUnit.MILLISECONDS);
     }
 
     @Test
@@ -86,13 +86,13 @@
         try (ScriptedHost host = new ScriptedHost(ScriptedHost.reply("200 OK", "fine"));
                 GatewayFixture f = GatewayFixture.asked(host)) {
             standby(f, true);
-            assertEquals(true, f.gateway.serves().get(PATIENCE_MILLIS, TimeUnit.MILLISECONDS), "it can serve, and is kept empty");
+            assertEquals(true, f.gateway.isServing().get(PATIENCE_MILLIS, TimeUnit.MILLISECONDS), "it can serve, and is kept empty");
             Client late = f.client();
             assertEquals("close", late.ask(status("s1", LONG_MILLIS)).header("Connection"), "a later connection is served");
-            CompletableFuture<Void> ended = f.gateway.end();
+            CompletableFuture<Void> ended = f.gateway.shutDown();
             standby(f, false);
             assertTrue(f.get("/ready").firstLine().contains(" 503 "), "active does not cancel a shutdown");
-            assertEquals(false, f.gateway.serves().get(PATIENCE_MILLIS, TimeUnit.MILLISECONDS));
+            assertEquals(false, f.gateway.isServing().get(PATIENCE_MILLIS, TimeUnit.MILLISECONDS));
             ended.get(PATIENCE_MILLIS, TimeUnit.MILLISECONDS);
             assertEquals(1, standing(f).operations().get("status").fulfilled(), "counts are readable to the end");
         }
