--- a/src/main/java/cinderhollow/daemon/Gateway.java
+++ b/src/main/java/cinderhollow/daemon/Gateway.java
@@ -575,7 +575,7 @@
 
     /** Checks the ledger and logs new breaches. Runs as a task of its own, between events, when no update is half done. */
     private void compareAccounts() {
-        newBreaches().forEach(breach -> log(breach.toString()));
+        findNewBreaches().forEach(breach -> log(breach.toString()));
     }
 
     @Override
@@ -609,7 +609,7 @@
     }
 
     /** Checks the ledger and returns the breaches not seen before. Runs on the loop's thread, as a task of its own. */
-    List<Breach> newBreaches() {
+    List<Breach> findNewBreaches() {
         return ledger.check(openNow());
     }
 
--- a/src/test/java/cinderhollow/daemon/AdminTest.java
+++ b/src/test/java/cinderhollow/daemon/AdminTest.java
@@ -65,7 +65,7 @@
             Gateway gateway = (Gateway) f.gateway;
             f.loops().get(0).submit(() -> {
                 gateway.ledger().sheet(Place.CORE).end(0, End.SERVED, "twice");
-                gateway.newBreaches();
+                gateway.findNewBreaches();
             }).sync();
             List<String> address = List.of(text(admin));
             assertTrue(AdminClient.totals(address).table().contains(" 2 breaches"));
--- a/src/test/java/cinderhollow/daemon/LedgerOnSocketsTest.java
+++ b/src/test/java/cinderhollow/daemon/LedgerOnSocketsTest.java
@@ -69,7 +69,7 @@
 
     /** Asserts that all sums balance now, and that no breach was found before. */
     private static void assertAddsUp(GatewayFixture f) {
-        assertEquals(List.of(), onLoop(f, ((Gateway) f.gateway)::newBreaches));
+        assertEquals(List.of(), onLoop(f, ((Gateway) f.gateway)::findNewBreaches));
         assertEquals(0, onLoop(f, () -> ledger(f).breaches()));
     }
 
