--- a/src/main/java/cinderhollow/daemon/Gateway.java
+++ b/src/main/java/cinderhollow/daemon/Gateway.java
@@ -163,7 +163,7 @@
     /** Null where the list is small and applied as it is received. */
     private EndpointListDiffer changes;
     /** Applies the portions of {@link #changes}. */
-    private InTurn portions;
+    private IncrementalTask portions;
     /** The listener shared by all loops, which stops with this gateway; null where each loop has its own. */
     private Acceptor acceptor;
     private int sharers;
@@ -260,7 +260,7 @@
             follow(new EndpointListDiffer(new Subset(config.scale().place())));
             loop.scheduleAtFixedRate(() -> {
                 changes.tick(clock.nanos());
-                portions.goOn();
+                portions.resume();
             }, 1, 1, TimeUnit.SECONDS);
             changes.add(known);
             changes.takeAll().forEach(this::take);
@@ -773,7 +773,7 @@
         listIndex = list.index();
         if (changes != null) {
             changes.add(list);
-            portions.goOn();
+            portions.resume();
             return;
         }
         if (list.endpoints().size() > LARGE_LIST) {
@@ -789,7 +789,7 @@
     /** Applies changes of the list in portions from now on. */
     private void follow(EndpointListDiffer list) {
         changes = list;
-        portions = new InTurn(loop, list::hasPending, this::takeNext);
+        portions = new IncrementalTask(loop, list::hasPending, this::takeNext);
     }
 
     private void takeNext() {
--- a/src/main/java/cinderhollow/daemon/InTurn.java
+++ b/src/main/java/cinderhollow/daemon/IncrementalTask.java
@@ -9,7 +9,7 @@
  * One queued task per step would not do: the loop runs all tasks that are due before it polls; hence the short delay between
  * steps. Used only on the loop's thread.
  */
-final class InTurn {
+final class IncrementalTask {
     private static final long PAUSE_MILLIS = 1;
 
     private final EventLoop loop;
@@ -18,20 +18,20 @@
     private boolean due;
 
     /** Creates the task; it runs {@code step} repeatedly for as long as {@code hasWork} returns true. */
-    InTurn(EventLoop loop, BooleanSupplier waits, Runnable step) {
+    IncrementalTask(EventLoop loop, BooleanSupplier waits, Runnable step) {
         this.loop = loop;
         this.waits = waits;
         this.step = step;
     }
 
     /** Runs the next step now, or when it is due if one is already scheduled. */
-    void goOn() {
+    void resume() {
         if (!due && waits.getAsBoolean()) {
             due = true;
             // Scheduled before the step runs, so that a step that throws does not stop all later ones.
             loop.schedule(() -> {
                 due = false;
-                goOn();
+                resume();
             }, PAUSE_MILLIS, TimeUnit.MILLISECONDS);
             step.run();
         }
--- a/src/test/java/cinderhollow/daemon/InTurnTest.java
+++ b/src/test/java/cinderhollow/daemon/InTurnTest.java
@@ -47,12 +47,12 @@
                     }
                 }).bind(InetAddress.getLoopbackAddress(), 0).sync().channel().localAddress();
         try (Socket client = new Socket(address.getAddress(), address.getPort())) {
-            InTurn work = new InTurn(loop, () -> steps.get() < STEPS, () -> {
+            IncrementalTask work = new IncrementalTask(loop, () -> steps.get() < STEPS, () -> {
                 if (steps.getAndIncrement() == 0) {
                     write(client);
                 }
             });
-            loop.execute(work::goOn);
+            loop.execute(work::resume);
             Await.until("all steps", () -> steps.get() == STEPS);
             assertTrue(stepsAtRead.get() < STEPS, "read after all steps");
         }
@@ -60,13 +60,13 @@
 
     @Test
     void aStepThatFailsIsNotTheEndOfTheOthersAndNoneIsDoneTwice() throws Exception {
-        InTurn work = new InTurn(loop, () -> steps.get() < STEPS, () -> {
+        IncrementalTask work = new IncrementalTask(loop, () -> steps.get() < STEPS, () -> {
             if (steps.getAndIncrement() % 2 == 0) {
                 throw new IllegalStateException("made up");
             }
         });
         for (int i = 0; i < 3; i++) {
-            loop.execute(work::goOn);
+            loop.execute(work::resume);
         }
         Await.until("all steps", () -> steps.get() == STEPS);
         loop.submit(() -> { }).sync();
