--- a/src/main/java/cinderhollow/daemon/GatewayConfig.java
+++ b/src/main/java/cinderhollow/daemon/GatewayConfig.java
@@ -35,7 +35,7 @@
 record GatewayConfig(SocketAddress listen, SocketAddress discovery, long seed, int sockets,
                      long dialTimeoutNanos, long idleNanos, Settings settings, EndpointList known, List<Route> routes,
                      Scale scale, Bookkeeping bookkeeping, SocketAddress admin, Peering peering,
-                     SocketAddress door, Inherited inherited) {
+                     SocketAddress door, InheritedListener inherited) {
     private static final int USUAL_SOCKETS = 1024;
     private static final long LOOP_SEED = 0x9e3779b97f4a7c15L;
 
@@ -88,7 +88,7 @@
             throw new IllegalArgumentException("LB_INHERITED_FD gives one listener, the operator's file wants one per loop");
         }
         return new GatewayConfig(listen, discovery, seed, sockets, dialTimeoutNanos, idleNanos, settings, known, routes,
-                scale, bookkeeping, admin, peering, door, Inherited.take(descriptor, folder));
+                scale, bookkeeping, admin, peering, door, InheritedListener.take(descriptor, folder));
     }
 
     /**
--- a/src/main/java/cinderhollow/daemon/Inherited.java
+++ b/src/main/java/cinderhollow/daemon/InheritedListener.java
@@ -16,12 +16,12 @@
  * @param first connection that was accepted while the socket was checked, or null
  * @param folder directory in which the two processes of an upgrade find each other, or null
  */
-record Inherited(ServerSocketChannel listener, SocketChannel first, Path folder) {
+record InheritedListener(ServerSocketChannel listener, SocketChannel first, Path folder) {
     /**
      * Adopts the file descriptor of this number. An invalid one, or one that does not listen, causes an {@link
      * IllegalArgumentException}.
      */
-    static Inherited take(String descriptor, String folder) {
+    static InheritedListener take(String descriptor, String folder) {
         if (!descriptor.equals("0")) {
             throw new IllegalArgumentException("LB_INHERITED_FD names descriptor '" + descriptor
                     + "', and only 0 can be taken over");
@@ -33,7 +33,7 @@
             }
             listener.configureBlocking(false);
             // Accepting is the only way to find out whether the socket listens: the call fails if it does not.
-            return new Inherited(listener, listener.accept(), folder == null ? null : Path.of(folder));
+            return new InheritedListener(listener, listener.accept(), folder == null ? null : Path.of(folder));
         } catch (IOException e) {
             throw new IllegalArgumentException("LB_INHERITED_FD names descriptor 0, which can't accept: " + e.getMessage(), e);
         }
--- a/src/main/java/cinderhollow/daemon/Loops.java
+++ b/src/main/java/cinderhollow/daemon/Loops.java
@@ -27,7 +27,7 @@
     private final SocketAddress listen;
     /** Null where each loop has its own listener. */
     private final Acceptor acceptor;
-    private final Inherited inherited;
+    private final InheritedListener inherited;
     private volatile boolean listening;
 
     private Loops(List<Gateway> gateways, GatewayConfig config, EventLoop accepting) {
--- a/src/test/java/cinderhollow/cli/StartTest.java
+++ b/src/test/java/cinderhollow/cli/StartTest.java
@@ -71,7 +71,7 @@
                 || line.contains("HdrHistogram") || line.contains("tomlj") || line.contains("antlr")
                 || line.contains("cinderhollow.ledger.") || line.contains("cinderhollow.ops.")
                 || line.contains("cinderhollow.handover.") || line.contains("cinderhollow.daemon.Handover")
-                || line.contains("cinderhollow.daemon.Inherited")
+                || line.contains("cinderhollow.daemon.InheritedListener")
                 || line.contains("cinderhollow.core.RequestCounters")
                 || line.contains("cinderhollow.daemon.Admin") || line.contains("cinderhollow.daemon.Journal")
                 || line.contains("cinderhollow.daemon.Lives") || line.contains(" org.jctools.")
