--- a/src/main/java/cinderhollow/daemon/GatewayConfig.java
+++ b/src/main/java/cinderhollow/daemon/GatewayConfig.java
@@ -34,7 +34,7 @@
  */
 record GatewayConfig(SocketAddress listen, SocketAddress discovery, long seed, int sockets,
                      long dialTimeoutNanos, long idleNanos, Settings settings, EndpointList known, List<Route> routes,
-                     Scale scale, Bookkeeping bookkeeping, SocketAddress admin, Peering peering,
+                     Scale scale, LoopLedgerConfig bookkeeping, SocketAddress admin, Peering peering,
                      SocketAddress door, InheritedListener inherited) {
     private static final int USUAL_SOCKETS = 1024;
     private static final long LOOP_SEED = 0x9e3779b97f4a7c15L;
--- a/src/main/java/cinderhollow/daemon/Journal.java
+++ b/src/main/java/cinderhollow/daemon/Journal.java
@@ -81,7 +81,7 @@
     private static final long RETRY_NANOS = TimeUnit.SECONDS.toNanos(1);
 
     private final EventLoop loop;
-    private final Bookkeeping setting;
+    private final LoopLedgerConfig setting;
     private final Disk disk;
     private final Ledger ledger;
     private final Held held;
@@ -115,7 +115,7 @@
     private volatile boolean ending;
     private volatile long lostThere;
 
-    private Journal(EventLoop loop, Bookkeeping setting, Disk disk, Ledger ledger, Lives lives, Held held,
+    private Journal(EventLoop loop, LoopLedgerConfig setting, Disk disk, Ledger ledger, Lives lives, Held held,
                     Consumer<String> log, FileChannel lock) {
         this.lock = lock;
         this.loop = loop;
@@ -133,7 +133,7 @@
     /**
      * Reads the journals of earlier runs and opens a new one. Returns null, with a log line, if the directory cannot be used.
      */
-    static Journal open(EventLoop loop, Bookkeeping setting, Disk disk, Ledger ledger, Held held, Consumer<String> log) {
+    static Journal open(EventLoop loop, LoopLedgerConfig setting, Disk disk, Ledger ledger, Held held, Consumer<String> log) {
         FileChannel lock = null;
         try {
             lock = lock(setting);
@@ -158,7 +158,7 @@
      * Locks the journal of this loop until the process ends. Otherwise two processes could take each other's files for those
      * of an earlier run.
      */
-    private static FileChannel lock(Bookkeeping setting) throws IOException {
+    private static FileChannel lock(LoopLedgerConfig setting) throws IOException {
         FileChannel channel = FileChannel.open(setting.directory().resolve("ledger-" + setting.loop() + ".lock"),
                 StandardOpenOption.CREATE, StandardOpenOption.WRITE);
         try {
--- a/src/main/java/cinderhollow/daemon/Bookkeeping.java
+++ b/src/main/java/cinderhollow/daemon/LoopLedgerConfig.java
@@ -12,11 +12,11 @@
  * @param loop number of this event loop in the process
  * @param loops number of event loops of the process
  */
-record Bookkeeping(long everyNanos, Path directory, long syncNanos, long mostBytes, int loop, int loops) {
+record LoopLedgerConfig(long everyNanos, Path directory, long syncNanos, long mostBytes, int loop, int loops) {
     static final long USUAL_BYTES = 64L << 20;
 
     /** Returns the configuration for one of several event loops. */
-    Bookkeeping of(int number, int count) {
-        return new Bookkeeping(everyNanos, directory, syncNanos, mostBytes, number, count);
+    LoopLedgerConfig of(int number, int count) {
+        return new LoopLedgerConfig(everyNanos, directory, syncNanos, mostBytes, number, count);
     }
 }
--- a/src/main/java/cinderhollow/daemon/Operator.java
+++ b/src/main/java/cinderhollow/daemon/Operator.java
@@ -34,7 +34,7 @@
     private Operator() { }
 
     /** The configuration of a valid file. */
-    record Read(List<Route> routes, Scale scale, Bookkeeping bookkeeping, SocketAddress admin, Fellows fellows) { }
+    record Read(List<Route> routes, Scale scale, LoopLedgerConfig bookkeeping, SocketAddress admin, Fellows fellows) { }
 
     /**
      * Reads the file. Any fault in it causes an {@link IllegalArgumentException} that lists the faults, and the gateway must
@@ -71,9 +71,9 @@
         }
     }
 
-    private static Bookkeeping bookkeeping(Books books) {
-        return books == null ? null : new Bookkeeping(books.everyNanos(), books.directory(), books.syncNanos(),
-                Bookkeeping.USUAL_BYTES, 0, 1);
+    private static LoopLedgerConfig bookkeeping(Books books) {
+        return books == null ? null : new LoopLedgerConfig(books.everyNanos(), books.directory(), books.syncNanos(),
+                LoopLedgerConfig.USUAL_BYTES, 0, 1);
     }
 
     private static Scale scale(Growth growth) {
--- a/src/test/java/cinderhollow/daemon/JournalTest.java
+++ b/src/test/java/cinderhollow/daemon/JournalTest.java
@@ -54,7 +54,7 @@
     }
 
     private Journal journal(Journal.Disk disk, long mostBytes) throws Exception {
-        return loop.submit(() -> Journal.open(loop, new Bookkeeping(0, folder, SYNC_NANOS, mostBytes, 0, 1), disk, ledger,
+        return loop.submit(() -> Journal.open(loop, new LoopLedgerConfig(0, folder, SYNC_NANOS, mostBytes, 0, 1), disk, ledger,
                 this::tellOpen, log::add)).get();
     }
 
@@ -289,7 +289,7 @@
         assertTrue(log.get(0).contains("can't be used: this process already writes a journal there"), log.toString());
         loop.submit(first::end).get().get(10, TimeUnit.SECONDS);
         Path file = Files.createFile(folder.resolve("file"));
-        assertNull(loop.submit(() -> Journal.open(loop, new Bookkeeping(0, file, SYNC_NANOS, 1 << 20, 0, 1), Journal.FILES,
+        assertNull(loop.submit(() -> Journal.open(loop, new LoopLedgerConfig(0, file, SYNC_NANOS, 1 << 20, 0, 1), Journal.FILES,
                 ledger, this::tellOpen, log::add)).get());
     }
 }
