--- a/src/main/java/cinderhollow/daemon/Gateway.java
+++ b/src/main/java/cinderhollow/daemon/Gateway.java
@@ -206,11 +206,11 @@
         journal = ledger == null || config.bookkeeping().directory() == null ? null
                 : Journal.open(loop, config.bookkeeping(), Journal.FILES, ledger, this::tellOpen, log);
         int others = OTHER_DESCRIPTORS + (config.door() == null ? 0 : DOOR_DESCRIPTORS);
-        int connections = Math.max(2, config.sockets() - others);
-        hosts = new UpstreamPool(loop, transport, clock, config.dialTimeoutNanos(), config.idleNanos(), connections / 2,
+        int connections = Math.max(2, config.maxDescriptors() - others);
+        hosts = new UpstreamPool(loop, transport, clock, config.dialTimeoutNanos(), config.idleTimeoutNanos(), connections / 2,
                 ledger == null ? null : ledger.sheet(Place.NODES), ledger == null ? 0 : ledger.accounts().size());
         discovery = config.discovery() == null ? null : new Discovery(loop, transport, config.discovery(),
-                config.known().index(), Discovery.SILENCE_TIMEOUT_MILLIS,
+                config.knownEndpoints().index(), Discovery.SILENCE_TIMEOUT_MILLIS,
                 // The larger limit only with an operator's file: an endless line is detected by its length alone.
                 config.routes() == null ? Discovery.MAX_LIST_BYTES : Discovery.MAX_LARGE_FLEET_LIST_BYTES, new Watcher(), log);
         askedForList = discovery == null && (config.scale() == null || !config.scale().follows());
@@ -255,7 +255,7 @@
                 loop.scheduleAtFixedRate(() -> ledger.sums(openNow()).forEach(log), every, every, TimeUnit.NANOSECONDS);
             }
         }
-        EndpointList known = startTimes.convertCached(config.known(), clock.nanos());
+        EndpointList known = startTimes.convertCached(config.knownEndpoints(), clock.nanos());
         if (config.scale() != null && config.scale().place() != null) {
             follow(new EndpointListDiffer(new Subset(config.scale().place())));
             loop.scheduleAtFixedRate(() -> {
@@ -525,7 +525,7 @@
             classes.clear();
             next.settings().classes().forEach(c -> classes.put(c.name(), c));
             routing = next.routes() == null ? null : new Routing(next.routes());
-            hosts.setTimeouts(next.dialTimeoutNanos(), next.idleNanos());
+            hosts.setTimeouts(next.dialTimeoutNanos(), next.idleTimeoutNanos());
             tell(new SettingsChanged(next.settings()));
             // After the shutdown, nothing would close a newly opened watch.
             if (!ended.isDone() && discovery != null && next.discovery() != null) {
--- a/src/main/java/cinderhollow/daemon/GatewayConfig.java
+++ b/src/main/java/cinderhollow/daemon/GatewayConfig.java
@@ -19,11 +19,11 @@
  * @param listen address that clients connect to
  * @param discovery address of discovery, from which changes to the endpoint list come, or null where the list never changes
  * @param seed seed of the policy's random numbers
- * @param sockets number of file descriptors that the process may hold
+ * @param maxDescriptors number of file descriptors that the process may hold
  * @param dialTimeoutNanos time limit for connecting to a server, in nanoseconds
- * @param idleNanos time after which, at the latest, a server closes an idle connection, in nanoseconds
+ * @param idleTimeoutNanos time after which, at the latest, a server closes an idle connection, in nanoseconds
  * @param settings settings of the policy
- * @param known endpoint list as known at the start
+ * @param knownEndpoints endpoint list as known at the start
  * @param routes routes of the operator's file, or null where there is no file
  * @param scale event loops and subset of the operator's file, or null
  * @param bookkeeping ledger of the operator's file, or null
@@ -32,8 +32,8 @@
  * @param door address of the operators' socket, or null where the platform names none
  * @param inherited the clients' listener where the platform provides it, or null where it is bound here
  */
-record GatewayConfig(SocketAddress listen, SocketAddress discovery, long seed, int sockets,
-                     long dialTimeoutNanos, long idleNanos, Settings settings, EndpointList known, List<Route> routes,
+record GatewayConfig(SocketAddress listen, SocketAddress discovery, long seed, int maxDescriptors,
+                     long dialTimeoutNanos, long idleTimeoutNanos, Settings settings, EndpointList knownEndpoints, List<Route> routes,
                      Scale scale, LoopLedgerConfig bookkeeping, SocketAddress admin, Peering peering,
                      SocketAddress door, InheritedListener inherited) {
     private static final int USUAL_SOCKETS = 1024;
@@ -47,13 +47,13 @@
         String door = environment.getOrDefault("LB_OPS", file.field("ops").text());
         GatewayConfig config = read(file, EndpointList.parseAddress(variable(environment, "LB_LISTEN")),
                 EndpointList.parseAddress(variable(environment, "LB_DISCOVERY")), environment.get("LB_OPERATOR"))
-                .withDoor(door.isEmpty() ? null : EndpointList.parseAddress(door));
+                .withOpsAddress(door.isEmpty() ? null : EndpointList.parseAddress(door));
         String descriptor = environment.getOrDefault("LB_INHERITED_FD", "");
         return descriptor.isEmpty() ? config : config.withListener(descriptor, environment.get("TMPDIR"));
     }
 
     /** Reads and parses the file that the environment names. */
-    static Json file(Map<String, String> environment) {
+    static Json readFile(Map<String, String> environment) {
         String file = variable(environment, "LB_CONFIG");
         try {
             return Json.read(Files.readString(Path.of(file)));
@@ -70,15 +70,15 @@
         return new GatewayConfig(listen, discovery, seed(json.field("seed").text()),
                 json.field("limits").field("sockets").number(USUAL_SOCKETS).intValue(),
                 settings.number("allowed.dial_timeout_ns"), settings.number("allowed.conn_idle_ns"),
-                settings.read(), known(json.field("known")), read == null ? null : read.routes(),
+                settings.read(), knownEndpoints(json.field("known")), read == null ? null : read.routes(),
                 read == null ? null : read.scale(), read == null ? null : read.bookkeeping(),
                 read == null ? null : read.admin(),
                 read == null || read.fellows() == null ? null : Operator.peering(read.fellows(), settings, json), null, null);
     }
 
     /** Returns a copy with the address of an operators' socket. */
-    GatewayConfig withDoor(SocketAddress address) {
-        return new GatewayConfig(listen, discovery, seed, sockets, dialTimeoutNanos, idleNanos, settings, known, routes,
+    GatewayConfig withOpsAddress(SocketAddress address) {
+        return new GatewayConfig(listen, discovery, seed, maxDescriptors, dialTimeoutNanos, idleTimeoutNanos, settings, knownEndpoints, routes,
                 scale, bookkeeping, admin, peering, address, inherited);
     }
 
@@ -87,7 +87,7 @@
         if (scale != null && scale.eachListens()) {
             throw new IllegalArgumentException("LB_INHERITED_FD gives one listener, the operator's file wants one per loop");
         }
-        return new GatewayConfig(listen, discovery, seed, sockets, dialTimeoutNanos, idleNanos, settings, known, routes,
+        return new GatewayConfig(listen, discovery, seed, maxDescriptors, dialTimeoutNanos, idleTimeoutNanos, settings, knownEndpoints, routes,
                 scale, bookkeeping, admin, peering, door, InheritedListener.take(descriptor, folder));
     }
 
@@ -103,8 +103,8 @@
         Settings own = new Settings(s.gateways() * loops, s.gatewayNumber() * loops + number, s.zone(),
                 s.subscribe() && number == 0, s.timerResolutionNanos(), s.classes(), s.tenants(), s.overQuotaWorth(),
                 s.upstreamOptions(), s.rules());
-        return new GatewayConfig(listen, number == 0 ? discovery : null, seed + number * LOOP_SEED, sockets / loops,
-                dialTimeoutNanos, idleNanos / loops, own, known, routes, scale.of(number),
+        return new GatewayConfig(listen, number == 0 ? discovery : null, seed + number * LOOP_SEED, maxDescriptors / loops,
+                dialTimeoutNanos, idleTimeoutNanos / loops, own, knownEndpoints, routes, scale.of(number),
                 bookkeeping == null ? null : bookkeeping.of(number, loops), null, null, door, inherited);
     }
 
@@ -116,7 +116,7 @@
     }
 
     /** Returns the known endpoint list; empty for a gateway that has never had one. */
-    private static EndpointList known(Json json) {
+    private static EndpointList knownEndpoints(Json json) {
         return json.value() == null ? new EndpointList(0, true, List.of()) : EndpointList.read(json);
     }
 
--- a/src/main/java/cinderhollow/daemon/GatewayDaemon.java
+++ b/src/main/java/cinderhollow/daemon/GatewayDaemon.java
@@ -36,7 +36,7 @@
         InternalLoggerFactory.setDefaultFactory(JdkLoggerFactory.INSTANCE);
         CompletableFuture<Reload> started = new CompletableFuture<>();
         onHangUp(() -> started.thenAccept(Reload::run));
-        Json file = GatewayConfig.file(environment);
+        Json file = GatewayConfig.readFile(environment);
         start(GatewayConfig.read(environment, file), gateway -> started.complete(new Reload(environment, file, gateway)));
     }
 
--- a/src/main/java/cinderhollow/daemon/Rehearsal.java
+++ b/src/main/java/cinderhollow/daemon/Rehearsal.java
@@ -188,8 +188,8 @@
             endpoints.add(new Endpoint(new ServerInfo("host-" + i, config.settings().zone(), "any", 0, Readiness.READY,
                     1, 0), hosts));
         }
-        return new GatewayConfig(stage, hosts, config.seed(), config.sockets(), config.dialTimeoutNanos(),
-                config.idleNanos(), config.settings(), new EndpointList(0, true, endpoints), null, null, null, null, null, null, null);
+        return new GatewayConfig(stage, hosts, config.seed(), config.maxDescriptors(), config.dialTimeoutNanos(),
+                config.idleTimeoutNanos(), config.settings(), new EndpointList(0, true, endpoints), null, null, null, null, null, null, null);
     }
 
     private void clients() {
--- a/src/main/java/cinderhollow/daemon/Reload.java
+++ b/src/main/java/cinderhollow/daemon/Reload.java
@@ -27,7 +27,7 @@
      */
     void run() {
         try {
-            Json next = GatewayConfig.file(environment);
+            Json next = GatewayConfig.readFile(environment);
             Retuning.check(running, next);
             String discovery = next.field("discovery").text();
             if (discovery.isEmpty()) {
--- a/src/test/java/cinderhollow/daemon/GatewayConfigTest.java
+++ b/src/test/java/cinderhollow/daemon/GatewayConfigTest.java
@@ -29,20 +29,20 @@
     }
 
     private static void refuses(Map<String, String> environment, String part) {
-        String line = assertThrows(IllegalArgumentException.class, () -> GatewayConfig.read(environment, GatewayConfig.file(environment))).getMessage();
+        String line = assertThrows(IllegalArgumentException.class, () -> GatewayConfig.read(environment, GatewayConfig.readFile(environment))).getMessage();
         assertTrue(line.contains(part), line);
         assertEquals(1, line.lines().count(), line);
     }
 
     @Test
     void readsSettingsUnderTheSimulatorsNames() throws IOException {
-        GatewayConfig config = GatewayConfig.read(environment(good()), GatewayConfig.file(environment(good())));
-        assertEquals(256, config.sockets());
-        assertEquals(15_000_000_000L, config.idleNanos());
+        GatewayConfig config = GatewayConfig.read(environment(good()), GatewayConfig.readFile(environment(good())));
+        assertEquals(256, config.maxDescriptors());
+        assertEquals(15_000_000_000L, config.idleTimeoutNanos());
         assertEquals("submit", config.settings().classes().get(1).name());
         assertEquals("acme", config.settings().tenants().get(0).name());
         assertEquals(0xf00000000000002aL, config.seed());
-        assertEquals(0, config.known().endpoints().size(), "no list was known");
+        assertEquals(0, config.knownEndpoints().endpoints().size(), "no list was known");
     }
 
     @Test
--- a/src/test/java/cinderhollow/daemon/GatewayFixture.java
+++ b/src/test/java/cinderhollow/daemon/GatewayFixture.java
@@ -111,7 +111,7 @@
                 + ",\"settings\":" + settings.apply(SETTINGS).replace("IDLE", String.valueOf(idleNanos)) + "}";
         GatewayConfig read = GatewayConfig.read(Json.read(config), new InetSocketAddress("127.0.0.1", 0),
                 discovery.address(), operator)
-                .withDoor(door ? new InetSocketAddress("127.0.0.1", 0) : null);
+                .withOpsAddress(door ? new InetSocketAddress("127.0.0.1", 0) : null);
         group = new MultiThreadIoEventLoopGroup(GatewayDaemon.threadCount(read), NioIoHandler.newFactory());
         gateway = GatewayDaemon.open(group, read, log).get(PATIENCE_MILLIS, TimeUnit.MILLISECONDS);
         gateway.listen().get(PATIENCE_MILLIS, TimeUnit.MILLISECONDS);
--- a/src/test/java/cinderhollow/daemon/LoopsTest.java
+++ b/src/test/java/cinderhollow/daemon/LoopsTest.java
@@ -222,7 +222,7 @@
             Path file = Files.writeString(folder.resolve("config.json"), "{\"discovery\":\"" + second.addressText()
                     + "\",\"seed\":\"2a\",\"settings\":" + GatewayFixture.SETTINGS.replace("IDLE", "15000000000") + "}");
             Map<String, String> environment = Map.of("LB_CONFIG", file.toString(), "LB_OPERATOR", folder.resolve("operator.toml").toString());
-            new Reload(environment, GatewayConfig.file(environment), f.gateway).run();
+            new Reload(environment, GatewayConfig.readFile(environment), f.gateway).run();
             await("the second watch", () -> next.size() == 1);
             assertEquals(1, watches.size(), "one watch for all loops");
             line(next.get(0), list(9, true, List.of(entry("u", c, "up", 0))));
--- a/src/test/java/cinderhollow/daemon/ReloadTest.java
+++ b/src/test/java/cinderhollow/daemon/ReloadTest.java
@@ -37,7 +37,7 @@
 
     /** Creates a reload as after a start from the present file. */
     private static Reload reload(GatewayFixture f, Map<String, String> environment) {
-        return new Reload(environment, GatewayConfig.file(environment), f.gateway);
+        return new Reload(environment, GatewayConfig.readFile(environment), f.gateway);
     }
 
     private static ScriptedHost discovery(int index, List<Socket> watches) throws IOException {
