--- a/src/main/java/cinderhollow/cli/CheckCommand.java
+++ b/src/main/java/cinderhollow/cli/CheckCommand.java
@@ -1,6 +1,6 @@
 package cinderhollow.cli;
 
-import cinderhollow.daemon.Operator;
+import cinderhollow.daemon.OperatorConfigLoader;
 import java.io.IOException;
 import java.nio.file.Path;
 import java.util.concurrent.Callable;
@@ -27,7 +27,7 @@
 
     @Override
     public Integer call() throws IOException {
-        Commands.print(spec, Operator.explain(file, config));
+        Commands.print(spec, OperatorConfigLoader.explain(file, config));
         return 0;
     }
 }
--- a/src/main/java/cinderhollow/daemon/GatewayConfig.java
+++ b/src/main/java/cinderhollow/daemon/GatewayConfig.java
@@ -66,14 +66,14 @@
     /** Reads the configuration from the parsed file, the two addresses, and the path of the operator's file or null. */
     static GatewayConfig read(Json json, SocketAddress listen, SocketAddress discovery, String operator) {
         SettingsReader settings = settings(json);
-        Operator.Read read = operator == null ? null : Operator.read(operator, settings);
+        OperatorConfigLoader.Read read = operator == null ? null : OperatorConfigLoader.read(operator, settings);
         return new GatewayConfig(listen, discovery, seed(json.field("seed").text()),
                 json.field("limits").field("sockets").number(USUAL_SOCKETS).intValue(),
                 settings.number("allowed.dial_timeout_ns"), settings.number("allowed.conn_idle_ns"),
                 settings.read(), knownEndpoints(json.field("known")), read == null ? null : read.routes(),
                 read == null ? null : read.scale(), read == null ? null : read.bookkeeping(),
                 read == null ? null : read.admin(),
-                read == null || read.fellows() == null ? null : Operator.peering(read.fellows(), settings, json), null, null);
+                read == null || read.fellows() == null ? null : OperatorConfigLoader.peering(read.fellows(), settings, json), null, null);
     }
 
     /** Returns a copy with the address of an operators' socket. */
--- a/src/main/java/cinderhollow/daemon/Operator.java
+++ b/src/main/java/cinderhollow/daemon/OperatorConfigLoader.java
@@ -27,11 +27,11 @@
 import java.util.concurrent.TimeUnit;
 
 /** Loads the operator's file of a deployment, which is used whole or not at all. Loaded only where a file is named. */
-public final class Operator {
+public final class OperatorConfigLoader {
     /** Findings shown at most in the error message: about one screen of text. */
     private static final int MOST_SHOWN = 18;
 
-    private Operator() { }
+    private OperatorConfigLoader() { }
 
     /** The configuration of a valid file. */
     record Read(List<Route> routes, Scale scale, LoopLedgerConfig bookkeeping, SocketAddress admin, Fellows fellows) { }
--- a/src/test/java/cinderhollow/cli/StartTest.java
+++ b/src/test/java/cinderhollow/cli/StartTest.java
@@ -77,7 +77,7 @@
                 || line.contains("cinderhollow.daemon.Lives") || line.contains(" org.jctools.")
                 || line.contains("cinderhollow.peers.") || line.contains("cinderhollow.evacuation.")
                 || line.contains("cinderhollow.daemon.ZoneTalk") || line.contains("cinderhollow.daemon.Peering")
-                || line.contains("cinderhollow.operator.") || line.contains("cinderhollow.daemon.Operator")
+                || line.contains("cinderhollow.operator.") || line.contains("cinderhollow.daemon.OperatorConfigLoader")
                 || line.contains("cinderhollow.routes.") && !line.contains("cinderhollow.routes.Paths ")).toList());
     }
 
