--- a/src/main/java/cinderhollow/daemon/Reload.java
+++ b/src/main/java/cinderhollow/daemon/Reload.java
@@ -28,7 +28,7 @@
     void run() {
         try {
             Json next = GatewayConfig.readFile(environment);
-            Retuning.check(running, next);
+            ReloadValidator.check(running, next);
             String discovery = next.field("discovery").text();
             if (discovery.isEmpty()) {
                 throw new IllegalArgumentException("the configuration has no discovery address");
--- a/src/main/java/cinderhollow/daemon/Retuning.java
+++ b/src/main/java/cinderhollow/daemon/ReloadValidator.java
@@ -13,11 +13,11 @@
  * one, with the same type; each entry of a list must have every key that all running entries of that list share. Additional
  * keys, and more or fewer entries, are allowed.
  */
-final class Retuning {
+final class ReloadValidator {
     /** Key of the endpoint list as known at a start, which is not compared: it does not configure the gateway's behavior. */
     private static final String KNOWN = "known";
 
-    private Retuning() { }
+    private ReloadValidator() { }
 
     /**
      * Checks that the next file may replace the running one; otherwise an {@link IllegalArgumentException} names the key.
--- a/src/test/java/cinderhollow/daemon/RetuningTest.java
+++ b/src/test/java/cinderhollow/daemon/RetuningTest.java
@@ -44,7 +44,7 @@
     }
 
     private static void check(String next) throws IOException {
-        Retuning.check(Json.read(file()), Json.read(next));
+        ReloadValidator.check(Json.read(file()), Json.read(next));
     }
 
     /**
