--- a/src/main/java/cinderhollow/cli/RunCommand.java
+++ b/src/main/java/cinderhollow/cli/RunCommand.java
@@ -1,7 +1,7 @@
 package cinderhollow.cli;
 
 import cinderhollow.daemon.GatewayDaemon;
-import cinderhollow.daemon.SmallSite;
+import cinderhollow.daemon.CommandLineConfig;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -53,7 +53,7 @@
             Files.readAllLines(file).stream().map(String::strip).filter(line -> !line.isEmpty() && !line.startsWith("#"))
                     .forEach(all::add);
         }
-        GatewayDaemon.serve(new SmallSite(listen, source.discovery, source.nodes, all, operator));
+        GatewayDaemon.serve(new CommandLineConfig(listen, source.discovery, source.nodes, all, operator));
         return Commands.KEEPS_RUNNING;
     }
 }
--- a/src/main/java/cinderhollow/daemon/SmallSite.java
+++ b/src/main/java/cinderhollow/daemon/CommandLineConfig.java
@@ -14,7 +14,7 @@
  * The configuration of a gateway without the platform's JSON file: the command line of {@code run}, and for everything else
  * defaults that suit a few nodes.
  */
-public final class SmallSite {
+public final class CommandLineConfig {
     /** A class of requests; its name is the first segment of the path. */
     private record Grade(String name, String semantics, long aimNanos, long deadlineNanos) { }
 
@@ -40,7 +40,7 @@
      * @param classes each as {@code NAME:safe|unsafe|keyed[:AIM[:DEADLINE]]}
      * @param operator path of the operator's file, or null
      */
-    public SmallSite(String listen, String discovery, List<String> nodes, List<String> classes, String operator) {
+    public CommandLineConfig(String listen, String discovery, List<String> nodes, List<String> classes, String operator) {
         this.listen = listen;
         this.discovery = discovery;
         this.nodes = List.copyOf(nodes);
--- a/src/main/java/cinderhollow/daemon/GatewayDaemon.java
+++ b/src/main/java/cinderhollow/daemon/GatewayDaemon.java
@@ -41,7 +41,7 @@
     }
 
     /** Starts a gateway whose configuration is given entirely on the command line; otherwise like {@link #serve(Map)}. */
-    public static void serve(SmallSite site) {
+    public static void serve(CommandLineConfig site) {
         InternalLoggerFactory.setDefaultFactory(JdkLoggerFactory.INSTANCE);
         onHangUp(() -> System.err.println("cinderhollow: SIGHUP has no effect: there is no configuration file to reload"));
         start(site.config(), gateway -> { });
