--- a/src/main/java/cinderhollow/daemon/Lives.java
+++ b/src/main/java/cinderhollow/daemon/EarlierRuns.java
@@ -14,18 +14,18 @@
 /**
  * What the journals of earlier runs of the process hold, as read at a start.
  *
- * @param lives sums of the earlier runs by account
+ * @param totals sums of the earlier runs by account
  * @param orphans requests that were open when the last run was cut off
- * @param lines lines for the log
+ * @param logLines lines for the log
  * @param read segments covered by this, which may be deleted once it has been written to a new segment
  */
-record Lives(List<Life> lives, List<Recovery.Orphan> orphans, List<String> lines, List<Path> read) {
+record EarlierRuns(List<Life> totals, List<Recovery.Orphan> orphans, List<String> logLines, List<Path> read) {
     /** Name of the file that lists the orphans: a list longer than a screen is of no use in a log. */
-    static final String ORPHANS = "orphans.txt";
+    static final String ORPHANS_FILE = "orphans.txt";
     private static final int MOST_NAMED = 20;
 
     /** Reads what the loops of these numbers have left. A file that cannot be read is logged and does not fail the start. */
-    static Lives read(Path directory, List<Integer> loops) throws IOException {
+    static EarlierRuns read(Path directory, List<Integer> loops) throws IOException {
         Map<String, Life> lives = new TreeMap<>();
         List<Recovery.Orphan> orphans = new ArrayList<>();
         List<String> lines = new ArrayList<>();
@@ -46,9 +46,9 @@
             lines.add(orphans.size() + " requests were open when the last run ended, and may have run: "
                     + String.join(", ", orphans.stream().limit(MOST_NAMED)
                     .map(orphan -> orphan.id() + " (" + orphan.account() + ")").toList())
-                    + (orphans.size() > MOST_NAMED ? ", ...: all are in " + directory.resolve(ORPHANS) : ""));
+                    + (orphans.size() > MOST_NAMED ? ", ...: all are in " + directory.resolve(ORPHANS_FILE) : ""));
         }
-        return new Lives(List.copyOf(lives.values()), List.copyOf(orphans), List.copyOf(lines), List.copyOf(read));
+        return new EarlierRuns(List.copyOf(lives.values()), List.copyOf(orphans), List.copyOf(lines), List.copyOf(read));
     }
 
     /** Reads the newest segment with a checkpoint, which covers all earlier ones. Returns null where there is none. */
@@ -77,9 +77,9 @@
     }
 
     /** Writes the list of orphans to a file beside the journal, if there are any. */
-    void keepOrphans(Path directory) throws IOException {
+    void writeOrphans(Path directory) throws IOException {
         if (!orphans.isEmpty()) {
-            Files.write(directory.resolve(ORPHANS),
+            Files.write(directory.resolve(ORPHANS_FILE),
                     orphans.stream().map(orphan -> orphan.id() + "\t" + orphan.account()).toList());
         }
     }
--- a/src/main/java/cinderhollow/daemon/Journal.java
+++ b/src/main/java/cinderhollow/daemon/Journal.java
@@ -115,7 +115,7 @@
     private volatile boolean ending;
     private volatile long lostThere;
 
-    private Journal(EventLoop loop, LoopLedgerConfig setting, Disk disk, Ledger ledger, Lives lives, Held held,
+    private Journal(EventLoop loop, LoopLedgerConfig setting, Disk disk, Ledger ledger, EarlierRuns lives, Held held,
                     Consumer<String> log, FileChannel lock) {
         this.lock = lock;
         this.loop = loop;
@@ -124,7 +124,7 @@
         this.ledger = ledger;
         this.held = held;
         this.log = log;
-        earlier = lives.lives();
+        earlier = lives.totals();
         old.addAll(lives.read());
         thread = new Thread(this::run, "ledger-" + setting.loop());
         thread.setDaemon(true);
@@ -139,9 +139,9 @@
             lock = lock(setting);
             List<Integer> own = JournalFiles.loops(setting.directory()).stream()
                     .filter(number -> number % setting.loops() == setting.loop()).toList();
-            Lives lives = Lives.read(setting.directory(), own);
-            lives.lines().forEach(line -> log.accept("ledger's journal: " + line));
-            lives.keepOrphans(setting.directory());
+            EarlierRuns lives = EarlierRuns.read(setting.directory(), own);
+            lives.logLines().forEach(line -> log.accept("ledger's journal: " + line));
+            lives.writeOrphans(setting.directory());
             Journal journal = new Journal(loop, setting, disk, ledger, lives, held, log, lock);
             journal.thread.start();
             journal.tick();
--- a/src/test/java/cinderhollow/daemon/JournalFaultsTest.java
+++ b/src/test/java/cinderhollow/daemon/JournalFaultsTest.java
@@ -52,9 +52,9 @@
             }
             gateway.signal("TERM");
             assertTrue(gateway.endsWithin(LONG_MILLIS), gateway.log());
-            Lives lives = Lives.read(ledger, List.of(0));
-            assertEquals(asked[0], lives.lives().stream().mapToLong(Life::taken).sum(), gateway.log());
-            assertTrue(lives.lives().stream().allMatch(Life::addsUp), lives::toString);
+            EarlierRuns lives = EarlierRuns.read(ledger, List.of(0));
+            assertEquals(asked[0], lives.totals().stream().mapToLong(Life::taken).sum(), gateway.log());
+            assertTrue(lives.totals().stream().allMatch(Life::addsUp), lives::toString);
         }
     }
 
--- a/src/test/java/cinderhollow/daemon/JournalTest.java
+++ b/src/test/java/cinderhollow/daemon/JournalTest.java
@@ -85,7 +85,7 @@
     private static Set<String> orphans(Path directory) {
         try {
             Set<String> ids = new HashSet<>();
-            Lives.read(directory, List.of(0)).orphans().forEach(orphan -> ids.add(orphan.id()));
+            EarlierRuns.read(directory, List.of(0)).orphans().forEach(orphan -> ids.add(orphan.id()));
             return ids;
         } catch (IOException e) {
             return Set.of("unread: " + e);
@@ -114,13 +114,13 @@
         for (Path file : files()) {
             Files.copy(file, copy.resolve(file.getFileName()));
         }
-        Lives lives = Lives.read(copy, JournalFiles.loops(copy));
-        lives.keepOrphans(copy);
-        assertEquals(200, Files.readAllLines(copy.resolve(Lives.ORPHANS)).size());
-        assertEquals(500, lives.lives().get(0).taken());
-        assertEquals(200, lives.lives().get(0).orphaned());
-        assertTrue(lives.lives().get(0).addsUp());
-        assertTrue(lives.lines().get(0).startsWith("200 requests were open when the last run ended"), lives.lines().toString());
+        EarlierRuns lives = EarlierRuns.read(copy, JournalFiles.loops(copy));
+        lives.writeOrphans(copy);
+        assertEquals(200, Files.readAllLines(copy.resolve(EarlierRuns.ORPHANS_FILE)).size());
+        assertEquals(500, lives.totals().get(0).taken());
+        assertEquals(200, lives.totals().get(0).orphaned());
+        assertTrue(lives.totals().get(0).addsUp());
+        assertTrue(lives.logLines().get(0).startsWith("200 requests were open when the last run ended"), lives.logLines().toString());
     }
 
     @Test
@@ -149,7 +149,7 @@
         }
         awaitKnown();
         assertEquals(2_000, openNow().size());
-        assertEquals(80_000, Lives.read(folder, List.of(0)).lives().get(0).taken());
+        assertEquals(80_000, EarlierRuns.read(folder, List.of(0)).totals().get(0).taken());
         long newest = JournalFiles.list(folder, 0).get(0).number();
         assertTrue(newest > 5, "rotated " + newest + " times");
     }
@@ -195,7 +195,7 @@
         Path noise = JournalFiles.name(folder, 0, 9_999_999_999_999L, 0);
         Files.write(noise, new byte[100]);
         assertEquals(openNow(), orphans(folder));
-        assertTrue(Lives.read(folder, List.of(0)).lines().stream().anyMatch(line -> line.startsWith(noise.getFileName() + ": ")));
+        assertTrue(EarlierRuns.read(folder, List.of(0)).logLines().stream().anyMatch(line -> line.startsWith(noise.getFileName() + ": ")));
     }
 
     /** Behaviour of a write on a faulty disk. */
@@ -255,7 +255,7 @@
         });
         awaitKnown();
         assertEquals(1, log.stream().filter(line -> line.contains("No space left on device")).count());
-        assertTrue(Lives.read(folder, List.of(0)).lives().get(0).addsUp());
+        assertTrue(EarlierRuns.read(folder, List.of(0)).totals().get(0).addsUp());
     }
 
     /** While a latch blocks the disk, the event loop runs on and memory is bounded; lost entries are made up for afterwards. */
@@ -278,7 +278,7 @@
         assertTrue(loop.submit(journal::lost).get() > 0, "lost, since 64 frames are all that wait");
         goOn.countDown();
         awaitKnown();
-        assertEquals(300_007, Lives.read(folder, List.of(0)).lives().get(0).taken());
+        assertEquals(300_007, EarlierRuns.read(folder, List.of(0)).totals().get(0).taken());
     }
 
     @Test
--- a/src/test/java/cinderhollow/daemon/KilledTest.java
+++ b/src/test/java/cinderhollow/daemon/KilledTest.java
@@ -57,7 +57,7 @@
 
     private Set<String> orphans() throws IOException {
         Set<String> ids = new HashSet<>();
-        Lives.read(folder.resolve("journal"), List.of(0)).orphans().forEach(orphan -> ids.add(orphan.id()));
+        EarlierRuns.read(folder.resolve("journal"), List.of(0)).orphans().forEach(orphan -> ids.add(orphan.id()));
         return ids;
     }
 
@@ -86,7 +86,7 @@
                 String told = Files.readString(folder.resolve("second.log"));
                 assertTrue(told.contains(REQUESTS + " requests were open when the last run ended, and may have run: "), told);
                 Set<String> listed = new HashSet<>();
-                Files.readAllLines(folder.resolve("journal").resolve(Lives.ORPHANS))
+                Files.readAllLines(folder.resolve("journal").resolve(EarlierRuns.ORPHANS_FILE))
                         .forEach(line -> listed.add(line.split("\t")[0]));
                 assertEquals(expected, listed);
             } finally {
