--- a/src/main/java/cinderhollow/daemon/EarlierRuns.java
+++ b/src/main/java/cinderhollow/daemon/EarlierRuns.java
@@ -31,7 +31,7 @@
         List<String> lines = new ArrayList<>();
         List<Path> read = new ArrayList<>();
         for (int loop : loops) {
-            Recovery last = last(JournalFiles.list(directory, loop), lines, read);
+            Recovery last = last(JournalFiles.listSegments(directory, loop), lines, read);
             if (last != null) {
                 for (Life life : last.lives()) {
                     lives.merge(life.account(), life, Life::plus);
--- a/src/main/java/cinderhollow/daemon/Journal.java
+++ b/src/main/java/cinderhollow/daemon/Journal.java
@@ -137,7 +137,7 @@
         FileChannel lock = null;
         try {
             lock = lock(setting);
-            List<Integer> own = JournalFiles.loops(setting.directory()).stream()
+            List<Integer> own = JournalFiles.listLoops(setting.directory()).stream()
                     .filter(number -> number % setting.loops() == setting.loop()).toList();
             EarlierRuns lives = EarlierRuns.read(setting.directory(), own);
             lives.logLines().forEach(line -> log.accept("ledger's journal: " + line));
@@ -337,7 +337,7 @@
     }
 
     private void begin() throws IOException {
-        Path file = JournalFiles.name(setting.directory(), setting.loop(), epochMillis, files);
+        Path file = JournalFiles.segmentPath(setting.directory(), setting.loop(), epochMillis, files);
         close();
         output = disk.create(file);
         Frame header = new Frame(ROOM);
@@ -349,11 +349,11 @@
     }
 
     private void put(Frame frame) throws IOException {
-        ByteBuffer head = ByteBuffer.allocate(JournalFiles.FRAME_HEAD);
-        JournalFiles.head(frame.bytes(), frame.length(), head);
+        ByteBuffer head = ByteBuffer.allocate(JournalFiles.FRAME_HEADER_BYTES);
+        JournalFiles.writeFrameHeader(frame.bytes(), frame.length(), head);
         output.write(head);
         output.write(ByteBuffer.wrap(frame.bytes(), 0, frame.length()));
-        position += JournalFiles.FRAME_HEAD + frame.length();
+        position += JournalFiles.FRAME_HEADER_BYTES + frame.length();
     }
 
     /** Deletes all segments but the one that is being written. */
--- a/src/main/java/cinderhollow/daemon/JournalFiles.java
+++ b/src/main/java/cinderhollow/daemon/JournalFiles.java
@@ -24,7 +24,7 @@
 final class JournalFiles {
     /** Longest valid frame, in bytes: a longer one would hold more than a million open requests. */
     static final int LONGEST_FRAME = 1 << 26;
-    static final int FRAME_HEAD = 8;
+    static final int FRAME_HEADER_BYTES = 8;
     private static final Pattern NAME = Pattern.compile("ledger-([0-9]{1,3})-([0-9]{16})-([0-9]{8})\\.journal");
     private static final int BUFFER = 1 << 16;
 
@@ -33,12 +33,12 @@
 
     private JournalFiles() { }
 
-    static Path name(Path directory, int loop, long epochMillis, long number) {
+    static Path segmentPath(Path directory, int loop, long epochMillis, long number) {
         return directory.resolve(String.format("ledger-%d-%016d-%08d.journal", loop, epochMillis, number));
     }
 
     /** Lists a loop's segments, the newest first. */
-    static List<Segment> list(Path directory, int loop) throws IOException {
+    static List<Segment> listSegments(Path directory, int loop) throws IOException {
         List<Segment> found = new ArrayList<>();
         try (Stream<Path> files = Files.list(directory)) {
             for (Path path : (Iterable<Path>) files::iterator) {
@@ -53,7 +53,7 @@
     }
 
     /** Returns the numbers of the loops that have segments. */
-    static List<Integer> loops(Path directory) throws IOException {
+    static List<Integer> listLoops(Path directory) throws IOException {
         try (Stream<Path> files = Files.list(directory)) {
             return files.map(path -> NAME.matcher(path.getFileName().toString())).filter(Matcher::matches)
                     .map(matcher -> Integer.parseInt(matcher.group(1))).distinct().sorted().toList();
@@ -61,7 +61,7 @@
     }
 
     /** Writes the header of a frame, its length and checksum. */
-    static void head(byte[] frame, int length, ByteBuffer head) {
+    static void writeFrameHeader(byte[] frame, int length, ByteBuffer head) {
         CRC32C sum = new CRC32C();
         sum.update(frame, 0, length);
         head.clear().putInt(length).putInt((int) sum.getValue()).flip();
@@ -106,7 +106,7 @@
                 } catch (IllegalArgumentException e) {
                     return e.getMessage() + " at byte " + good + "; the rest is ignored";
                 }
-                good += FRAME_HEAD + length;
+                good += FRAME_HEADER_BYTES + length;
             }
         }
     }
--- a/src/test/java/cinderhollow/daemon/JournalMeasurement.java
+++ b/src/test/java/cinderhollow/daemon/JournalMeasurement.java
@@ -39,7 +39,7 @@
     }
 
     private static void write(Path file, long bytes, int open) throws IOException {
-        ByteBuffer head = ByteBuffer.allocate(JournalFiles.FRAME_HEAD);
+        ByteBuffer head = ByteBuffer.allocate(JournalFiles.FRAME_HEADER_BYTES);
         Frame frame = new Frame(FRAME);
         try (Journal.Output out = Journal.FILES.create(file)) {
             frame.header(1, 1, 0);
@@ -53,10 +53,10 @@
                         frame.ended(request - open, End.SERVED);
                     }
                 }
-                JournalFiles.head(frame.bytes(), frame.length(), head);
+                JournalFiles.writeFrameHeader(frame.bytes(), frame.length(), head);
                 out.write(head);
                 out.write(ByteBuffer.wrap(frame.bytes(), 0, frame.length()));
-                written += JournalFiles.FRAME_HEAD + frame.length();
+                written += JournalFiles.FRAME_HEADER_BYTES + frame.length();
                 frame.clear();
             }
         }
--- a/src/test/java/cinderhollow/daemon/JournalTest.java
+++ b/src/test/java/cinderhollow/daemon/JournalTest.java
@@ -99,7 +99,7 @@
     }
 
     private List<Path> files() throws IOException {
-        return JournalFiles.list(folder, 0).stream().map(JournalFiles.Segment::path).toList();
+        return JournalFiles.listSegments(folder, 0).stream().map(JournalFiles.Segment::path).toList();
     }
 
     @Test
@@ -114,7 +114,7 @@
         for (Path file : files()) {
             Files.copy(file, copy.resolve(file.getFileName()));
         }
-        EarlierRuns lives = EarlierRuns.read(copy, JournalFiles.loops(copy));
+        EarlierRuns lives = EarlierRuns.read(copy, JournalFiles.listLoops(copy));
         lives.writeOrphans(copy);
         assertEquals(200, Files.readAllLines(copy.resolve(EarlierRuns.ORPHANS_FILE)).size());
         assertEquals(500, lives.totals().get(0).taken());
@@ -150,7 +150,7 @@
         awaitKnown();
         assertEquals(2_000, openNow().size());
         assertEquals(80_000, EarlierRuns.read(folder, List.of(0)).totals().get(0).taken());
-        long newest = JournalFiles.list(folder, 0).get(0).number();
+        long newest = JournalFiles.listSegments(folder, 0).get(0).number();
         assertTrue(newest > 5, "rotated " + newest + " times");
     }
 
@@ -189,10 +189,10 @@
         play(journal, 9, 2);
         awaitKnown();
         Path whole = files().get(0);
-        Path newer = JournalFiles.name(folder, 0, Long.parseLong(whole.getFileName().toString().split("-")[2]), 1);
+        Path newer = JournalFiles.segmentPath(folder, 0, Long.parseLong(whole.getFileName().toString().split("-")[2]), 1);
         Files.write(newer, Arrays.copyOf(Files.readAllBytes(whole), 20));
         assertEquals(openNow(), orphans(folder));
-        Path noise = JournalFiles.name(folder, 0, 9_999_999_999_999L, 0);
+        Path noise = JournalFiles.segmentPath(folder, 0, 9_999_999_999_999L, 0);
         Files.write(noise, new byte[100]);
         assertEquals(openNow(), orphans(folder));
         assertTrue(EarlierRuns.read(folder, List.of(0)).logLines().stream().anyMatch(line -> line.startsWith(noise.getFileName() + ": ")));
