--- a/src/main/java/cinderhollow/daemon/Gateway.java
+++ b/src/main/java/cinderhollow/daemon/Gateway.java
@@ -204,7 +204,7 @@
         requestSheet = ledger == null ? null : ledger.sheet(Place.CORE);
         attemptSheet = ledger == null ? null : ledger.sheet(Place.ATTEMPTS);
         journal = ledger == null || config.bookkeeping().directory() == null ? null
-                : Journal.open(loop, config.bookkeeping(), Journal.FILES, ledger, this::tellOpen, log);
+                : Journal.open(loop, config.bookkeeping(), Journal.FILE_OUTPUTS, ledger, this::tellOpen, log);
         int others = OTHER_DESCRIPTORS + (config.door() == null ? 0 : DOOR_DESCRIPTORS);
         int connections = Math.max(2, config.maxDescriptors() - others);
         hosts = new UpstreamPool(loop, transport, clock, config.dialTimeoutNanos(), config.idleTimeoutNanos(), connections / 2,
@@ -567,7 +567,7 @@
             if (journal == null) {
                 ended.complete(null);
             } else {
-                journal.end().orTimeout(JOURNAL_END_MILLIS, TimeUnit.MILLISECONDS)
+                journal.shutDown().orTimeout(JOURNAL_END_MILLIS, TimeUnit.MILLISECONDS)
                         .whenComplete((none, late) -> ended.complete(null));
             }
         }
@@ -581,7 +581,7 @@
     @Override
     public CompletableFuture<List<Figures>> ledgerMetrics() {
         return CompletableFuture.supplyAsync(() -> ledger == null ? List.of() : List.of(ledger.figures(openNow(),
-                journal == null ? List.of() : journal.earlier(), journal == null ? 0 : journal.lost())), loop);
+                journal == null ? List.of() : journal.earlierTotals(), journal == null ? 0 : journal.lostEntries())), loop);
     }
 
     @Override
@@ -877,7 +877,7 @@
             this.openedAt = openedAt;
             requestSheet.open(account, id);
             if (journal != null) {
-                journal.opened(number, account, id);
+                journal.recordOpened(number, account, id);
             }
         }
 
@@ -887,7 +887,7 @@
                 end = how;
                 requestSheet.end(account, how, id);
                 if (journal != null) {
-                    journal.ended(number, how);
+                    journal.recordEnded(number, how);
                 }
                 ledger.took(account, clock.nanos() - openedAt);
             }
--- a/src/main/java/cinderhollow/daemon/Journal.java
+++ b/src/main/java/cinderhollow/daemon/Journal.java
@@ -37,13 +37,13 @@
     }
 
     /** Creates journal files. */
-    interface Disk {
+    interface OutputFactory {
         /** Creates a file; fails if it exists. */
         Output create(Path file) throws IOException;
     }
 
     /** Creates files on disk; fails if the file exists. */
-    static final Disk FILES = file -> {
+    static final OutputFactory FILE_OUTPUTS = file -> {
         FileChannel channel = FileChannel.open(file, StandardOpenOption.CREATE_NEW, StandardOpenOption.WRITE);
         return new Output() {
             @Override
@@ -82,11 +82,11 @@
 
     private final EventLoop loop;
     private final LoopLedgerConfig setting;
-    private final Disk disk;
+    private final OutputFactory disk;
     private final Ledger ledger;
     private final Held held;
     private final Consumer<String> log;
-    private final List<Life> earlier;
+    private final List<Life> earlierTotals;
     private final long epochMillis = System.currentTimeMillis();
     private final long epochNumber = System.nanoTime();
     private final SpscArrayQueue<Frame> full = new SpscArrayQueue<>(FRAMES);
@@ -115,7 +115,7 @@
     private volatile boolean ending;
     private volatile long lostThere;
 
-    private Journal(EventLoop loop, LoopLedgerConfig setting, Disk disk, Ledger ledger, EarlierRuns lives, Held held,
+    private Journal(EventLoop loop, LoopLedgerConfig setting, OutputFactory disk, Ledger ledger, EarlierRuns lives, Held held,
                     Consumer<String> log, FileChannel lock) {
         this.lock = lock;
         this.loop = loop;
@@ -124,7 +124,7 @@
         this.ledger = ledger;
         this.held = held;
         this.log = log;
-        earlier = lives.totals();
+        earlierTotals = lives.totals();
         old.addAll(lives.read());
         thread = new Thread(this::run, "ledger-" + setting.loop());
         thread.setDaemon(true);
@@ -133,7 +133,7 @@
     /**
      * Reads the journals of earlier runs and opens a new one. Returns null, with a log line, if the directory cannot be used.
      */
-    static Journal open(EventLoop loop, LoopLedgerConfig setting, Disk disk, Ledger ledger, Held held, Consumer<String> log) {
+    static Journal open(EventLoop loop, LoopLedgerConfig setting, OutputFactory disk, Ledger ledger, Held held, Consumer<String> log) {
         FileChannel lock = null;
         try {
             lock = lock(setting);
@@ -185,17 +185,17 @@
     }
 
     /** Returns the sums of earlier runs by account. */
-    List<Life> earlier() {
-        return earlier;
+    List<Life> earlierTotals() {
+        return earlierTotals;
     }
 
     /** Returns the number of entries that never reached the disk. */
-    long lost() {
+    long lostEntries() {
         return lostHere + lostThere;
     }
 
     /** Records that a request has opened. Called on the event loop. */
-    void opened(long request, int account, String id) {
+    void recordOpened(long request, int account, String id) {
         if (gap) {
             lostHere++;
             return;
@@ -205,7 +205,7 @@
     }
 
     /** Records that a request has ended. Called on the event loop. */
-    void ended(long request, End end) {
+    void recordEnded(long request, End end) {
         if (gap) {
             lostHere++;
             return;
@@ -253,9 +253,9 @@
             if (full.size() < FRAMES / 2) {
                 wantsAll = false;
                 gap = false;
-                current.reset(ledger, earlier);
-                if (lost() > 0) {
-                    current.lost(lost());
+                current.reset(ledger, earlierTotals);
+                if (lostEntries() > 0) {
+                    current.lost(lostEntries());
                 }
                 held.tell(current);
                 handOver();
@@ -266,7 +266,7 @@
     }
 
     /** Closes the journal; the future completes once everything is on disk. Called on the event loop. */
-    CompletableFuture<Void> end() {
+    CompletableFuture<Void> shutDown() {
         if (!gap) {
             current.closed();
             handOver();
--- a/src/test/java/cinderhollow/daemon/JournalMeasurement.java
+++ b/src/test/java/cinderhollow/daemon/JournalMeasurement.java
@@ -41,7 +41,7 @@
     private static void write(Path file, long bytes, int open) throws IOException {
         ByteBuffer head = ByteBuffer.allocate(JournalFiles.FRAME_HEADER_BYTES);
         Frame frame = new Frame(FRAME);
-        try (Journal.Output out = Journal.FILES.create(file)) {
+        try (Journal.Output out = Journal.FILE_OUTPUTS.create(file)) {
             frame.header(1, 1, 0);
             frame.reset(new Ledger(List.of("class status", "class submit")), List.of());
             long request = 0;
--- a/src/test/java/cinderhollow/daemon/JournalTest.java
+++ b/src/test/java/cinderhollow/daemon/JournalTest.java
@@ -53,7 +53,7 @@
         group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS).awaitUninterruptibly();
     }
 
-    private Journal journal(Journal.Disk disk, long mostBytes) throws Exception {
+    private Journal journal(Journal.OutputFactory disk, long mostBytes) throws Exception {
         return loop.submit(() -> Journal.open(loop, new LoopLedgerConfig(0, folder, SYNC_NANOS, mostBytes, 0, 1), disk, ledger,
                 this::tellOpen, log::add)).get();
     }
@@ -69,11 +69,11 @@
                 String id = "id-" + ++number;
                 ledger.sheet(Place.CORE).open(1, id);
                 open.put(number, id);
-                journal.opened(number, 1, id);
+                journal.recordOpened(number, 1, id);
             }
             for (long over : List.copyOf(open.keySet()).subList(0, end)) {
                 ledger.sheet(Place.CORE).end(1, End.SERVED, open.remove(over));
-                journal.ended(over, End.SERVED);
+                journal.recordEnded(over, End.SERVED);
             }
         }).sync();
     }
@@ -104,11 +104,11 @@
 
     @Test
     void whatIsOpenAtAKillIsKnownExactlyAndSumsGoOnOverLives() throws Exception {
-        Journal first = journal(Journal.FILES, 1 << 20);
+        Journal first = journal(Journal.FILE_OUTPUTS, 1 << 20);
         play(first, 500, 300);
         awaitKnown();
         assertEquals(200, openNow().size());
-        assertEquals(0, first.lost());
+        assertEquals(0, first.lostEntries());
         // Reads the journal as the next process would, in a copy, because the running journal holds the lock of the directory.
         Path copy = Files.createDirectory(folder.resolve("copy"));
         for (Path file : files()) {
@@ -125,20 +125,20 @@
 
     @Test
     void aGoodEndLeavesNoOrphansAndTheNextLifeGoesOn() throws Exception {
-        Journal first = journal(Journal.FILES, 1 << 20);
+        Journal first = journal(Journal.FILE_OUTPUTS, 1 << 20);
         play(first, 40, 40);
-        loop.submit(first::end).get().get(10, TimeUnit.SECONDS);
-        Journal second = journal(Journal.FILES, 1 << 20);
+        loop.submit(first::shutDown).get().get(10, TimeUnit.SECONDS);
+        Journal second = journal(Journal.FILE_OUTPUTS, 1 << 20);
         assertEquals(List.of(), log);
-        assertEquals(40, second.earlier().get(0).taken());
+        assertEquals(40, second.earlierTotals().get(0).taken());
         Await.until("only the new life's file", () -> files().size() == 1);
-        loop.submit(second::end).get().get(10, TimeUnit.SECONDS);
+        loop.submit(second::shutDown).get().get(10, TimeUnit.SECONDS);
         assertEquals(Set.of(), orphans(folder));
     }
 
     @Test
     void filesAreRotatedAndBounded() throws Exception {
-        Journal journal = journal(Journal.FILES, 1 << 16);
+        Journal journal = journal(Journal.FILE_OUTPUTS, 1 << 16);
         for (int round = 0; round < 200; round++) {
             play(journal, 400, 390);
             assertTrue(files().size() <= 3, files().toString());
@@ -157,7 +157,7 @@
     /** A file that is cut off anywhere or has any bit flipped is read as far as it can be trusted, and the damage is reported. */
     @Test
     void tornTailsAndFlippedBitsAreToldAndNeverBelieved() throws Exception {
-        Journal journal = journal(Journal.FILES, 1 << 20);
+        Journal journal = journal(Journal.FILE_OUTPUTS, 1 << 20);
         for (int i = 0; i < 20; i++) {
             play(journal, 10, 7);
             awaitKnown();
@@ -185,7 +185,7 @@
     /** A newer file whose beginning is incomplete is ignored: the file before it still has everything. */
     @Test
     void aFileThatDoesNotTellAllLeavesTheOneBeforeInForce() throws Exception {
-        Journal journal = journal(Journal.FILES, 1 << 20);
+        Journal journal = journal(Journal.FILE_OUTPUTS, 1 << 20);
         play(journal, 9, 2);
         awaitKnown();
         Path whole = files().get(0);
@@ -203,9 +203,9 @@
         void write(Journal.Output real, ByteBuffer bytes) throws IOException;
     }
 
-    private static Journal.Disk disk(Writes writes) {
+    private static Journal.OutputFactory disk(Writes writes) {
         return file -> {
-            Journal.Output real = Journal.FILES.create(file);
+            Journal.Output real = Journal.FILE_OUTPUTS.create(file);
             return new Journal.Output() {
                 @Override
                 public void write(ByteBuffer bytes) throws IOException {
@@ -232,7 +232,7 @@
     @Test
     void aFullDiskCostsEntriesAndIsMadeUpFor() throws Exception {
         AtomicBoolean isFull = new AtomicBoolean();
-        Journal.Disk disk = disk((real, bytes) -> {
+        Journal.OutputFactory disk = disk((real, bytes) -> {
             if (isFull.get()) {
                 // A part of the bytes still fits, so the file ends with a torn record.
                 real.write(bytes.slice(bytes.position(), bytes.remaining() / 2));
@@ -246,7 +246,7 @@
         isFull.set(true);
         Await.until("the trouble", () -> {
             play(journal, 2, 1);
-            return journal.lost() > 0;
+            return journal.lostEntries() > 0;
         });
         isFull.set(false);
         Await.until("the journal goes on", () -> {
@@ -262,7 +262,7 @@
     @Test
     void aDiskThatStandsStillHoldsNothingUp() throws Exception {
         CountDownLatch goOn = new CountDownLatch(1);
-        Journal.Disk disk = disk((real, bytes) -> {
+        Journal.OutputFactory disk = disk((real, bytes) -> {
             try {
                 goOn.await();
             } catch (InterruptedException e) {
@@ -275,7 +275,7 @@
             play(journal, 1_000, 1_000);
         }
         play(journal, 7, 0);
-        assertTrue(loop.submit(journal::lost).get() > 0, "lost, since 64 frames are all that wait");
+        assertTrue(loop.submit(journal::lostEntries).get() > 0, "lost, since 64 frames are all that wait");
         goOn.countDown();
         awaitKnown();
         assertEquals(300_007, EarlierRuns.read(folder, List.of(0)).totals().get(0).taken());
@@ -283,13 +283,13 @@
 
     @Test
     void aDirectoryThatIsNoneOrAnothersIsToldAndNotFatal() throws Exception {
-        Journal first = journal(Journal.FILES, 1 << 20);
+        Journal first = journal(Journal.FILE_OUTPUTS, 1 << 20);
         assertNotNull(first);
-        assertNull(journal(Journal.FILES, 1 << 20));
+        assertNull(journal(Journal.FILE_OUTPUTS, 1 << 20));
         assertTrue(log.get(0).contains("can't be used: this process already writes a journal there"), log.toString());
-        loop.submit(first::end).get().get(10, TimeUnit.SECONDS);
+        loop.submit(first::shutDown).get().get(10, TimeUnit.SECONDS);
         Path file = Files.createFile(folder.resolve("file"));
-        assertNull(loop.submit(() -> Journal.open(loop, new LoopLedgerConfig(0, file, SYNC_NANOS, 1 << 20, 0, 1), Journal.FILES,
+        assertNull(loop.submit(() -> Journal.open(loop, new LoopLedgerConfig(0, file, SYNC_NANOS, 1 << 20, 0, 1), Journal.FILE_OUTPUTS,
                 ledger, this::tellOpen, log::add)).get());
     }
 }
