--- a/src/main/java/cinderhollow/cli/LedgerCommand.java
+++ b/src/main/java/cinderhollow/cli/LedgerCommand.java
@@ -49,13 +49,13 @@
             totals = show(addresses);
         }
         if (acknowledge) {
-            AdminClient.acknowledge(addresses);
+            AdminClient.acknowledgeBreaches(addresses);
         }
         return totals.addUp() ? 0 : BROKEN;
     }
 
     private Totals show(List<String> addresses) throws IOException {
-        Totals totals = AdminClient.totals(addresses);
+        Totals totals = AdminClient.ledgerTotals(addresses);
         Commands.print(spec, totals.table());
         return totals;
     }
--- a/src/main/java/cinderhollow/cli/ZoneCommand.java
+++ b/src/main/java/cinderhollow/cli/ZoneCommand.java
@@ -34,7 +34,7 @@
     @Override
     public Integer call() throws IOException {
         switch (verb) {
-            case "status" -> Commands.print(spec, AdminClient.zones(admin).stripTrailing());
+            case "status" -> Commands.print(spec, AdminClient.zoneStatus(admin).stripTrailing());
             case "leave", "return", "hold", "none" -> {
                 if (zone == null) {
                     throw new ParameterException(spec.commandLine(), "an order needs a ZONE");
--- a/src/main/java/cinderhollow/daemon/AdminClient.java
+++ b/src/main/java/cinderhollow/daemon/AdminClient.java
@@ -32,7 +32,7 @@
     }
 
     /** Returns the sums of the ledgers of the gateways at these addresses. */
-    public static Totals totals(List<String> addresses) throws IOException {
+    public static Totals ledgerTotals(List<String> addresses) throws IOException {
         Totals totals = new Totals();
         for (String address : addresses) {
             totals.add(metrics(address));
@@ -41,29 +41,29 @@
     }
 
     /** Marks the ledger breaches of the gateways at these addresses as seen. */
-    public static void acknowledge(List<String> addresses) throws IOException {
+    public static void acknowledgeBreaches(List<String> addresses) throws IOException {
         for (String address : addresses) {
-            ask(address, "POST", "/ledger/acknowledge");
+            sendRequest(address, "POST", "/ledger/acknowledge");
         }
     }
 
     /** Returns a gateway's metrics as OpenMetrics text. */
     public static String metrics(String address) throws IOException {
-        return ask(address, "GET", "/metrics");
+        return sendRequest(address, "GET", "/metrics");
     }
 
     /** Returns the state of the zones of a gateway's fleet, as text. */
-    public static String zones(String address) throws IOException {
-        return ask(address, "GET", "/zones");
+    public static String zoneStatus(String address) throws IOException {
+        return sendRequest(address, "GET", "/zones");
     }
 
     /** Gives the whole fleet an order about a zone, by way of this gateway, valid for {@code forMillis} milliseconds. */
     public static void order(String address, String what, String zone, long forMillis) throws IOException {
-        ask(address, "POST", "/zones/" + what + "/" + zone + "/" + forMillis);
+        sendRequest(address, "POST", "/zones/" + what + "/" + zone + "/" + forMillis);
     }
 
     /** Sends a request and returns the body of the answer; any status but 200 is an {@link IOException}. */
-    static String ask(String address, String method, String path) throws IOException {
+    static String sendRequest(String address, String method, String path) throws IOException {
         SocketAddress to = address(address);
         String answer;
         try (SocketChannel channel = to instanceof UnixDomainSocketAddress ? SocketChannel.open(StandardProtocolFamily.UNIX)
--- a/src/test/java/cinderhollow/cli/ZoneProcessesTest.java
+++ b/src/test/java/cinderhollow/cli/ZoneProcessesTest.java
@@ -91,7 +91,7 @@
         Await.until("gateway " + number + " shows '" + text + "'", () -> {
             assertTrue(processes[number].isAlive(), () -> log(number));
             try {
-                return AdminClient.zones(admin(number)).contains(text);
+                return AdminClient.zoneStatus(admin(number)).contains(text);
             } catch (IOException e) {
                 return false;
             }
--- a/src/test/java/cinderhollow/daemon/AdminTest.java
+++ b/src/test/java/cinderhollow/daemon/AdminTest.java
@@ -51,7 +51,7 @@
             for (int i = 0; i < 10; i++) {
                 f.client().ask(status("r" + i, LONG_MILLIS));
             }
-            String shown = AdminClient.totals(List.of(text(admin))).table();
+            String shown = AdminClient.ledgerTotals(List.of(text(admin))).table();
             assertTrue(shown.contains(" 10 "), shown);
             assertTrue(shown.endsWith("all adds up"), shown);
             assertEquals(2, f.gateway.ledgerMetrics().join().size());
@@ -68,9 +68,9 @@
                 gateway.findNewBreaches();
             }).sync();
             List<String> address = List.of(text(admin));
-            assertTrue(AdminClient.totals(address).table().contains(" 2 breaches"));
-            AdminClient.acknowledge(address);
-            String shown = AdminClient.totals(address).table();
+            assertTrue(AdminClient.ledgerTotals(address).table().contains(" 2 breaches"));
+            AdminClient.acknowledgeBreaches(address);
+            String shown = AdminClient.ledgerTotals(address).table();
             assertTrue(shown.contains(" 0 breaches"), shown);
             assertTrue(shown.endsWith("IT DOES NOT ADD UP"), shown);
         }
@@ -89,7 +89,7 @@
             try (Admin admin = Admin.listen(address, f.gateway)) {
                 assertEquals("rw-------", java.nio.file.attribute.PosixFilePermissions.toString(
                         Files.getPosixFilePermissions(file)));
-                assertTrue(AdminClient.ask("unix:" + file, "GET", "/metrics").endsWith("# EOF\n"));
+                assertTrue(AdminClient.sendRequest("unix:" + file, "GET", "/metrics").endsWith("# EOF\n"));
                 assertTrue(assertThrows(IllegalArgumentException.class, () -> Admin.listen(address, f.gateway))
                         .getMessage().contains("another process listens there"));
                 assertTrue(admin.address().toString().contains("admin.sock"));
@@ -102,12 +102,12 @@
     void otherPathsAndMethodsAndNoiseAreTurnedAway() throws Exception {
         try (ScriptedHost a = host(); GatewayFixture f = gateway("", a); Admin admin = onAnyPort(f)) {
             String address = text(admin);
-            assertTrue(assertThrows(IOException.class, () -> AdminClient.ask(address, "GET", "/")).getMessage().contains(" 404 "));
-            assertTrue(assertThrows(IOException.class, () -> AdminClient.ask(address, "GET", "/ledger/acknowledge"))
+            assertTrue(assertThrows(IOException.class, () -> AdminClient.sendRequest(address, "GET", "/")).getMessage().contains(" 404 "));
+            assertTrue(assertThrows(IOException.class, () -> AdminClient.sendRequest(address, "GET", "/ledger/acknowledge"))
                     .getMessage().contains(" 405 "));
-            assertThrows(IOException.class, () -> AdminClient.ask(address, "x y", "/metrics"));
-            assertThrows(IOException.class, () -> AdminClient.ask(address, "GET", "/" + "x".repeat(100_000)));
-            assertTrue(AdminClient.ask(address, "GET", "/metrics").endsWith("# EOF\n"));
+            assertThrows(IOException.class, () -> AdminClient.sendRequest(address, "x y", "/metrics"));
+            assertThrows(IOException.class, () -> AdminClient.sendRequest(address, "GET", "/" + "x".repeat(100_000)));
+            assertTrue(AdminClient.sendRequest(address, "GET", "/metrics").endsWith("# EOF\n"));
         }
     }
 
@@ -157,10 +157,10 @@
                 }
             });
             String address = text(admin);
-            assertTrue(assertThrows(IOException.class, () -> AdminClient.ask(address, "GET", "/metrics")).getMessage()
+            assertTrue(assertThrows(IOException.class, () -> AdminClient.sendRequest(address, "GET", "/metrics")).getMessage()
                     .contains(" 503 "));
             goOn.countDown();
-            assertTrue(AdminClient.ask(address, "GET", "/metrics").endsWith("# EOF\n"));
+            assertTrue(AdminClient.sendRequest(address, "GET", "/metrics").endsWith("# EOF\n"));
         } finally {
             goOn.countDown();
         }
@@ -172,9 +172,9 @@
         try (ScriptedHost a = host(); GatewayFixture f = gateway("", a); Admin admin = onAnyPort(f)) {
             f.client().ask(status("r", LONG_MILLIS));
             var ended = f.gateway.shutDown();
-            assertTrue(AdminClient.totals(List.of(text(admin))).table().endsWith("all adds up"));
+            assertTrue(AdminClient.ledgerTotals(List.of(text(admin))).table().endsWith("all adds up"));
             await("the end", ended::isDone);
-            assertTrue(AdminClient.totals(List.of(text(admin))).table().endsWith("all adds up"));
+            assertTrue(AdminClient.ledgerTotals(List.of(text(admin))).table().endsWith("all adds up"));
         }
     }
 }
