--- a/src/main/java/cinderhollow/daemon/GatewayDaemon.java
+++ b/src/main/java/cinderhollow/daemon/GatewayDaemon.java
@@ -55,7 +55,7 @@
         // Opened before the warm-up: operators may ask from the start, and are answered that the gateway does not serve yet.
         Runnable endOfDoor = config.door() == null ? null : Operations.open(group, config.door(), gateway);
         // The warm-up runs while discovery's first answer is awaited.
-        Rehearsal.run(config, Rehearsal.LONGEST_MILLIS);
+        WarmUp.run(config, WarmUp.LONGEST_MILLIS);
         boolean upgrades = config.inherited() != null && config.inherited().folder() != null;
         // As late as possible, so that the predecessor's snapshot is as recent as possible.
         Runnable tellServes = upgrades ? Handover.takeOver(group.next(), config.inherited().folder(), gateway,
--- a/src/main/java/cinderhollow/daemon/Rehearsal.java
+++ b/src/main/java/cinderhollow/daemon/WarmUp.java
@@ -43,7 +43,7 @@
  * late, and the policy learns from these answers that all servers are slow. Nothing of the warm-up remains after it, and no
  * real client or server is involved.
  */
-final class Rehearsal {
+final class WarmUp {
     /** Size of the warm-up: enough to run nearly all code often; more would delay the start of the gateway. */
     private static final int REQUESTS = 400, CLIENTS = 8, HOSTS = 4, NONE = -1, MARK = 0;
     /** Body that contains the end mark only as its last byte: a read may end anywhere. */
@@ -74,7 +74,7 @@
     private int asked;
     private int answered;
 
-    private Rehearsal(MultiThreadIoEventLoopGroup group, GatewayConfig config, Transport transport,
+    private WarmUp(MultiThreadIoEventLoopGroup group, GatewayConfig config, Transport transport,
                       SocketAddress stage, SocketAddress hosts) {
         loop = group.next();
         gatewayLoop = group.next();
@@ -103,7 +103,7 @@
             Path stage = folder.resolve("stage");
             Path hosts = folder.resolve("hosts");
             try {
-                return new Rehearsal(group, config, transport, UnixDomainSocketAddress.of(stage),
+                return new WarmUp(group, config, transport, UnixDomainSocketAddress.of(stage),
                         UnixDomainSocketAddress.of(hosts)).played(longestMillis) || inProcess(config, longestMillis);
             } finally {
                 group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS).await(END_MILLIS);
@@ -129,8 +129,8 @@
         // Two threads: on one, answers would be received while their request is still being sent.
         MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(2, LocalIoHandler.newFactory());
         try {
-            return new Rehearsal(group, config, Transport.IN_PROCESS, new LocalAddress(Rehearsal.class),
-                    new LocalAddress(Rehearsal.class)).played(longestMillis);
+            return new WarmUp(group, config, Transport.IN_PROCESS, new LocalAddress(WarmUp.class),
+                    new LocalAddress(WarmUp.class)).played(longestMillis);
         } finally {
             group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS).await(END_MILLIS);
         }
--- a/src/test/java/cinderhollow/daemon/RehearsalTest.java
+++ b/src/test/java/cinderhollow/daemon/RehearsalTest.java
@@ -35,7 +35,7 @@
     @Test
     void isPlayedToItsEndAndLeavesNothing() throws Exception {
         List<Path> before = folders();
-        assertTrue(Rehearsal.run(config(), GatewayFixture.PATIENCE_MILLIS * 6));
+        assertTrue(WarmUp.run(config(), GatewayFixture.PATIENCE_MILLIS * 6));
         assertEquals(before, folders());
     }
 
@@ -48,7 +48,7 @@
         List<Path> before = folders();
         Transport deaf = new Transport(Transport.UNIX_DOMAIN.serverChannelType(), NeverConnects.class);
         long start = System.nanoTime();
-        assertTrue(Rehearsal.run(config(), deaf, 60_000));
+        assertTrue(WarmUp.run(config(), deaf, 60_000));
         assertTrue(System.nanoTime() - start < 30_000_000_000L, "the warm-up waited for a connection that is never established");
         assertEquals(before, folders());
     }
@@ -64,7 +64,7 @@
     @Test
     void isCutShortWhereItTakesTooLong() throws Exception {
         List<Path> before = folders();
-        assertFalse(Rehearsal.run(config(), 1));
+        assertFalse(WarmUp.run(config(), 1));
         assertEquals(before, folders());
     }
 }
