--- a/src/main/java/cinderhollow/daemon/Gateway.java
+++ b/src/main/java/cinderhollow/daemon/Gateway.java
@@ -136,7 +136,7 @@
     private final SampledLog lateRefusals;
     private final GatewayConfig config;
     /** Null where this gateway has no peers. */
-    private final ZoneTalk talk;
+    private final PeerTransport talk;
     /** Whether any zone is usable, so that clients should come to this gateway. */
     private boolean welcome = true;
     /** Null where no operator's file sets routes. */
@@ -217,7 +217,7 @@
         clients = new DownstreamConnectionManager(loop, transport, clock, lag, connections / 2, new Requests(),
                 ledger == null ? null : ledger.sheet(Place.CLIENTS));
         choice = new LoadBalancer(config.settings(), config.seed(), this);
-        talk = config.peering() == null ? null : new ZoneTalk(loop, config.peering(), config.settings().rules(), clock,
+        talk = config.peering() == null ? null : new PeerTransport(loop, config.peering(), config.settings().rules(), clock,
                 config.seed(), this::tell, clientsMayCome -> welcome = clientsMayCome, log);
     }
 
--- a/src/main/java/cinderhollow/daemon/ZoneTalk.java
+++ b/src/main/java/cinderhollow/daemon/PeerTransport.java
@@ -32,7 +32,7 @@
  * The sockets and the clock of {@link Evacuation}: exchanges datagrams with the other gateways and passes on how attempts end
  * here. Everything runs on the gateway's own event loop. Loaded only where an operator's file has peers.
  */
-final class ZoneTalk {
+final class PeerTransport {
     /** Longest datagram that is read, in bytes, longer than any valid one; a longer one is truncated and then rejected. */
     private static final int RECEIVED = 512;
     private static final long LEAST_WAIT = TimeUnit.MILLISECONDS.toNanos(1), MOST_WAIT = TimeUnit.MILLISECONDS.toNanos(25);
@@ -51,7 +51,7 @@
      * Creates the exchange. Events for the decision module go to {@code eventSink}, and whether clients should come to this
      * gateway goes to {@code zoneAvailable}.
      */
-    ZoneTalk(EventLoop loop, Peering peering, Rules rules, GatewayClock clock, long seed, Consumer<Event> module,
+    PeerTransport(EventLoop loop, Peering peering, Rules rules, GatewayClock clock, long seed, Consumer<Event> module,
              Consumer<Boolean> welcome, Consumer<String> log) {
         this.loop = loop;
         this.peering = peering;
--- a/src/test/java/cinderhollow/cli/StartTest.java
+++ b/src/test/java/cinderhollow/cli/StartTest.java
@@ -76,7 +76,7 @@
                 || line.contains("cinderhollow.daemon.Admin") || line.contains("cinderhollow.daemon.Journal")
                 || line.contains("cinderhollow.daemon.EarlierRuns") || line.contains(" org.jctools.")
                 || line.contains("cinderhollow.peers.") || line.contains("cinderhollow.evacuation.")
-                || line.contains("cinderhollow.daemon.ZoneTalk") || line.contains("cinderhollow.daemon.Peering")
+                || line.contains("cinderhollow.daemon.PeerTransport") || line.contains("cinderhollow.daemon.Peering")
                 || line.contains("cinderhollow.operator.") || line.contains("cinderhollow.daemon.OperatorConfigLoader")
                 || line.contains("cinderhollow.routes.") && !line.contains("cinderhollow.routes.Paths ")).toList());
     }
