--- a/src/main/java/cinderhollow/daemon/Admin.java
+++ b/src/main/java/cinderhollow/daemon/Admin.java
@@ -42,19 +42,19 @@
 /**
  * The admin listener: HTTP on an address and a thread of its own, with {@code GET /metrics}, {@code POST
  * /ledger/acknowledge}, {@code GET /zones} and {@code POST /zones/...}. Each connection carries one request, and at most
- * {@link #MOST_CONNECTIONS} are held at once.
+ * {@link #MAX_CONNECTIONS} are held at once.
  */
 final class Admin implements AutoCloseable {
     /** Connections held at once, and the longest request body in bytes. */
-    private static final int MOST_CONNECTIONS = 16, LARGEST_REQUEST = 1024;
+    private static final int MAX_CONNECTIONS = 16, MAX_REQUEST_BYTES = 1024;
     /** Time, in milliseconds from accepting to the last byte read by the client, after which a connection is closed. */
-    private static final long LONGEST_MILLIS = 10_000;
+    private static final long CONNECTION_TIMEOUT_MILLIS = 10_000;
     /** Longest wait, in milliseconds, for the event loops to provide what was asked. */
-    private static final long PATIENCE_MILLIS = 2_000;
+    private static final long LOOP_TIMEOUT_MILLIS = 2_000;
 
-    private static final String NO_PEERS = "this gateway talks with no other\n", LAST_LINE = "# EOF\n";
+    private static final String NO_PEERS_TEXT = "this gateway talks with no other\n", EOF_LINE = "# EOF\n";
     private static final int ORDER_PARTS = 3;
-    private static final long LONGEST_ORDER_MILLIS = TimeUnit.DAYS.toMillis(30);
+    private static final long MAX_ORDER_MILLIS = TimeUnit.DAYS.toMillis(30);
 
     private final GatewayService gateway;
     /** Epoch of this run of the process: its start time, and a random number that no other run has. */
@@ -66,19 +66,19 @@
 
     private Admin(SocketAddress address, GatewayService gateway) throws IOException {
         this.gateway = gateway;
-        Path file = address instanceof UnixDomainSocketAddress unix ? unix.getPath() : null;
-        if (file != null) {
-            removeStale(file);
+        Path socketFile = address instanceof UnixDomainSocketAddress unix ? unix.getPath() : null;
+        if (socketFile != null) {
+            removeStaleSocket(socketFile);
         }
-        listener = new ServerBootstrap().group(group).channel((file == null ? Transport.TCP : Transport.UNIX_DOMAIN).serverChannelType())
+        listener = new ServerBootstrap().group(group).channel((socketFile == null ? Transport.TCP : Transport.UNIX_DOMAIN).serverChannelType())
                 .handler(new AcceptErrorHandler()).childHandler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
-                        begin(channel);
+                        acceptConnection(channel);
                     }
                 }).bind(address).syncUninterruptibly().channel();
-        if (file != null) {
-            Files.setPosixFilePermissions(file, PosixFilePermissions.fromString("rw-------"));
+        if (socketFile != null) {
+            Files.setPosixFilePermissions(socketFile, PosixFilePermissions.fromString("rw-------"));
         }
     }
 
@@ -101,7 +101,7 @@
     }
 
     /** Deletes a socket file that a killed process left behind; if a process still listens on it, fails instead. */
-    private static void removeStale(Path file) throws IOException {
+    private static void removeStaleSocket(Path file) throws IOException {
         if (Files.exists(file)) {
             try {
                 SocketChannel.open(UnixDomainSocketAddress.of(file)).close();
@@ -117,55 +117,55 @@
         return listener.localAddress();
     }
 
-    private void begin(Channel channel) {
-        if (connections.size() >= MOST_CONNECTIONS) {
+    private void acceptConnection(Channel channel) {
+        if (connections.size() >= MAX_CONNECTIONS) {
             channel.close();
             return;
         }
         connections.add(channel);
-        channel.eventLoop().schedule(() -> channel.close(), LONGEST_MILLIS, TimeUnit.MILLISECONDS);
-        channel.pipeline().addLast(new HttpServerCodec(), new HttpObjectAggregator(LARGEST_REQUEST), new Asked());
+        channel.eventLoop().schedule(() -> channel.close(), CONNECTION_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
+        channel.pipeline().addLast(new HttpServerCodec(), new HttpObjectAggregator(MAX_REQUEST_BYTES), new RequestHandler());
     }
 
     /** Inserts the zones' metrics before the last line, which marks the end of OpenMetrics text. */
-    private static String withZones(String metrics, ZoneStanding zones) {
-        return zones == null || !metrics.endsWith(LAST_LINE) ? metrics
-                : metrics.substring(0, metrics.length() - LAST_LINE.length()) + zones.metrics() + LAST_LINE;
+    private static String appendZones(String metrics, ZoneStanding zones) {
+        return zones == null || !metrics.endsWith(EOF_LINE) ? metrics
+                : metrics.substring(0, metrics.length() - EOF_LINE.length()) + zones.metrics() + EOF_LINE;
     }
 
     /** Handles the requests of one connection. */
-    private final class Asked extends SimpleChannelInboundHandler<FullHttpRequest> {
+    private final class RequestHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
-            String wanted = request.method() + " " + request.uri();
+            String requestLine = request.method() + " " + request.uri();
             if (!request.decoderResult().isSuccess()) {
                 answer(ctx, HttpResponseStatus.BAD_REQUEST, "not a readable HTTP request\n");
-            } else if (wanted.equals("GET /metrics")) {
-                tell(ctx, gateway.ledgerMetrics().thenCombine(gateway.zones(), (figures, zones) ->
-                        withZones(OpenMetrics.write(figures, epoch), zones)));
-            } else if (wanted.equals("POST /ledger/acknowledge")) {
-                tell(ctx, gateway.acknowledge().thenApply(none -> "acknowledged\n"));
-            } else if (wanted.equals("GET /zones")) {
-                tell(ctx, gateway.zones().thenApply(standing -> standing == null ? NO_PEERS : standing.text()));
-            } else if (wanted.startsWith("POST /zones/")) {
+            } else if (requestLine.equals("GET /metrics")) {
+                answerWhenDone(ctx, gateway.ledgerMetrics().thenCombine(gateway.zoneStatus(), (figures, zones) ->
+                        appendZones(OpenMetrics.write(figures, epoch), zones)));
+            } else if (requestLine.equals("POST /ledger/acknowledge")) {
+                answerWhenDone(ctx, gateway.acknowledgeBreaches().thenApply(none -> "acknowledged\n"));
+            } else if (requestLine.equals("GET /zones")) {
+                answerWhenDone(ctx, gateway.zoneStatus().thenApply(standing -> standing == null ? NO_PEERS_TEXT : standing.text()));
+            } else if (requestLine.startsWith("POST /zones/")) {
                 order(ctx, request.uri().substring("/zones/".length()));
             } else {
-                boolean known = request.uri().equals("/metrics") || request.uri().equals("/ledger/acknowledge");
-                answer(ctx, known ? HttpResponseStatus.METHOD_NOT_ALLOWED : HttpResponseStatus.NOT_FOUND,
+                boolean knownPath = request.uri().equals("/metrics") || request.uri().equals("/ledger/acknowledge");
+                answer(ctx, knownPath ? HttpResponseStatus.METHOD_NOT_ALLOWED : HttpResponseStatus.NOT_FOUND,
                         "GET /metrics, or POST /ledger/acknowledge\n");
             }
         }
 
         /** Gives an order from a path such as {@code leave/ostim/600000}; the last part is its duration in milliseconds. */
-        private void order(ChannelHandlerContext ctx, String call) {
-            String[] parts = call.split("/");
+        private void order(ChannelHandlerContext ctx, String path) {
+            String[] parts = path.split("/");
             try {
                 Order.What what = Order.What.valueOf(parts[0].toUpperCase(Locale.ROOT));
                 long forMillis = Long.parseLong(parts[2]);
-                if (parts.length != ORDER_PARTS || forMillis < 0 || forMillis > LONGEST_ORDER_MILLIS) {
-                    throw new IllegalArgumentException("no order: " + call);
+                if (parts.length != ORDER_PARTS || forMillis < 0 || forMillis > MAX_ORDER_MILLIS) {
+                    throw new IllegalArgumentException("no order: " + path);
                 }
-                gateway.order(parts[1], what, forMillis).orTimeout(PATIENCE_MILLIS, TimeUnit.MILLISECONDS)
+                gateway.order(parts[1], what, forMillis).orTimeout(LOOP_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)
                         .whenComplete((none, fault) -> answer(ctx, fault == null ? HttpResponseStatus.OK
                                 : HttpResponseStatus.CONFLICT, fault == null ? "ordered\n" : fault.getMessage() + "\n"));
             } catch (IllegalArgumentException | IndexOutOfBoundsException e) {
@@ -174,10 +174,10 @@
         }
 
         /** Answers with the text once its future completes, or with status 503 if it fails or takes too long. */
-        private void tell(ChannelHandlerContext ctx, CompletableFuture<String> text) {
-            text.orTimeout(PATIENCE_MILLIS, TimeUnit.MILLISECONDS).whenComplete((told, fault) -> {
+        private void answerWhenDone(ChannelHandlerContext ctx, CompletableFuture<String> text) {
+            text.orTimeout(LOOP_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS).whenComplete((body, fault) -> {
                 if (fault == null) {
-                    answer(ctx, HttpResponseStatus.OK, told);
+                    answer(ctx, HttpResponseStatus.OK, body);
                 } else {
                     answer(ctx, HttpResponseStatus.SERVICE_UNAVAILABLE, "an event loop does not answer\n");
                 }
@@ -185,13 +185,13 @@
         }
 
         private void answer(ChannelHandlerContext ctx, HttpResponseStatus status, String text) {
-            DefaultFullHttpResponse answer = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status,
+            DefaultFullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status,
                     Unpooled.copiedBuffer(text, StandardCharsets.UTF_8));
-            answer.headers().set(HttpHeaderNames.CONTENT_TYPE, status.equals(HttpResponseStatus.OK)
+            response.headers().set(HttpHeaderNames.CONTENT_TYPE, status.equals(HttpResponseStatus.OK)
                     && text.startsWith("#") ? OpenMetrics.CONTENT_TYPE : "text/plain; charset=utf-8");
-            answer.headers().setInt(HttpHeaderNames.CONTENT_LENGTH, answer.content().readableBytes());
-            answer.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
-            ctx.writeAndFlush(answer).addListener(ChannelFutureListener.CLOSE);
+            response.headers().setInt(HttpHeaderNames.CONTENT_LENGTH, response.content().readableBytes());
+            response.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
+            ctx.writeAndFlush(response).addListener(ChannelFutureListener.CLOSE);
         }
 
         @Override
--- a/src/main/java/cinderhollow/daemon/AdminClient.java
+++ b/src/main/java/cinderhollow/daemon/AdminClient.java
@@ -18,16 +18,16 @@
 
 /** Client of the admin listeners of running gateways. */
 public final class AdminClient {
-    private static final String UNIX = "unix:";
-    private static final long PATIENCE_MILLIS = 10_000;
+    private static final String UNIX_PREFIX = "unix:";
+    private static final long TIMEOUT_MILLIS = 10_000;
     /** Longest answer, in bytes: the metrics of 10,000 accounts take some tens of MB, and nothing else is as long. */
-    private static final int LARGEST_ANSWER = 1 << 27;
+    private static final int MAX_ANSWER_BYTES = 1 << 27;
 
     private AdminClient() { }
 
     /** Parses an address in the form of the operator's file: {@code unix:PATH} or host and port. */
-    static SocketAddress address(String text) {
-        return text.startsWith(UNIX) ? UnixDomainSocketAddress.of(text.substring(UNIX.length()))
+    static SocketAddress parseAddress(String text) {
+        return text.startsWith(UNIX_PREFIX) ? UnixDomainSocketAddress.of(text.substring(UNIX_PREFIX.length()))
                 : EndpointList.parseAddress(text);
     }
 
@@ -64,37 +64,37 @@
 
     /** Sends a request and returns the body of the answer; any status but 200 is an {@link IOException}. */
     static String sendRequest(String address, String method, String path) throws IOException {
-        SocketAddress to = address(address);
+        SocketAddress target = parseAddress(address);
         String answer;
-        try (SocketChannel channel = to instanceof UnixDomainSocketAddress ? SocketChannel.open(StandardProtocolFamily.UNIX)
+        try (SocketChannel channel = target instanceof UnixDomainSocketAddress ? SocketChannel.open(StandardProtocolFamily.UNIX)
                 : SocketChannel.open()) {
             // Closing the channel unblocks the thread that reads from it.
-            answer = CompletableFuture.supplyAsync(() -> exchange(channel, to, method, path))
-                    .get(PATIENCE_MILLIS, TimeUnit.MILLISECONDS);
+            answer = CompletableFuture.supplyAsync(() -> exchange(channel, target, method, path))
+                    .get(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
         } catch (ExecutionException | TimeoutException e) {
-            String why = e instanceof TimeoutException ? "no answer in time" : e.getCause().getMessage();
-            throw new IOException("can't ask " + address + ": " + why, e);
+            String reason = e instanceof TimeoutException ? "no answer in time" : e.getCause().getMessage();
+            throw new IOException("can't ask " + address + ": " + reason, e);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             throw new IOException("interrupted while asking " + address, e);
         }
-        int body = answer.indexOf("\r\n\r\n");
-        if (!answer.startsWith("HTTP/1.1 200 ") || body < 0) {
-            String why = body < 0 ? "" : ": " + answer.substring(body + 4).strip();
-            throw new IOException(address + " answers " + answer.lines().findFirst().orElse("nothing") + why);
+        int headersEnd = answer.indexOf("\r\n\r\n");
+        if (!answer.startsWith("HTTP/1.1 200 ") || headersEnd < 0) {
+            String reason = headersEnd < 0 ? "" : ": " + answer.substring(headersEnd + 4).strip();
+            throw new IOException(address + " answers " + answer.lines().findFirst().orElse("nothing") + reason);
         }
-        return answer.substring(body + 4);
+        return answer.substring(headersEnd + 4);
     }
 
-    private static String exchange(SocketChannel channel, SocketAddress to, String method, String path) {
+    private static String exchange(SocketChannel channel, SocketAddress target, String method, String path) {
         try {
-            channel.connect(to);
+            channel.connect(target);
             ByteBuffer request = StandardCharsets.US_ASCII.encode(method + " " + path
                     + " HTTP/1.1\r\nHost: admin\r\nContent-Length: 0\r\nConnection: close\r\n\r\n");
             while (request.hasRemaining()) {
                 channel.write(request);
             }
-            return new String(Channels.newInputStream(channel).readNBytes(LARGEST_ANSWER), StandardCharsets.UTF_8);
+            return new String(Channels.newInputStream(channel).readNBytes(MAX_ANSWER_BYTES), StandardCharsets.UTF_8);
         } catch (IOException e) {
             throw new IllegalStateException(e.getMessage(), e);
         }
--- a/src/main/java/cinderhollow/daemon/Gateway.java
+++ b/src/main/java/cinderhollow/daemon/Gateway.java
@@ -89,37 +89,37 @@
  */
 final class Gateway implements Actions, GatewayService {
     /** The platform kills the process no sooner than the longest request deadline plus this time after SIGTERM. */
-    private static final long KILLED_AFTER_NANOS = TimeUnit.MILLISECONDS.toNanos(700);
+    private static final long KILL_GRACE_NANOS = TimeUnit.MILLISECONDS.toNanos(700);
     /** Cap on the deadline that counts for the shutdown time: a longer one counts as this. */
-    private static final long LONGEST_COUNTED_NANOS = TimeUnit.SECONDS.toNanos(3);
+    private static final long MAX_SHUTDOWN_DEADLINE_NANOS = TimeUnit.SECONDS.toNanos(3);
     /**
      * Reserve of the shutdown time, for a signal that is handled late, for 0.15 s in which the process gets no core, and for
      * its last steps.
      */
-    private static final long END_MARGIN_NANOS = TimeUnit.MILLISECONDS.toNanos(250);
+    private static final long SHUTDOWN_MARGIN_NANOS = TimeUnit.MILLISECONDS.toNanos(250);
     /**
      * Time after its deadline at which the gateway itself answers an unanswered request. Half a second after this the answer
      * would be lost.
      */
-    private static final long OVERDUE_NANOS = TimeUnit.MILLISECONDS.toNanos(200);
+    private static final long OVERDUE_GRACE_NANOS = TimeUnit.MILLISECONDS.toNanos(200);
     /** The same at shutdown, past the shutdown deadline, and the interval of the check for overdue requests. */
-    private static final long OVERDUE_AT_END_NANOS = TimeUnit.MILLISECONDS.toNanos(40);
-    private static final long OVERDUE_LOOK_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
-    private static final long LONGEST_TAKING_NANOS = TimeUnit.SECONDS.toNanos(1);
+    private static final long OVERDUE_GRACE_AT_SHUTDOWN_NANOS = TimeUnit.MILLISECONDS.toNanos(40);
+    private static final long OVERDUE_CHECK_INTERVAL_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
+    private static final long MAX_SHUTDOWN_ACCEPT_NANOS = TimeUnit.SECONDS.toNanos(1);
     /** Shortest time for which connections are accepted during shutdown: new ones keep arriving for up to 0.4 s. */
-    private static final long LEAST_TAKING_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
-    private static final long END_CHECK_MILLIS = 10;
+    private static final long MIN_SHUTDOWN_ACCEPT_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
+    private static final long IDLE_CHECK_INTERVAL_MILLIS = 10;
     /** Tries to bind the listener, and the delay between them, while the system cannot provide a socket. */
-    private static final int LISTEN_ATTEMPTS = 40;
-    private static final long LISTEN_RETRY_MILLIS = 50;
+    private static final int MAX_LISTEN_TRIES = 40;
+    private static final long LISTEN_RETRY_DELAY_MILLIS = 50;
     /** Longest wait for the journal at shutdown: a slow disk must not delay the end of the process. */
-    private static final long JOURNAL_END_MILLIS = 300;
+    private static final long JOURNAL_SHUTDOWN_TIMEOUT_MILLIS = 300;
     /** File descriptors reserved for the listener, the watch, the selector, the jar files and the standard streams. */
-    private static final int OTHER_DESCRIPTORS = 64;
+    private static final int RESERVED_DESCRIPTORS = 64;
     /** File descriptors of the operators' socket and its connections, reserved where there is one. */
-    static final int DOOR_DESCRIPTORS = 33;
+    static final int OPS_SOCKET_DESCRIPTORS = 33;
     /** A list of more endpoints than this is compared with the previous one and applied in portions. */
-    private static final int LARGE_LIST = 1_000;
+    private static final int LARGE_LIST_ENDPOINTS = 1_000;
 
     private final EventLoop loop;
     private final Consumer<String> log;
@@ -129,96 +129,96 @@
      * Lateness of the event loop, and waiting time of a refused or failed request, from which it is logged: it uses up a good
      * part of a target latency.
      */
-    private static final long WORTH_TELLING_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
+    private static final long LATENESS_LOG_THRESHOLD_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
     private final EventLoopLag lag = new EventLoopLag();
     private final TransitionMonitor monitor;
     /** Sampled log of requests that were refused or failed long after they arrived, with their attempts. */
-    private final SampledLog lateRefusals;
+    private final SampledLog lateRefusalLog;
     private final GatewayConfig config;
     /** Null where this gateway has no peers. */
-    private final PeerTransport talk;
+    private final PeerTransport evacuation;
     /** Whether any zone is usable, so that clients should come to this gateway. */
-    private boolean welcome = true;
+    private boolean zoneAvailable = true;
     /** Null where no operator's file sets routes. */
     private Routing routing;
     /** Null where no ledger is kept. */
     private final Ledger ledger;
     /** Null where the ledger is not kept across restarts. */
     private final Journal journal;
-    private long taken;
-    private final Sheet requestSheet;
-    private final Sheet attemptSheet;
+    private long lastEntryNumber;
+    private final Sheet requestCounts;
+    private final Sheet attemptCounts;
     private final Map<String, RequestClass> classes = new HashMap<>();
     /** Request counters by class name, including classes that a reload removed; null where there is no operators' socket. */
-    private final Map<String, RequestCounters> tallies;
-    private final Map<String, OpenRequest> open = new HashMap<>();
-    private final ArrayDeque<Stamped> events = new ArrayDeque<>();
-    private final CompletableFuture<Void> ended = new CompletableFuture<>();
-    private final LoadBalancer choice;
-    private final UpstreamPool hosts;
+    private final Map<String, RequestCounters> countersByClass;
+    private final Map<String, OpenRequest> openRequests = new HashMap<>();
+    private final ArrayDeque<TimedEvent> pendingEvents = new ArrayDeque<>();
+    private final CompletableFuture<Void> shutdownDone = new CompletableFuture<>();
+    private final LoadBalancer policy;
+    private final UpstreamPool upstreamPool;
     private final Discovery discovery;
-    private final DownstreamConnectionManager clients;
+    private final DownstreamConnectionManager downstream;
     /** Gateways of the other event loops, which receive each list from this one. */
     private List<Gateway> followers = List.of();
     /** Null where the list is small and applied as it is received. */
-    private EndpointListDiffer changes;
-    /** Applies the portions of {@link #changes}. */
-    private IncrementalTask portions;
+    private EndpointListDiffer listChanges;
+    /** Applies the portions of {@link #listChanges}. */
+    private IncrementalTask listUpdateTask;
     /** The listener shared by all loops, which stops with this gateway; null where each loop has its own. */
     private Acceptor acceptor;
-    private int sharers;
-    private long last = Long.MIN_VALUE;
+    private int gatewaysPerServer;
+    private long lastEventNanos = Long.MIN_VALUE;
     private boolean deciding;
     private final StartTimes startTimes = new StartTimes();
-    private boolean askedForList;
+    private boolean discoveryResolved;
     private long listIndex;
     /** Number of processes of this same gateway that serve beside this one. */
-    private int beside;
-    private long cfgAccepted;
-    private long cfgInvalid;
+    private int overlappingProcesses;
+    private long reloadsAccepted;
+    private long reloadsRejected;
     private boolean listening;
     private boolean standby;
-    private boolean ending;
+    private boolean shuttingDown;
     /**
      * Time by which every request must be answered, once shutdown was requested, and time of the next check for overdue
      * requests.
      */
-    private long answersBy = Long.MAX_VALUE;
-    private long looksAt = Long.MIN_VALUE;
+    private long shutdownDeadlineNanos = Long.MAX_VALUE;
+    private long nextOverdueCheckNanos = Long.MIN_VALUE;
 
     /** An event for the decision module with its time, in nanoseconds of the gateway's clock. */
-    private record Stamped(long at, Event event) { }
+    private record TimedEvent(long atNanos, Event event) { }
 
     private Gateway(EventLoop loop, GatewayConfig config, Transport transport, Consumer<String> log) {
         this.loop = loop;
         this.log = log;
         monitor = new TransitionMonitor(log);
-        lateRefusals = new SampledLog(log);
+        lateRefusalLog = new SampledLog(log);
         timers = new LagAwareTimers(loop, clock);
         this.config = config;
         routing = config.routes() == null ? null : new Routing(config.routes());
         config.settings().classes().forEach(c -> classes.put(c.name(), c));
-        tallies = config.door() == null ? null : new HashMap<>();
-        ledger = config.bookkeeping() == null ? null
+        countersByClass = config.opsAddress() == null ? null : new HashMap<>();
+        ledger = config.ledger() == null ? null
                 : new Ledger(config.routes().stream().map(Object::toString).toList());
-        requestSheet = ledger == null ? null : ledger.sheet(Place.CORE);
-        attemptSheet = ledger == null ? null : ledger.sheet(Place.ATTEMPTS);
-        journal = ledger == null || config.bookkeeping().directory() == null ? null
-                : Journal.open(loop, config.bookkeeping(), Journal.FILE_OUTPUTS, ledger, this::tellOpen, log);
-        int others = OTHER_DESCRIPTORS + (config.door() == null ? 0 : DOOR_DESCRIPTORS);
-        int connections = Math.max(2, config.maxDescriptors() - others);
-        hosts = new UpstreamPool(loop, transport, clock, config.dialTimeoutNanos(), config.idleTimeoutNanos(), connections / 2,
+        requestCounts = ledger == null ? null : ledger.sheet(Place.CORE);
+        attemptCounts = ledger == null ? null : ledger.sheet(Place.ATTEMPTS);
+        journal = ledger == null || config.ledger().directory() == null ? null
+                : Journal.open(loop, config.ledger(), Journal.FILE_OUTPUTS, ledger, this::writeOpenRequests, log);
+        int reservedDescriptors = RESERVED_DESCRIPTORS + (config.opsAddress() == null ? 0 : OPS_SOCKET_DESCRIPTORS);
+        int connections = Math.max(2, config.maxDescriptors() - reservedDescriptors);
+        upstreamPool = new UpstreamPool(loop, transport, clock, config.dialTimeoutNanos(), config.idleTimeoutNanos(), connections / 2,
                 ledger == null ? null : ledger.sheet(Place.NODES), ledger == null ? 0 : ledger.accounts().size());
-        discovery = config.discovery() == null ? null : new Discovery(loop, transport, config.discovery(),
+        discovery = config.discoveryAddress() == null ? null : new Discovery(loop, transport, config.discoveryAddress(),
                 config.knownEndpoints().index(), Discovery.SILENCE_TIMEOUT_MILLIS,
                 // The larger limit only with an operator's file: an endless line is detected by its length alone.
-                config.routes() == null ? Discovery.MAX_LIST_BYTES : Discovery.MAX_LARGE_FLEET_LIST_BYTES, new Watcher(), log);
-        askedForList = discovery == null && (config.scale() == null || !config.scale().follows());
-        clients = new DownstreamConnectionManager(loop, transport, clock, lag, connections / 2, new Requests(),
+                config.routes() == null ? Discovery.MAX_LIST_BYTES : Discovery.MAX_LARGE_FLEET_LIST_BYTES, new DiscoveryListener(), log);
+        discoveryResolved = discovery == null && (config.eventLoops() == null || !config.eventLoops().follower());
+        downstream = new DownstreamConnectionManager(loop, transport, clock, lag, connections / 2, new RequestListener(),
                 ledger == null ? null : ledger.sheet(Place.CLIENTS));
-        choice = new LoadBalancer(config.settings(), config.seed(), this);
-        talk = config.peering() == null ? null : new PeerTransport(loop, config.peering(), config.settings().rules(), clock,
-                config.seed(), this::tell, clientsMayCome -> welcome = clientsMayCome, log);
+        policy = new LoadBalancer(config.settings(), config.seed(), this);
+        evacuation = config.peering() == null ? null : new PeerTransport(loop, config.peering(), config.settings().rules(), clock,
+                config.seed(), this::dispatch, clientsMayCome -> zoneAvailable = clientsMayCome, log);
     }
 
     /** Starts a gateway. The future completes once it listens, or exceptionally if it cannot. */
@@ -236,38 +236,38 @@
         CompletableFuture<Gateway> opened = new CompletableFuture<>();
         loop.execute(() -> {
             Gateway gateway = new Gateway(loop, config, transport, log);
-            gateway.begin();
-            if (gateway.talk == null) {
+            gateway.initialize();
+            if (gateway.evacuation == null) {
                 opened.complete(gateway);
             } else {
-                GatewayService.tell(opened, gateway.talk.open(), gateway);
+                GatewayService.completeWhenDone(opened, gateway.evacuation.open(), gateway);
             }
         });
         return opened;
     }
 
-    private void begin() {
-        beatLater();
+    private void initialize() {
+        scheduleLagTick();
         if (ledger != null) {
-            loop.scheduleAtFixedRate(this::compareAccounts, 1, 1, TimeUnit.SECONDS);
-            long every = config.bookkeeping().everyNanos();
-            if (every > 0) {
-                loop.scheduleAtFixedRate(() -> ledger.sums(openNow()).forEach(log), every, every, TimeUnit.NANOSECONDS);
+            loop.scheduleAtFixedRate(this::checkLedger, 1, 1, TimeUnit.SECONDS);
+            long logIntervalNanos = config.ledger().logIntervalNanos();
+            if (logIntervalNanos > 0) {
+                loop.scheduleAtFixedRate(() -> ledger.sums(countOpen()).forEach(log), logIntervalNanos, logIntervalNanos, TimeUnit.NANOSECONDS);
             }
         }
-        EndpointList known = startTimes.convertCached(config.knownEndpoints(), clock.nanos());
-        if (config.scale() != null && config.scale().place() != null) {
-            follow(new EndpointListDiffer(new Subset(config.scale().place())));
+        EndpointList cachedList = startTimes.convertCached(config.knownEndpoints(), clock.nanos());
+        if (config.eventLoops() != null && config.eventLoops().subsetPlace() != null) {
+            trackChanges(new EndpointListDiffer(new Subset(config.eventLoops().subsetPlace())));
             loop.scheduleAtFixedRate(() -> {
-                changes.tick(clock.nanos());
-                portions.resume();
+                listChanges.tick(clock.nanos());
+                listUpdateTask.resume();
             }, 1, 1, TimeUnit.SECONDS);
-            changes.add(known);
-            changes.takeAll().forEach(this::take);
+            listChanges.add(cachedList);
+            listChanges.takeAll().forEach(this::applyList);
             return;
         }
         // Without discovery, the configured list is the current one and not a cached one.
-        take(config.discovery() == null ? ListKind.WHOLE : ListKind.CACHED, known);
+        applyList(config.discoveryAddress() == null ? ListKind.WHOLE : ListKind.CACHED, cachedList);
         if (discovery != null && !config.settings().subscribe()) {
             // The policy does not ask for a watch where the platform pushes the list, and a pushed list waits at the agent:
             // without this the list would never change.
@@ -275,62 +275,62 @@
         }
     }
 
-    private void beatLater() {
+    private void scheduleLagTick() {
         lag.expectTick(clock.nanos() + EventLoopLag.TICK_INTERVAL_NANOS);
         loop.schedule(() -> {
             long now = clock.nanos();
-            long late = lag.recordTick(now);
+            long lateNanos = lag.recordTick(now);
             // Scheduled before anything that can fail: the heartbeat is the last safeguard of all open requests.
-            beatLater();
-            if (late >= WORTH_TELLING_NANOS) {
-                log("the event loop was late by " + TimeUnit.NANOSECONDS.toMillis(late) + " ms");
+            scheduleLagTick();
+            if (lateNanos >= LATENESS_LOG_THRESHOLD_NANOS) {
+                log("the event loop was late by " + TimeUnit.NANOSECONDS.toMillis(lateNanos) + " ms");
             }
-            if (talk != null) {
-                talk.late(lag.recentPeakLag(now));
+            if (evacuation != null) {
+                evacuation.updateLateness(lag.recentPeakLag(now));
             }
-            if (now >= looksAt || ending) {
-                looksAt = now + OVERDUE_LOOK_NANOS;
-                timers.runAfterNextPoll(this::answerOverdue);
+            if (now >= nextOverdueCheckNanos || shuttingDown) {
+                nextOverdueCheckNanos = now + OVERDUE_CHECK_INTERVAL_NANOS;
+                timers.runAfterNextPoll(this::answerOverdueRequests);
             }
         }, EventLoopLag.TICK_INTERVAL_NANOS, TimeUnit.NANOSECONDS);
     }
 
     /**
-     * Answers requests that are past their deadline plus {@link #OVERDUE_NANOS}, in case the policy lost track of them, and,
+     * Answers requests that are past their deadline plus {@link #OVERDUE_GRACE_NANOS}, in case the policy lost track of them, and,
      * past the shutdown deadline, all open ones, whose deadline may be later than the end of the process. Their clients would
      * otherwise wait for ever, or until the process is killed.
      */
-    private void answerOverdue() {
+    private void answerOverdueRequests() {
         long now = clock.nanos();
-        boolean last = now - OVERDUE_AT_END_NANOS >= answersBy;
-        for (OpenRequest r : List.copyOf(open.values())) {
-            if (!r.reply.isConcluded() && (last || now - OVERDUE_NANOS >= r.lifecycle.deadline())) {
+        boolean answerAll = now - OVERDUE_GRACE_AT_SHUTDOWN_NANOS >= shutdownDeadlineNanos;
+        for (OpenRequest r : List.copyOf(openRequests.values())) {
+            if (!r.reply.isConcluded() && (answerAll || now - OVERDUE_GRACE_NANOS >= r.lifecycle.deadline())) {
                 r.answerOverdue();
             }
         }
-        if (last) {
+        if (answerAll) {
             // A request whose last byte arrives now could not be answered any more.
-            clients.closeAllWithoutOpenRequest();
+            downstream.closeAllWithoutOpenRequest();
         }
     }
 
     /** Sets the gateways that receive each list from this one; called before any of them listens. */
-    void leads(List<Gateway> others) {
+    void setFollowers(List<Gateway> others) {
         loop.execute(() -> {
             followers = List.copyOf(others);
-            if (askedForList) {
-                followers.forEach(Gateway::asked);
+            if (discoveryResolved) {
+                followers.forEach(Gateway::markDiscoveryResolved);
             }
         });
     }
 
     /** Sets the shared listener, which stops when this gateway stops accepting. */
-    void stopsWith(Acceptor shared) {
-        loop.execute(() -> acceptor = shared);
+    void setSharedAcceptor(Acceptor sharedAcceptor) {
+        loop.execute(() -> acceptor = sharedAcceptor);
     }
 
-    DownstreamConnectionManager clients() {
-        return clients;
+    DownstreamConnectionManager downstream() {
+        return downstream;
     }
 
     /** Returns the ledger, which only the loop's thread may use; null where none is kept. */
@@ -344,17 +344,17 @@
      */
     @Override
     public CompletableFuture<Gateway> listen() {
-        return listen(config.listen());
+        return listen(config.listenAddress());
     }
 
     CompletableFuture<Gateway> listen(SocketAddress address) {
         CompletableFuture<Gateway> started = new CompletableFuture<>();
-        boolean beside = config.scale() != null && config.scale().eachListens();
-        loop.execute(() -> listen(started, () -> config.inherited() != null
-                ? clients.listen(config.inherited().listener(), config.inherited().first())
-                : beside ? clients.listenWithReusePort(address) : clients.listen(address), LISTEN_ATTEMPTS));
+        boolean listenerPerLoop = config.eventLoops() != null && config.eventLoops().listenerPerLoop();
+        loop.execute(() -> listen(started, () -> config.inheritedListener() != null
+                ? downstream.listen(config.inheritedListener().listener(), config.inheritedListener().firstConnection())
+                : listenerPerLoop ? downstream.listenWithReusePort(address) : downstream.listen(address), MAX_LISTEN_TRIES));
         return started.thenApply(gateway -> {
-            listened();
+            markListening();
             return gateway;
         });
     }
@@ -363,51 +363,51 @@
      * Binds the listener, with further tries while the system cannot provide a socket, which is temporary; an address that is
      * not available fails at once.
      */
-    private void listen(CompletableFuture<Gateway> started, Supplier<ChannelFuture> listen, int attemptsLeft) {
-        ChannelFuture bound = listen.get();
+    private void listen(CompletableFuture<Gateway> started, Supplier<ChannelFuture> bind, int triesLeft) {
+        ChannelFuture bound = bind.get();
         bound.addListener(done -> {
-            boolean passes = !done.isSuccess() && !(done.cause() instanceof BindException) && attemptsLeft > 1;
-            if (passes) {
-                if (attemptsLeft == LISTEN_ATTEMPTS) {
+            boolean retriable = !done.isSuccess() && !(done.cause() instanceof BindException) && triesLeft > 1;
+            if (retriable) {
+                if (triesLeft == MAX_LISTEN_TRIES) {
                     log("can't listen yet, trying again: " + done.cause());
                 }
-                loop.schedule(() -> listen(started, listen, attemptsLeft - 1), LISTEN_RETRY_MILLIS, TimeUnit.MILLISECONDS);
+                loop.schedule(() -> listen(started, bind, triesLeft - 1), LISTEN_RETRY_DELAY_MILLIS, TimeUnit.MILLISECONDS);
             } else {
-                GatewayService.tell(started, bound, this);
+                GatewayService.completeWhenDone(started, bound, this);
             }
         });
     }
 
     /** Notes that clients can connect from now on. May be called from any thread. */
-    void listened() {
+    void markListening() {
         loop.execute(() -> listening = true);
     }
 
     @Override
     public CompletableFuture<Boolean> isServing() {
-        return CompletableFuture.supplyAsync(() -> listening && askedForList && !ending, loop);
+        return CompletableFuture.supplyAsync(() -> listening && discoveryResolved && !shuttingDown, loop);
     }
 
     @Override
     public CompletableFuture<Standing> stats() {
         return CompletableFuture.supplyAsync(() -> {
             Map<String, RequestCounters.Counts> counts = new HashMap<>();
-            if (tallies != null) {
-                classes.keySet().forEach(this::tally);
-                tallies.forEach((name, tally) -> counts.put(name, tally.counts()));
+            if (countersByClass != null) {
+                classes.keySet().forEach(this::countersFor);
+                countersByClass.forEach((name, counters) -> counts.put(name, counters.counts()));
             }
-            return new Standing(counts, open.values().stream().filter(r -> !r.reply.isFinished()).count() + clients.pipelinedRequestCount(),
-                    hosts.serverCount(), hosts.serverCount() - choice.usableServerCount(), cfgAccepted, cfgInvalid);
+            return new Standing(counts, openRequests.values().stream().filter(r -> !r.reply.isFinished()).count() + downstream.pipelinedRequestCount(),
+                    upstreamPool.serverCount(), upstreamPool.serverCount() - policy.usableServerCount(), reloadsAccepted, reloadsRejected);
         }, loop);
     }
 
     @Override
     public CompletableFuture<Snapshot> snapshot() {
-        return CompletableFuture.supplyAsync(() -> new Snapshot(choice.learnedState(), listIndex, hosts.endpoints().stream()
-                .map(Gateway::told).toList(), standby), loop);
+        return CompletableFuture.supplyAsync(() -> new Snapshot(policy.learnedState(), listIndex, upstreamPool.endpoints().stream()
+                .map(Gateway::toEndpointEntry).toList(), standby), loop);
     }
 
-    private static Snapshot.Host told(Endpoint e) {
+    private static Snapshot.Host toEndpointEntry(Endpoint e) {
         InetSocketAddress address = (InetSocketAddress) e.address();
         ServerInfo info = e.info();
         return new Snapshot.Host(info.id(), address.getHostString() + ":" + address.getPort(), info.zone(), info.machineType(),
@@ -415,7 +415,7 @@
                 TimeUnit.NANOSECONDS.toMillis(info.startedAtNanos()));
     }
 
-    private static Endpoint heard(Snapshot.Host h) {
+    private static Endpoint toEndpoint(Snapshot.Host h) {
         return new Endpoint(new ServerInfo(h.name(), h.zone(), h.type(), h.group(),
                 h.draining() ? Readiness.DRAINING : Readiness.READY, h.weight(), GatewayClock.ofUnixMillis(h.sinceMillis())),
                 EndpointList.parseAddress(h.address()));
@@ -426,45 +426,45 @@
      * than any process's.
      */
     @Override
-    public CompletableFuture<Void> recall(Snapshot from) {
+    public CompletableFuture<Void> restore(Snapshot snapshot) {
         return CompletableFuture.runAsync(() -> {
-            if (!askedForList && changes == null && !from.hosts().isEmpty()) {
-                take(ListKind.CACHED, new EndpointList(from.index(), true, from.hosts().stream().map(Gateway::heard).toList()));
+            if (!discoveryResolved && listChanges == null && !snapshot.hosts().isEmpty()) {
+                applyList(ListKind.CACHED, new EndpointList(snapshot.index(), true, snapshot.hosts().stream().map(Gateway::toEndpoint).toList()));
             }
-            tell(new LearnedStateReceived(from.memory()));
-            if (from.standby()) {
+            dispatch(new LearnedStateReceived(snapshot.memory()));
+            if (snapshot.standby()) {
                 standby = true;
-                clients.setStandby(true);
+                downstream.setStandby(true);
             }
         }, loop);
     }
 
     @Override
-    public void overlap(boolean begins) {
+    public void updateOverlap(boolean begins) {
         loop.execute(() -> {
-            beside += begins ? 1 : -1;
-            tell(new ProcessOverlapChanged(beside > 0));
-            clients.setConnectionLimitShared(beside > 0);
-            hosts.setConnectionLimitShared(beside > 0);
+            overlappingProcesses += begins ? 1 : -1;
+            dispatch(new ProcessOverlapChanged(overlappingProcesses > 0));
+            downstream.setConnectionLimitShared(overlappingProcesses > 0);
+            upstreamPool.setConnectionLimitShared(overlappingProcesses > 0);
         });
     }
 
-    private RequestCounters tally(String requestClass) {
-        return tallies.computeIfAbsent(requestClass, name -> new RequestCounters());
+    private RequestCounters countersFor(String requestClass) {
+        return countersByClass.computeIfAbsent(requestClass, name -> new RequestCounters());
     }
 
     @Override
-    public CompletableFuture<Void> setStandby(boolean empty) {
+    public CompletableFuture<Void> setStandby(boolean enabled) {
         return CompletableFuture.runAsync(() -> {
-            standby = empty;
-            clients.setStandby(empty);
-            log(empty ? "standby: sending clients away" : "active: accepting clients");
+            standby = enabled;
+            downstream.setStandby(enabled);
+            log(enabled ? "standby: sending clients away" : "active: accepting clients");
         }, loop);
     }
 
     @Override
     public InetSocketAddress address() {
-        return clients.address();
+        return downstream.address();
     }
 
     /**
@@ -478,31 +478,31 @@
     public CompletableFuture<Void> shutDown() {
         // Measured from the request to shut down, not from when a busy loop gets to this task: the platform's kill does not
         // wait for the loop.
-        long asked = clock.nanos();
+        long requestedAtNanos = clock.nanos();
         loop.execute(() -> {
-            if (!ending) {
-                ending = true;
-                long within = Math.min(LONGEST_COUNTED_NANOS, longest(RequestClass::deadlineNanos)) + KILLED_AFTER_NANOS
-                        - END_MARGIN_NANOS;
-                answersBy = asked + within;
-                long heard = clock.nanos();
-                tell(new ShutdownStarted(Math.max(0, answersBy - heard)));
-                if (config.inherited() != null) {
+            if (!shuttingDown) {
+                shuttingDown = true;
+                long answerWithinNanos = Math.min(MAX_SHUTDOWN_DEADLINE_NANOS, maxOfClasses(RequestClass::deadlineNanos)) + KILL_GRACE_NANOS
+                        - SHUTDOWN_MARGIN_NANOS;
+                shutdownDeadlineNanos = requestedAtNanos + answerWithinNanos;
+                long nowNanos = clock.nanos();
+                dispatch(new ShutdownStarted(Math.max(0, shutdownDeadlineNanos - nowNanos)));
+                if (config.inheritedListener() != null) {
                     // A successor serves on the same listener, and clients are to move to it.
                     if (acceptor != null) {
                         acceptor.stop();
                     }
-                    clients.stopAcceptingFromSharedListener();
+                    downstream.stopAcceptingFromSharedListener();
                 }
-                long taking = Math.min(LONGEST_TAKING_NANOS,
-                        Math.max(LEAST_TAKING_NANOS, within - longest(RequestClass::aimNanos)));
-                loop.schedule(this::stopAccepting, Math.max(0, asked + taking - heard), TimeUnit.NANOSECONDS);
+                long acceptForNanos = Math.min(MAX_SHUTDOWN_ACCEPT_NANOS,
+                        Math.max(MIN_SHUTDOWN_ACCEPT_NANOS, answerWithinNanos - maxOfClasses(RequestClass::aimNanos)));
+                loop.schedule(this::stopAccepting, Math.max(0, requestedAtNanos + acceptForNanos - nowNanos), TimeUnit.NANOSECONDS);
             }
         });
-        return ended;
+        return shutdownDone;
     }
 
-    private long longest(ToLongFunction<RequestClass> time) {
+    private long maxOfClasses(ToLongFunction<RequestClass> time) {
         return classes.values().stream().mapToLong(time).max().orElseThrow();
     }
 
@@ -518,89 +518,89 @@
     public CompletableFuture<Void> reconfigure(GatewayConfig next) {
         checkRoutes(next);
         return CompletableFuture.runAsync(() -> {
-            if (tallies != null) {
+            if (countersByClass != null) {
                 // Before a class is removed: it keeps its counts, also where nobody has asked for them yet.
-                classes.keySet().forEach(this::tally);
+                classes.keySet().forEach(this::countersFor);
             }
             classes.clear();
             next.settings().classes().forEach(c -> classes.put(c.name(), c));
             routing = next.routes() == null ? null : new Routing(next.routes());
-            hosts.setTimeouts(next.dialTimeoutNanos(), next.idleTimeoutNanos());
-            tell(new SettingsChanged(next.settings()));
+            upstreamPool.setTimeouts(next.dialTimeoutNanos(), next.idleTimeoutNanos());
+            dispatch(new SettingsChanged(next.settings()));
             // After the shutdown, nothing would close a newly opened watch.
-            if (!ended.isDone() && discovery != null && next.discovery() != null) {
-                discovery.moveTo(next.discovery());
+            if (!shutdownDone.isDone() && discovery != null && next.discoveryAddress() != null) {
+                discovery.moveTo(next.discoveryAddress());
             }
-            cfgAccepted++;
+            reloadsAccepted++;
             log("applied the reloaded configuration");
         }, loop);
     }
 
     @Override
-    public void turnedDown() {
-        loop.execute(() -> cfgInvalid++);
+    public void recordRejectedConfig() {
+        loop.execute(() -> reloadsRejected++);
     }
 
     private void stopAccepting() {
         if (acceptor != null) {
             acceptor.stop();
         }
-        clients.stopAccepting();
-        endWhenIdle();
+        downstream.stopAccepting();
+        shutDownWhenIdle();
     }
 
-    private void endWhenIdle() {
+    private void shutDownWhenIdle() {
         // In this order: otherwise a client connection handed over between the two checks would be missed.
-        if (acceptor != null && acceptor.canDispatch() || clients.hasOpenOrPendingConnections()) {
-            loop.schedule(this::endWhenIdle, END_CHECK_MILLIS, TimeUnit.MILLISECONDS);
+        if (acceptor != null && acceptor.canDispatch() || downstream.hasOpenOrPendingConnections()) {
+            loop.schedule(this::shutDownWhenIdle, IDLE_CHECK_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
         } else {
             if (discovery != null) {
                 discovery.close();
             }
-            if (talk != null) {
-                talk.close();
+            if (evacuation != null) {
+                evacuation.close();
             }
             if (ledger != null) {
-                compareAccounts();
-                ledger.sums(openNow()).forEach(log);
+                checkLedger();
+                ledger.sums(countOpen()).forEach(log);
             }
             if (journal == null) {
-                ended.complete(null);
+                shutdownDone.complete(null);
             } else {
-                journal.shutDown().orTimeout(JOURNAL_END_MILLIS, TimeUnit.MILLISECONDS)
-                        .whenComplete((none, late) -> ended.complete(null));
+                journal.shutDown().orTimeout(JOURNAL_SHUTDOWN_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)
+                        .whenComplete((none, late) -> shutdownDone.complete(null));
             }
         }
     }
 
     /** Checks the ledger and logs new breaches. Runs as a task of its own, between events, when no update is half done. */
-    private void compareAccounts() {
+    private void checkLedger() {
         findNewBreaches().forEach(breach -> log(breach.toString()));
     }
 
     @Override
     public CompletableFuture<List<Figures>> ledgerMetrics() {
-        return CompletableFuture.supplyAsync(() -> ledger == null ? List.of() : List.of(ledger.figures(openNow(),
+        return CompletableFuture.supplyAsync(() -> ledger == null ? List.of() : List.of(ledger.figures(countOpen(),
                 journal == null ? List.of() : journal.earlierTotals(), journal == null ? 0 : journal.lostEntries())), loop);
     }
 
     @Override
-    public CompletableFuture<ZoneStanding> zones() {
-        return CompletableFuture.supplyAsync(() -> talk == null ? null : talk.standing(), loop);
+    public CompletableFuture<ZoneStanding> zoneStatus() {
+        return CompletableFuture.supplyAsync(() -> evacuation == null ? null : evacuation.zoneStatus(), loop);
     }
 
     @Override
     public CompletableFuture<Void> order(String zone, Order.What what, long forMillis) {
         return CompletableFuture.runAsync(() -> {
-            if (talk == null) {
+            if (evacuation == null) {
                 throw new IllegalArgumentException("this gateway talks with no other: there is no [peers] in its operator's file");
             }
-            talk.order(zone, what, forMillis);
+            evacuation.order(zone, what, forMillis);
         }, loop);
     }
 
     @Override
-    public CompletableFuture<Void> acknowledge() {
+    public CompletableFuture<Void> acknowledgeBreaches() {
         return CompletableFuture.runAsync(() -> {
             if (ledger != null) {
                 ledger.acknowledge();
@@ -610,51 +610,51 @@
 
     /** Checks the ledger and returns the breaches not seen before. Runs on the loop's thread, as a task of its own. */
     List<Breach> findNewBreaches() {
-        return ledger.check(openNow());
+        return ledger.check(countOpen());
     }
 
-    private void tellOpen(Frame frame) {
-        open.values().stream().map(r -> r.entry).filter(entry -> entry.end == null)
+    private void writeOpenRequests(Frame frame) {
+        openRequests.values().stream().map(r -> r.entry).filter(entry -> entry.end == null)
                 .forEach(entry -> frame.held(entry.number, entry.account, entry.id));
     }
 
     /**
      * Counts what is open at each place of the ledger from what that place holds, in one pass for any number of accounts.
      */
-    private Ledger.OpenNow openNow() {
+    private Ledger.OpenNow countOpen() {
         int accounts = ledger.accounts().size();
-        long[] waiting = clients.openRequestsByAccount(accounts);
+        long[] waiting = downstream.openRequestsByAccount(accounts);
         long[] requests = new long[accounts];
-        long[] out = new long[accounts];
-        for (OpenRequest r : open.values()) {
+        long[] inFlight = new long[accounts];
+        for (OpenRequest r : openRequests.values()) {
             requests[r.entry.account] += r.entry.end == null ? 1 : 0;
-            out[r.entry.account] += r.outstanding;
+            inFlight[r.entry.account] += r.attemptsInFlight;
         }
         return (place, account) -> switch (place) {
             case CLIENTS -> waiting[account];
             case CORE -> requests[account];
-            case ATTEMPTS -> out[account];
-            case NODES -> hosts.openAttempts(account);
+            case ATTEMPTS -> inFlight[account];
+            case NODES -> upstreamPool.openAttempts(account);
         };
     }
 
-    private void tell(Event event) {
-        tell(clock.nanos(), event);
+    private void dispatch(Event event) {
+        dispatch(clock.nanos(), event);
     }
 
     /**
      * Passes an event to the decision module; there is no other way into it. The times it sees never go back, even where an
      * event has an earlier time stamp.
      */
-    private void tell(long at, Event event) {
-        events.add(new Stamped(at, event));
+    private void dispatch(long atNanos, Event event) {
+        pendingEvents.add(new TimedEvent(atNanos, event));
         if (deciding) {
             return;
         }
         deciding = true;
         try {
-            for (Stamped next = events.poll(); next != null; next = events.poll()) {
-                last = Math.max(last, next.at);
+            for (TimedEvent next = pendingEvents.poll(); next != null; next = pendingEvents.poll()) {
+                lastEventNanos = Math.max(lastEventNanos, next.atNanos);
                 decide(next.event);
             }
         } finally {
@@ -668,10 +668,10 @@
      */
     private void decide(Event event) {
         try {
-            choice.handle(last, event);
+            policy.handle(lastEventNanos, event);
         } catch (RuntimeException e) {
             log("unexpected error in the decision module on " + event.getClass().getSimpleName() + ": " + e);
-            if (event instanceof RequestArrived arrived && open.containsKey(arrived.id())) {
+            if (event instanceof RequestArrived arrived && openRequests.containsKey(arrived.id())) {
                 fail(arrived.id());
             }
         }
@@ -684,46 +684,46 @@
 
     @Override
     public void send(String request, String server, long timeoutNanos, long withinNanos) {
-        open.get(request).send(server, timeoutNanos, withinNanos);
+        openRequests.get(request).send(server, timeoutNanos, withinNanos);
     }
 
     @Override
     public void refuse(String request, long pauseNanos) {
         if (ledger != null) {
-            count(request, End.REFUSED);
+            recordRequestEnd(request, End.REFUSED);
         }
-        conclude(request, HttpResponseStatus.SERVICE_UNAVAILABLE, "refused: trying again is harmless", pauseNanos);
+        answerRequest(request, HttpResponseStatus.SERVICE_UNAVAILABLE, "refused: trying again is harmless", pauseNanos);
     }
 
     @Override
     public void fail(String request) {
         if (ledger != null) {
-            count(request, End.FAILED);
+            recordRequestEnd(request, End.FAILED);
         }
-        conclude(request, HttpResponseStatus.BAD_GATEWAY, "failed: it may have run", 0);
+        answerRequest(request, HttpResponseStatus.BAD_GATEWAY, "failed: it may have run", 0);
     }
 
-    private void count(String request, End end) {
-        OpenRequest r = open.get(request);
+    private void recordRequestEnd(String request, End end) {
+        OpenRequest r = openRequests.get(request);
         if (r != null) {
-            r.entry.over(end);
+            r.entry.recordEnd(end);
         }
     }
 
     /** Answers a request with a status and a line of text, if it is still open. */
-    private void conclude(String request, HttpResponseStatus status, String line, long pauseNanos) {
-        OpenRequest r = open.get(request);
+    private void answerRequest(String request, HttpResponseStatus status, String text, long pauseNanos) {
+        OpenRequest r = openRequests.get(request);
         if (r != null) {
             r.logIfLate(status);
-            r.complete();
-            r.reply.respondPlainText(status, line, pauseNanos);
-            r.forgetIfOver();
+            r.markCompleted();
+            r.reply.respondPlainText(status, text, pauseNanos);
+            r.cleanUpIfOver();
         }
     }
 
     @Override
     public void cancel(String request, int attempt) {
-        OpenRequest r = open.get(request);
+        OpenRequest r = openRequests.get(request);
         if (r != null) {
             r.attempts.get(attempt).cancel();
         }
@@ -731,7 +731,7 @@
 
     @Override
     public void setTimer(long delayNanos, long token) {
-        timers.schedule(delayNanos, () -> tell(new TimerFired(token)));
+        timers.schedule(delayNanos, () -> dispatch(new TimerFired(token)));
     }
 
     @Override
@@ -745,82 +745,82 @@
     }
 
     /** Receives the endpoint list from discovery. */
-    private final class Watcher implements Discovery.Listener {
+    private final class DiscoveryListener implements Discovery.Listener {
         @Override
         public void listReceived(EndpointList list) {
-            followers.forEach(follower -> follower.loop.execute(() -> follower.hear(list)));
-            hear(list);
+            followers.forEach(follower -> follower.loop.execute(() -> follower.receiveList(list)));
+            receiveList(list);
         }
 
         @Override
         public void watchEnded() {
-            if (!askedForList) {
-                followers.forEach(Gateway::asked);
+            if (!discoveryResolved) {
+                followers.forEach(Gateway::markDiscoveryResolved);
             }
-            askedForList = true;
-            tell(new ListReceived(ListKind.FAILED, List.of()));
+            discoveryResolved = true;
+            dispatch(new ListReceived(ListKind.FAILED, List.of()));
         }
     }
 
-    private void asked() {
-        loop.execute(() -> askedForList = true);
+    private void markDiscoveryResolved() {
+        loop.execute(() -> discoveryResolved = true);
     }
 
     /** Handles the list, or changes to it, from discovery or from the gateway that follows discovery for this one. */
-    private void hear(EndpointList received) {
+    private void receiveList(EndpointList received) {
         EndpointList list = startTimes.convert(received, clock.nanos());
-        askedForList = true;
+        discoveryResolved = true;
         listIndex = list.index();
-        if (changes != null) {
-            changes.add(list);
-            portions.resume();
+        if (listChanges != null) {
+            listChanges.add(list);
+            listUpdateTask.resume();
             return;
         }
-        if (list.endpoints().size() > LARGE_LIST) {
+        if (list.endpoints().size() > LARGE_LIST_ENDPOINTS) {
             // Applied whole this once; from now on a complete list is compared with the last one, and only the differences
             // are applied.
-            follow(new EndpointListDiffer(null));
-            changes.add(list);
-            changes.takeAll();
+            trackChanges(new EndpointListDiffer(null));
+            listChanges.add(list);
+            listChanges.takeAll();
         }
-        take(list.snapshot() ? ListKind.WHOLE : ListKind.CHANGES, list);
+        applyList(list.snapshot() ? ListKind.WHOLE : ListKind.CHANGES, list);
     }
 
     /** Applies changes of the list in portions from now on. */
-    private void follow(EndpointListDiffer list) {
-        changes = list;
-        portions = new IncrementalTask(loop, list::hasPending, this::takeNext);
+    private void trackChanges(EndpointListDiffer list) {
+        listChanges = list;
+        listUpdateTask = new IncrementalTask(loop, list::hasPending, this::applyNextPortion);
     }
 
-    private void takeNext() {
-        EndpointList portion = changes.next();
+    private void applyNextPortion() {
+        EndpointList portion = listChanges.next();
         if (portion != null) {
-            take(portion);
+            applyList(portion);
         }
     }
 
-    private void take(EndpointList portion) {
-        if (changes.hasSubset() && sharers != changes.gatewaysPerServer()) {
-            sharers = changes.gatewaysPerServer();
-            tell(new GatewaysPerServerChanged(sharers));
-            log("using " + changes.summary() + ", shared by " + sharers + " gateways each");
+    private void applyList(EndpointList portion) {
+        if (listChanges.hasSubset() && gatewaysPerServer != listChanges.gatewaysPerServer()) {
+            gatewaysPerServer = listChanges.gatewaysPerServer();
+            dispatch(new GatewaysPerServerChanged(gatewaysPerServer));
+            log("using " + listChanges.summary() + ", shared by " + gatewaysPerServer + " gateways each");
         }
-        take(ListKind.CHANGES, portion);
+        applyList(ListKind.CHANGES, portion);
     }
 
-    private void take(ListKind kind, EndpointList list) {
-        hosts.update(list);
-        if (talk != null) {
-            talk.traffic().listed(list.servers(), kind != ListKind.CHANGES);
+    private void applyList(ListKind kind, EndpointList list) {
+        upstreamPool.update(list);
+        if (evacuation != null) {
+            evacuation.traffic().listed(list.servers(), kind != ListKind.CHANGES);
         }
-        tell(new ListReceived(kind, list.servers()));
+        dispatch(new ListReceived(kind, list.servers()));
     }
 
     /** Receives client requests from the connections. */
-    private final class Requests implements DownstreamConnectionManager.Listener {
+    private final class RequestListener implements DownstreamConnectionManager.Listener {
         @Override
         public boolean isReady() {
-            return askedForList && !ending && !standby && welcome;
+            return discoveryResolved && !shuttingDown && !standby && zoneAvailable;
         }
 
         @Override
@@ -829,67 +829,67 @@
         }
 
         @Override
-        public void onRequest(FullHttpRequest request, Upload upload, long arrivedAt, Reply reply) throws BadRequest {
-            long at = clock.nanos();
-            if (tallies != null) {
+        public void onRequest(FullHttpRequest request, Upload upload, long arrivedAtNanos, Reply reply) throws BadRequest {
+            long nowNanos = clock.nanos();
+            if (countersByClass != null) {
                 // Before the request is parsed: a request rejected as invalid is counted with its class too.
-                String named = Paths.firstPart(request.uri());
-                reply.setCounters(classes.containsKey(named) ? tally(named) : null);
+                String className = Paths.firstPart(request.uri());
+                reply.setCounters(classes.containsKey(className) ? countersFor(className) : null);
             }
             RequestArrived arrived = RequestReader.read(request, classes, routing,
-                    upload != null || request.content().isReadable(), at - arrivedAt);
-            if (open.containsKey(arrived.id())) {
+                    upload != null || request.content().isReadable(), nowNanos - arrivedAtNanos);
+            if (openRequests.containsKey(arrived.id())) {
                 throw new BadRequest(HttpResponseStatus.CONFLICT, "a request with this id is open");
             }
             OpenRequest r = new OpenRequest(arrived, request.retain(), upload, reply,
-                    ledger == null ? null : new Entry(arrived.id(), ((RouteCourse) arrived.routePolicy()).number(), at));
-            open.put(r.id, r);
-            if (tallies != null) {
-                r.tally = tally(arrived.requestClass());
-                reply.setCounters(r.tally);
+                    ledger == null ? null : new LedgerEntry(arrived.id(), ((RouteCourse) arrived.routePolicy()).number(), nowNanos));
+            openRequests.put(r.id, r);
+            if (countersByClass != null) {
+                r.counters = countersFor(arrived.requestClass());
+                reply.setCounters(r.counters);
             }
             if (r.entry != null) {
                 reply.setAccount(r.entry.account, r.id);
             }
             reply.onAbandoned(r::clientLeft);
             if (upload == null) {
-                tell(at, arrived);
+                dispatch(nowNanos, arrived);
             } else {
                 upload.setListener(r);
-                tell(at, new RequestHeadArrived(arrived));
+                dispatch(nowNanos, new RequestHeadArrived(arrived));
             }
         }
     }
 
     /** A request's entry in the ledger; null where no ledger is kept. */
-    private final class Entry {
+    private final class LedgerEntry {
         private final String id;
         private final int account;
-        private final long openedAt;
+        private final long openedAtNanos;
         /** Number that is unique within this loop and run of the process. */
-        private final long number = ++taken;
+        private final long number = ++lastEntryNumber;
         /** Null until the request has ended. */
         private End end;
 
-        Entry(String id, int account, long openedAt) {
+        LedgerEntry(String id, int account, long openedAtNanos) {
             this.id = id;
             this.account = account;
-            this.openedAt = openedAt;
-            requestSheet.open(account, id);
+            this.openedAtNanos = openedAtNanos;
+            requestCounts.open(account, id);
             if (journal != null) {
                 journal.recordOpened(number, account, id);
             }
         }
 
         /** Records the request's end. Only the first counts: an attempt may be served when the request has long ended. */
-        void over(End how) {
+        void recordEnd(End newEnd) {
             if (end == null) {
-                end = how;
-                requestSheet.end(account, how, id);
+                end = newEnd;
+                requestCounts.end(account, newEnd, id);
                 if (journal != null) {
-                    journal.recordEnded(number, how);
+                    journal.recordEnded(number, newEnd);
                 }
-                ledger.took(account, clock.nanos() - openedAt);
+                ledger.took(account, clock.nanos() - openedAtNanos);
             }
         }
     }
@@ -901,25 +901,25 @@
         /** Null where the request was received with its whole body. */
         private final Upload upload;
         /** Time for the answer, in nanoseconds from the request's last byte. */
-        private final long expiresIn;
+        private final long expiresInNanos;
         private final RequestLifecycle lifecycle;
         private final Reply reply;
         private final List<UpstreamPool.Attempt> attempts = new ArrayList<>(1);
-        private final List<String> servers = new ArrayList<>(1);
+        private final List<String> attemptServers = new ArrayList<>(1);
         /** Null where no ledger is kept. */
-        private final Entry entry;
-        private final long openedAt = clock.nanos();
-        private int outstanding;
+        private final LedgerEntry entry;
+        private final long openedAtNanos = clock.nanos();
+        private int attemptsInFlight;
         /** Null where this gateway has no peers. */
-        private final Traffic.OfRequest zones;
+        private final Traffic.OfRequest zoneTraffic;
         /** Null where there is no operators' socket. */
-        private RequestCounters tally;
+        private RequestCounters counters;
 
-        OpenRequest(RequestArrived arrived, FullHttpRequest request, Upload upload, Reply reply, Entry entry) {
+        OpenRequest(RequestArrived arrived, FullHttpRequest request, Upload upload, Reply reply, LedgerEntry entry) {
             id = arrived.id();
-            zones = talk == null ? null : talk.traffic().arrived(classes.get(arrived.requestClass()));
-            expiresIn = arrived.expiresInNanos();
-            lifecycle = upload == null ? RequestLifecycle.pending(id, clock.nanos() + expiresIn, monitor)
+            zoneTraffic = evacuation == null ? null : evacuation.traffic().arrived(classes.get(arrived.requestClass()));
+            expiresInNanos = arrived.expiresInNanos();
+            lifecycle = upload == null ? RequestLifecycle.pending(id, clock.nanos() + expiresInNanos, monitor)
                     : RequestLifecycle.receiving(id, monitor);
             this.upload = upload;
             this.entry = entry;
@@ -938,21 +938,21 @@
         }
 
         void send(String server, long timeoutNanos, long withinNanos) {
-            outstanding++;
+            attemptsInFlight++;
             if (entry != null) {
-                attemptSheet.open(entry.account, id);
+                attemptCounts.open(entry.account, id);
             }
-            if (zones != null) {
-                zones.sent(clock.nanos(), server);
+            if (zoneTraffic != null) {
+                zoneTraffic.sent(clock.nanos(), server);
             }
-            servers.add(server);
+            attemptServers.add(server);
             if (upload == null) {
-                attempts.add(hosts.send(server, RequestReader.toUpstreamRequest(request, timeoutNanos), timeoutNanos, this));
+                attempts.add(upstreamPool.send(server, RequestReader.toUpstreamRequest(request, timeoutNanos), timeoutNanos, this));
             } else {
-                long answeredIn = Math.min(expiresIn, timeoutNanos);
-                attempts.add(hosts.send(server, RequestReader.toUpstreamRequest(request, upload, answeredIn), upload, this));
+                long attemptTimeoutNanos = Math.min(expiresInNanos, timeoutNanos);
+                attempts.add(upstreamPool.send(server, RequestReader.toUpstreamRequest(request, upload, attemptTimeoutNanos), upload, this));
                 if (upload.isFullyReceived()) {
-                    attempts.get(attempts.size() - 1).setTimeout(answeredIn);
+                    attempts.get(attempts.size() - 1).setTimeout(attemptTimeoutNanos);
                 }
             }
             if (withinNanos != Long.MAX_VALUE) {
@@ -962,35 +962,35 @@
 
         @Override
         public void onFirstByteSent() {
-            tell(new RequestNotReplayable(id));
+            dispatch(new RequestNotReplayable(id));
         }
 
         /** Starts the request's deadline once its body is complete, as for any other request. */
         @Override
         public void onFullyReceived() {
             if (!reply.isConcluded()) {
-                lifecycle.received(clock.nanos() + expiresIn);
-                attempts.forEach(attempt -> attempt.setTimeout(expiresIn));
-                tell(new RequestBodyReceived(id, expiresIn));
+                lifecycle.received(clock.nanos() + expiresInNanos);
+                attempts.forEach(attempt -> attempt.setTimeout(expiresInNanos));
+                dispatch(new RequestBodyReceived(id, expiresInNanos));
             }
         }
 
         @Override
         public ResponseSink onStreamStarted(UpstreamPool.Attempt attempt, long at, LoadReport load, long length, ResponseSink.Source source) {
-            int number = over(attempt, Outcome.SERVED);
+            int number = recordAttemptEnd(attempt, Outcome.SERVED);
             boolean wanted = !reply.isConcluded();
             if (wanted) {
                 if (entry != null) {
-                    entry.over(End.SERVED);
+                    entry.recordEnd(End.SERVED);
                 }
                 lifecycle.transitionTo(RequestState.RESPONDING);
                 reply.startStreaming(length, source);
             }
-            forgetIfOver();
-            if (zones != null) {
-                zones.ended(at, number, Outcome.SERVED, attempt.elapsed(at), load);
+            cleanUpIfOver();
+            if (zoneTraffic != null) {
+                zoneTraffic.ended(at, number, Outcome.SERVED, attempt.elapsed(at), load);
             }
-            tell(at, new AttemptEnded(id, number, servers.get(number), Outcome.SERVED, attempt.elapsed(at), true, load));
+            dispatch(at, new AttemptEnded(id, number, attemptServers.get(number), Outcome.SERVED, attempt.elapsed(at), true, load));
             return wanted ? this : null;
         }
 
@@ -1001,54 +1001,54 @@
 
         @Override
         public void onEnd() {
-            complete();
+            markCompleted();
             reply.endStreaming();
-            forgetIfOver();
+            cleanUpIfOver();
         }
 
         @Override
         public void onAborted() {
-            complete();
+            markCompleted();
             reply.abortStreaming();
-            forgetIfOver();
+            cleanUpIfOver();
         }
 
         /** Records an attempt's end and returns the attempt's number. */
-        private int over(UpstreamPool.Attempt attempt, Outcome outcome) {
-            outstanding--;
+        private int recordAttemptEnd(UpstreamPool.Attempt attempt, Outcome outcome) {
+            attemptsInFlight--;
             if (entry != null) {
-                attemptSheet.end(entry.account, outcome, id);
+                attemptCounts.end(entry.account, outcome, id);
             }
-            if (changes != null && changes.hasSubset()) {
-                judge(outcome);
+            if (listChanges != null && listChanges.hasSubset()) {
+                recordSubsetOutcome(outcome);
             }
             return attempts.indexOf(attempt);
         }
 
         @Override
         public void onRequestWritten() {
-            if (tally != null) {
-                tally.recordRelayed();
+            if (counters != null) {
+                counters.recordRelayed();
             }
         }
 
         @Override
         public void onAttemptEnded(UpstreamPool.Attempt attempt, Outcome outcome, long at, LoadReport load, ByteBuf body) {
-            int number = over(attempt, outcome);
+            int number = recordAttemptEnd(attempt, outcome);
             if (outcome == Outcome.SERVED) {
                 if (entry != null) {
-                    entry.over(End.SERVED);
+                    entry.recordEnd(End.SERVED);
                 }
-                complete();
+                markCompleted();
                 reply.respondOk(body);
             }
-            forgetIfOver();
-            if (zones != null) {
-                zones.ended(at, number, outcome, attempt.elapsed(at), load);
+            cleanUpIfOver();
+            if (zoneTraffic != null) {
+                zoneTraffic.ended(at, number, outcome, attempt.elapsed(at), load);
             }
             // An attempt cancelled before its last byte was sent says nothing about the server, and certainly did not run.
             boolean unsent = outcome == Outcome.CANCELLED && attempt.isUnsent();
-            tell(at, new AttemptEnded(id, number, servers.get(number), unsent ? Outcome.NOT_SENT : outcome,
+            dispatch(at, new AttemptEnded(id, number, attemptServers.get(number), unsent ? Outcome.NOT_SENT : outcome,
                     attempt.elapsed(at), reply.isConcluded(), load));
         }
 
@@ -1056,32 +1056,32 @@
          * Passes an attempt's outcome to the subset. A full server is not a failing one, and cancelled or unsent attempts say
          * nothing.
          */
-        private void judge(Outcome outcome) {
+        private void recordSubsetOutcome(Outcome outcome) {
             if (outcome != Outcome.FULL && outcome != Outcome.CANCELLED && outcome != Outcome.NOT_SENT) {
-                changes.recordOutcome(outcome == Outcome.SERVED);
+                listChanges.recordOutcome(outcome == Outcome.SERVED);
             }
         }
 
         /** Logs why a request waited: a late refusal has cost the client the time for a retry elsewhere. */
         private void logIfLate(HttpResponseStatus status) {
-            long waited = clock.nanos() - openedAt;
-            if (waited >= WORTH_TELLING_NANOS && !attempts.isEmpty()) {
-                lateRefusals.logSampled(() -> "request " + id + " was answered " + status.code() + " after "
-                        + TimeUnit.NANOSECONDS.toMillis(waited) + " ms; attempts: " + tried());
+            long waited = clock.nanos() - openedAtNanos;
+            if (waited >= LATENESS_LOG_THRESHOLD_NANOS && !attempts.isEmpty()) {
+                lateRefusalLog.logSampled(() -> "request " + id + " was answered " + status.code() + " after "
+                        + TimeUnit.NANOSECONDS.toMillis(waited) + " ms; attempts: " + describeAttempts());
             }
         }
 
-        private String tried() {
-            List<String> tried = new ArrayList<>();
+        private String describeAttempts() {
+            List<String> descriptions = new ArrayList<>();
             for (int i = 0; i < attempts.size(); i++) {
                 Outcome outcome = attempts.get(i).outcome();
-                tried.add(servers.get(i) + " " + (outcome == null ? "in flight" : outcome));
+                descriptions.add(attemptServers.get(i) + " " + (outcome == null ? "in flight" : outcome));
             }
-            return String.join(", ", tried);
+            return String.join(", ", descriptions);
         }
 
         /** Marks the request completed; of several answers only the first counts. */
-        private void complete() {
+        private void markCompleted() {
             if (lifecycle.state() != RequestState.COMPLETED && lifecycle.state() != RequestState.ABANDONED) {
                 lifecycle.transitionTo(RequestState.COMPLETED);
             }
@@ -1107,35 +1107,35 @@
                 lifecycle.transitionTo(RequestState.ABANDONED);
             }
             if (entry != null) {
-                entry.over(End.ABANDONED);
+                entry.recordEnd(End.ABANDONED);
             }
-            forgetIfOver();
-            tell(new ClientLeft(id));
+            cleanUpIfOver();
+            dispatch(new ClientLeft(id));
         }
 
         void answerOverdue() {
             log("request " + id + " was not answered by its deadline; answered by the gateway itself");
             boolean sent = !attempts.isEmpty();
             if (entry != null) {
-                entry.over(sent ? End.FAILED : End.REFUSED);
+                entry.recordEnd(sent ? End.FAILED : End.REFUSED);
             }
             reply.respondPlainText(sent ? HttpResponseStatus.BAD_GATEWAY : HttpResponseStatus.SERVICE_UNAVAILABLE,
                     sent ? "failed: it may have run" : "refused: trying again is harmless", 0);
-            complete();
-            forgetIfOver();
+            markCompleted();
+            cleanUpIfOver();
             // The decision module need not answer the request any more either.
-            tell(new ClientLeft(id));
+            dispatch(new ClientLeft(id));
         }
 
         /**
          * Cancels unsent attempts once the request is answered or its client has left, and removes the request when it has
          * ended.
          */
-        private void forgetIfOver() {
+        private void cleanUpIfOver() {
             if (reply.isConcluded()) {
                 attempts.forEach(UpstreamPool.Attempt::cancelIfUnsent);
             }
-            if (reply.isFinished() && outstanding == 0 && open.remove(id, this)) {
+            if (reply.isFinished() && attemptsInFlight == 0 && openRequests.remove(id, this)) {
                 request.release();
             }
         }
--- a/src/main/java/cinderhollow/daemon/GatewayConfig.java
+++ b/src/main/java/cinderhollow/daemon/GatewayConfig.java
@@ -16,8 +16,8 @@
 /**
  * The configuration of a gateway process, from the environment and the JSON file that it names.
  *
- * @param listen address that clients connect to
- * @param discovery address of discovery, from which changes to the endpoint list come, or null where the list never changes
+ * @param listenAddress address that clients connect to
+ * @param discoveryAddress address of discovery, from which changes to the endpoint list come, or null where the list never changes
  * @param seed seed of the policy's random numbers
  * @param maxDescriptors number of file descriptors that the process may hold
  * @param dialTimeoutNanos time limit for connecting to a server, in nanoseconds
@@ -25,36 +25,36 @@
  * @param settings settings of the policy
  * @param knownEndpoints endpoint list as known at the start
  * @param routes routes of the operator's file, or null where there is no file
- * @param scale event loops and subset of the operator's file, or null
- * @param bookkeeping ledger of the operator's file, or null
- * @param admin address of the admin listener, or null
+ * @param eventLoops event loops and subset of the operator's file, or null
+ * @param ledger ledger of the operator's file, or null
+ * @param adminAddress address of the admin listener, or null
  * @param peering peers of the operator's file, or null
- * @param door address of the operators' socket, or null where the platform names none
- * @param inherited the clients' listener where the platform provides it, or null where it is bound here
+ * @param opsAddress address of the operators' socket, or null where the platform names none
+ * @param inheritedListener the clients' listener where the platform provides it, or null where it is bound here
  */
-record GatewayConfig(SocketAddress listen, SocketAddress discovery, long seed, int maxDescriptors,
+record GatewayConfig(SocketAddress listenAddress, SocketAddress discoveryAddress, long seed, int maxDescriptors,
                      long dialTimeoutNanos, long idleTimeoutNanos, Settings settings, EndpointList knownEndpoints, List<Route> routes,
-                     Scale scale, LoopLedgerConfig bookkeeping, SocketAddress admin, Peering peering,
-                     SocketAddress door, InheritedListener inherited) {
-    private static final int USUAL_SOCKETS = 1024;
-    private static final long LOOP_SEED = 0x9e3779b97f4a7c15L;
+                     EventLoopConfig eventLoops, LoopLedgerConfig ledger, SocketAddress adminAddress, Peering peering,
+                     SocketAddress opsAddress, InheritedListener inheritedListener) {
+    private static final int DEFAULT_MAX_DESCRIPTORS = 1024;
+    private static final long LOOP_SEED_STEP = 0x9e3779b97f4a7c15L;
 
     /**
      * Reads the configuration from the environment and the parsed file. Invalid input causes an {@link
      * IllegalArgumentException} with a one-line message.
      */
     static GatewayConfig read(Map<String, String> environment, Json file) {
-        String door = environment.getOrDefault("LB_OPS", file.field("ops").text());
-        GatewayConfig config = read(file, EndpointList.parseAddress(variable(environment, "LB_LISTEN")),
-                EndpointList.parseAddress(variable(environment, "LB_DISCOVERY")), environment.get("LB_OPERATOR"))
-                .withOpsAddress(door.isEmpty() ? null : EndpointList.parseAddress(door));
+        String opsAddress = environment.getOrDefault("LB_OPS", file.field("ops").text());
+        GatewayConfig config = read(file, EndpointList.parseAddress(requireVariable(environment, "LB_LISTEN")),
+                EndpointList.parseAddress(requireVariable(environment, "LB_DISCOVERY")), environment.get("LB_OPERATOR"))
+                .withOpsAddress(opsAddress.isEmpty() ? null : EndpointList.parseAddress(opsAddress));
         String descriptor = environment.getOrDefault("LB_INHERITED_FD", "");
-        return descriptor.isEmpty() ? config : config.withListener(descriptor, environment.get("TMPDIR"));
+        return descriptor.isEmpty() ? config : config.withInheritedListener(descriptor, environment.get("TMPDIR"));
     }
 
     /** Reads and parses the file that the environment names. */
     static Json readFile(Map<String, String> environment) {
-        String file = variable(environment, "LB_CONFIG");
+        String file = requireVariable(environment, "LB_CONFIG");
         try {
             return Json.read(Files.readString(Path.of(file)));
         } catch (IOException e) {
@@ -64,31 +64,31 @@
     }
 
     /** Reads the configuration from the parsed file, the two addresses, and the path of the operator's file or null. */
-    static GatewayConfig read(Json json, SocketAddress listen, SocketAddress discovery, String operator) {
+    static GatewayConfig read(Json json, SocketAddress listenAddress, SocketAddress discoveryAddress, String operatorFile) {
         SettingsReader settings = settings(json);
-        OperatorConfigLoader.Read read = operator == null ? null : OperatorConfigLoader.read(operator, settings);
-        return new GatewayConfig(listen, discovery, seed(json.field("seed").text()),
-                json.field("limits").field("sockets").number(USUAL_SOCKETS).intValue(),
+        OperatorConfigLoader.LoadedConfig operatorConfig = operatorFile == null ? null : OperatorConfigLoader.read(operatorFile, settings);
+        return new GatewayConfig(listenAddress, discoveryAddress, seed(json.field("seed").text()),
+                json.field("limits").field("sockets").number(DEFAULT_MAX_DESCRIPTORS).intValue(),
                 settings.number("allowed.dial_timeout_ns"), settings.number("allowed.conn_idle_ns"),
-                settings.read(), knownEndpoints(json.field("known")), read == null ? null : read.routes(),
-                read == null ? null : read.scale(), read == null ? null : read.bookkeeping(),
-                read == null ? null : read.admin(),
-                read == null || read.fellows() == null ? null : OperatorConfigLoader.peering(read.fellows(), settings, json), null, null);
+                settings.read(), knownEndpoints(json.field("known")), operatorConfig == null ? null : operatorConfig.routes(),
+                operatorConfig == null ? null : operatorConfig.eventLoops(), operatorConfig == null ? null : operatorConfig.ledger(),
+                operatorConfig == null ? null : operatorConfig.adminAddress(),
+                operatorConfig == null || operatorConfig.peers() == null ? null : OperatorConfigLoader.readPeering(operatorConfig.peers(), settings, json), null, null);
     }
 
     /** Returns a copy with the address of an operators' socket. */
     GatewayConfig withOpsAddress(SocketAddress address) {
-        return new GatewayConfig(listen, discovery, seed, maxDescriptors, dialTimeoutNanos, idleTimeoutNanos, settings, knownEndpoints, routes,
-                scale, bookkeeping, admin, peering, address, inherited);
+        return new GatewayConfig(listenAddress, discoveryAddress, seed, maxDescriptors, dialTimeoutNanos, idleTimeoutNanos, settings, knownEndpoints, routes,
+                eventLoops, ledger, adminAddress, peering, address, inheritedListener);
     }
 
     /** Returns a copy with a listener provided by the platform, which is adopted only after everything else was read. */
-    private GatewayConfig withListener(String descriptor, String folder) {
-        if (scale != null && scale.eachListens()) {
+    private GatewayConfig withInheritedListener(String descriptor, String handoverDirectory) {
+        if (eventLoops != null && eventLoops.listenerPerLoop()) {
             throw new IllegalArgumentException("LB_INHERITED_FD gives one listener, the operator's file wants one per loop");
         }
-        return new GatewayConfig(listen, discovery, seed, maxDescriptors, dialTimeoutNanos, idleTimeoutNanos, settings, knownEndpoints, routes,
-                scale, bookkeeping, admin, peering, door, InheritedListener.take(descriptor, folder));
+        return new GatewayConfig(listenAddress, discoveryAddress, seed, maxDescriptors, dialTimeoutNanos, idleTimeoutNanos, settings, knownEndpoints, routes,
+                eventLoops, ledger, adminAddress, peering, opsAddress, InheritedListener.adopt(descriptor, handoverDirectory));
     }
 
     /**
@@ -97,15 +97,15 @@
      * the idle connections that it holds for one loop. Each loop sends it correspondingly fewer requests, and closes unused
      * connections correspondingly sooner.
      */
-    GatewayConfig loop(int number) {
-        int loops = scale.loops();
+    GatewayConfig forLoop(int number) {
+        int loops = eventLoops.loopCount();
         Settings s = settings;
-        Settings own = new Settings(s.gateways() * loops, s.gatewayNumber() * loops + number, s.zone(),
+        Settings loopSettings = new Settings(s.gateways() * loops, s.gatewayNumber() * loops + number, s.zone(),
                 s.subscribe() && number == 0, s.timerResolutionNanos(), s.classes(), s.tenants(), s.overQuotaWorth(),
                 s.upstreamOptions(), s.rules());
-        return new GatewayConfig(listen, number == 0 ? discovery : null, seed + number * LOOP_SEED, maxDescriptors / loops,
-                dialTimeoutNanos, idleTimeoutNanos / loops, own, knownEndpoints, routes, scale.of(number),
-                bookkeeping == null ? null : bookkeeping.of(number, loops), null, null, door, inherited);
+        return new GatewayConfig(listenAddress, number == 0 ? discoveryAddress : null, seed + number * LOOP_SEED_STEP, maxDescriptors / loops,
+                dialTimeoutNanos, idleTimeoutNanos / loops, loopSettings, knownEndpoints, routes, eventLoops.forLoop(number),
+                ledger == null ? null : ledger.forLoop(number, loops), null, null, opsAddress, inheritedListener);
     }
 
     /** Returns the settings of a configuration's JSON as the pairs of path and value that the simulator uses. */
@@ -144,7 +144,7 @@
         }
     }
 
-    private static String variable(Map<String, String> environment, String name) {
+    private static String requireVariable(Map<String, String> environment, String name) {
         String value = environment.get(name);
         if (value == null || value.isEmpty()) {
             throw new IllegalArgumentException("missing environment variable " + name);
--- a/src/main/java/cinderhollow/daemon/GatewayDaemon.java
+++ b/src/main/java/cinderhollow/daemon/GatewayDaemon.java
@@ -22,7 +22,7 @@
      * Bound on the whole shutdown, and on stopping the event loops, in milliseconds. The platform kills the process no sooner
      * than 3.7 s after SIGTERM where the longest deadline is 3 s.
      */
-    private static final long LONGEST_END_MILLIS = 3_600, LOOP_END_MILLIS = 100;
+    private static final long MAX_SHUTDOWN_MILLIS = 3_600, LOOP_SHUTDOWN_MILLIS = 100;
 
     private GatewayDaemon() { }
 
@@ -41,11 +41,11 @@
     }
 
     /** Starts a gateway whose configuration is given entirely on the command line; otherwise like {@link #serve(Map)}. */
-    public static void serve(CommandLineConfig site) {
+    public static void serve(CommandLineConfig config) {
         InternalLoggerFactory.setDefaultFactory(JdkLoggerFactory.INSTANCE);
         onHangUp(() -> System.err.println("cinderhollow: SIGHUP has no effect: there is no configuration file to reload"));
-        start(site.config(), gateway -> { });
-        System.out.println("ready: " + site);
+        start(config.toGatewayConfig(), gateway -> { });
+        System.out.println("ready: " + config);
     }
 
     private static void start(GatewayConfig config, Consumer<GatewayService> started) {
@@ -53,37 +53,37 @@
         GatewayService gateway = open(group, config, System.out::println).join();
         started.accept(gateway);
         // Opened before the warm-up: operators may ask from the start, and are answered that the gateway does not serve yet.
-        Runnable endOfDoor = config.door() == null ? null : Operations.open(group, config.door(), gateway);
+        Runnable closeOpsSocket = config.opsAddress() == null ? null : OpsSocketLauncher.open(group, config.opsAddress(), gateway);
         // The warm-up runs while discovery's first answer is awaited.
-        WarmUp.run(config, WarmUp.LONGEST_MILLIS);
-        boolean upgrades = config.inherited() != null && config.inherited().folder() != null;
+        WarmUp.run(config, WarmUp.MAX_DURATION_MILLIS);
+        boolean handoverEnabled = config.inheritedListener() != null && config.inheritedListener().handoverDirectory() != null;
         // As late as possible, so that the predecessor's snapshot is as recent as possible.
-        Runnable tellServes = upgrades ? Handover.takeOver(group.next(), config.inherited().folder(), gateway,
+        Runnable notifyPredecessor = handoverEnabled ? Handover.takeOver(group.next(), config.inheritedListener().handoverDirectory(), gateway,
                 System.out::println) : null;
         try {
             // Before the clients' listener: an address that cannot be bound must fail the start before any client has
             // connected.
-            Runnable endOfAdmin = config.admin() == null ? null : Admin.start(config.admin(), gateway);
-            listen(gateway, new Thread(() -> end(gateway, group, endOfAdmin, endOfDoor)));
-            if (upgrades) {
-                tellServes.run();
-                Handover.offer(group.next(), config.inherited().folder(), gateway, System.out::println);
+            Runnable closeAdmin = config.adminAddress() == null ? null : Admin.start(config.adminAddress(), gateway);
+            listen(gateway, new Thread(() -> shutDown(gateway, group, closeAdmin, closeOpsSocket)));
+            if (handoverEnabled) {
+                notifyPredecessor.run();
+                Handover.offer(group.next(), config.inheritedListener().handoverDirectory(), gateway, System.out::println);
             }
         } catch (CompletionException e) {
             group.shutdownGracefully();
-            throw new IllegalArgumentException("can't listen on " + config.listen() + ": "
+            throw new IllegalArgumentException("can't listen on " + config.listenAddress() + ": "
                     + e.getCause().getMessage(), e);
         }
     }
 
-    private static void listen(GatewayService gateway, Thread ends) {
+    private static void listen(GatewayService gateway, Thread shutdownHook) {
         // Registered before clients can connect: otherwise a SIGTERM right after listening would end the process with
         // requests unanswered.
-        Runtime.getRuntime().addShutdownHook(ends);
+        Runtime.getRuntime().addShutdownHook(shutdownHook);
         try {
             gateway.listen().join();
         } catch (CompletionException e) {
-            Runtime.getRuntime().removeShutdownHook(ends);
+            Runtime.getRuntime().removeShutdownHook(shutdownHook);
             throw e;
         }
     }
@@ -93,13 +93,13 @@
      * them.
      */
     static int threadCount(GatewayConfig config) {
-        return config.scale() == null || config.scale().loops() == 1 ? 1 : config.scale().loops() + 1;
+        return config.eventLoops() == null || config.eventLoops().loopCount() == 1 ? 1 : config.eventLoops().loopCount() + 1;
     }
 
     /** Opens one gateway, or one per event loop. They follow discovery and do not accept clients yet. */
     static CompletableFuture<? extends GatewayService> open(EventLoopGroup group, GatewayConfig config, Consumer<String> log) {
         return threadCount(config) == 1 ? Gateway.open(group.next(), config, Transport.TCP, log)
-                : Loops.open(group, config, Transport.TCP, log);
+                : MultiLoopGateway.open(group, config, Transport.TCP, log);
     }
 
     /**
@@ -108,9 +108,9 @@
      * process was started with SIGHUP ignored, this is logged, since nothing else would show that reloads have no effect.
      */
     private static void onHangUp(Runnable work) {
-        sun.misc.SignalHandler before = sun.misc.Signal.handle(new sun.misc.Signal("HUP"),
+        sun.misc.SignalHandler previousHandler = sun.misc.Signal.handle(new sun.misc.Signal("HUP"),
                 signal -> GlobalEventExecutor.INSTANCE.execute(work));
-        if (before == sun.misc.SignalHandler.SIG_IGN) {
+        if (previousHandler == sun.misc.SignalHandler.SIG_IGN) {
             // The Java runtime leaves a signal ignored that was ignored at the start of the process, and Java code cannot
             // change that.
             System.err.println("cinderhollow: SIGHUP is ignored by whoever started this program (nohup does so): "
@@ -118,17 +118,17 @@
         }
     }
 
-    private static void end(GatewayService gateway, EventLoopGroup group, Runnable endOfAdmin, Runnable endOfDoor) {
+    private static void shutDown(GatewayService gateway, EventLoopGroup group, Runnable closeAdmin, Runnable closeOpsSocket) {
         try {
-            gateway.shutDown().get(LONGEST_END_MILLIS, TimeUnit.MILLISECONDS);
-            if (endOfAdmin != null) {
-                endOfAdmin.run();
+            gateway.shutDown().get(MAX_SHUTDOWN_MILLIS, TimeUnit.MILLISECONDS);
+            if (closeAdmin != null) {
+                closeAdmin.run();
             }
-            if (endOfDoor != null) {
-                endOfDoor.run();
+            if (closeOpsSocket != null) {
+                closeOpsSocket.run();
             }
             // At exit, the Java runtime waits 0.3 s for a thread that is inside a system call.
-            group.shutdownGracefully(0, LOOP_END_MILLIS, TimeUnit.MILLISECONDS).await(LOOP_END_MILLIS);
+            group.shutdownGracefully(0, LOOP_SHUTDOWN_MILLIS, TimeUnit.MILLISECONDS).await(LOOP_SHUTDOWN_MILLIS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } catch (ExecutionException | TimeoutException e) {
--- a/src/main/java/cinderhollow/daemon/GatewayService.java
+++ b/src/main/java/cinderhollow/daemon/GatewayService.java
@@ -21,15 +21,15 @@
      * Completes {@code promise} with {@code result} once {@code done} has succeeded, or with its cause if it fails. Returns
      * {@code promise}.
      */
-    static <T> CompletableFuture<T> tell(CompletableFuture<T> told, Future<?> done, T result) {
+    static <T> CompletableFuture<T> completeWhenDone(CompletableFuture<T> promise, Future<?> done, T result) {
         done.addListener(future -> {
             if (future.isSuccess()) {
-                told.complete(result);
+                promise.complete(result);
             } else {
-                told.completeExceptionally(future.cause());
+                promise.completeExceptionally(future.cause());
             }
         });
-        return told;
+        return promise;
     }
 
     /** Returns whether client requests are accepted. */
@@ -39,16 +39,16 @@
     CompletableFuture<Standing> stats();
 
     /** Turns standby on (clients are sent to other gateways) or off; nothing else changes. */
-    CompletableFuture<Void> setStandby(boolean empty);
+    CompletableFuture<Void> setStandby(boolean enabled);
 
     /** Returns a snapshot of what this gateway has learned, for a successor process. */
     CompletableFuture<Snapshot> snapshot();
 
     /** Restores what another process of this gateway has learned. */
-    CompletableFuture<Void> recall(Snapshot from);
+    CompletableFuture<Void> restore(Snapshot snapshot);
 
     /** Notes that one more ({@code begins}), or one fewer, process of this same gateway serves beside this one. */
-    void overlap(boolean begins);
+    void updateOverlap(boolean begins);
 
     /** Returns the address that clients connect to. */
     InetSocketAddress address();
@@ -60,7 +60,7 @@
     CompletableFuture<List<Figures>> ledgerMetrics();
 
     /** Marks the ledger breaches found so far as seen, so that they are no longer reported as new. */
-    CompletableFuture<Void> acknowledge();
+    CompletableFuture<Void> acknowledgeBreaches();
 
     /**
      * Applies the settings and the discovery address of a reloaded configuration at one instant; everything else in it takes
@@ -71,7 +71,7 @@
     CompletableFuture<Void> reconfigure(GatewayConfig next);
 
     /** Returns the state of the fleet's zones, or null where this gateway has no peers. */
-    CompletableFuture<ZoneStanding> zones();
+    CompletableFuture<ZoneStanding> zoneStatus();
 
     /**
      * Gives the whole fleet an order about a zone, valid for {@code forMillis} milliseconds. An invalid order completes the
@@ -80,5 +80,5 @@
     CompletableFuture<Void> order(String zone, Order.What what, long forMillis);
 
     /** Counts a reload that was rejected because its file was not usable. */
-    void turnedDown();
+    void recordRejectedConfig();
 }
--- a/src/main/java/cinderhollow/daemon/Handover.java
+++ b/src/main/java/cinderhollow/daemon/Handover.java
@@ -35,9 +35,9 @@
  */
 final class Handover {
     /** Longest wait for the predecessor, in milliseconds; after it a successor starts without the snapshot. */
-    static final long LONGEST_MILLIS = 500;
-    private static final String NAME = "handover";
-    private static final byte SERVES = '!';
+    static final long TIMEOUT_MILLIS = 500;
+    private static final String SOCKET_NAME = "handover";
+    private static final byte SERVING_MESSAGE = '!';
 
     private Handover() { }
 
@@ -45,21 +45,21 @@
      * Offers this gateway's snapshot in the directory from now on, in place of any earlier offer. A failure is logged in one
      * line; a later upgrade then starts without a snapshot.
      */
-    static ChannelFuture offer(EventLoop loop, Path folder, GatewayService gateway, Consumer<String> log) {
-        Path own = folder.resolve(NAME + "-" + ProcessHandle.current().pid() + "-" + System.nanoTime());
+    static ChannelFuture offer(EventLoop loop, Path directory, GatewayService gateway, Consumer<String> log) {
+        Path ownSocket = directory.resolve(SOCKET_NAME + "-" + ProcessHandle.current().pid() + "-" + System.nanoTime());
         return new ServerBootstrap().group(loop).channel(NioServerDomainSocketChannel.class)
                 .handler(new AcceptErrorHandler()).childHandler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
                         channel.pipeline().addLast(new Predecessor(gateway, log));
                     }
-                }).bind(UnixDomainSocketAddress.of(own)).addListener(bound -> {
+                }).bind(UnixDomainSocketAddress.of(ownSocket)).addListener(bound -> {
                     try {
                         if (!bound.isSuccess()) {
                             throw new IOException(bound.cause());
                         }
                         // Replaced atomically: a successor always finds either the old socket or this one.
-                        Files.move(own, folder.resolve(NAME), StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+                        Files.move(ownSocket, directory.resolve(SOCKET_NAME), StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
                     } catch (IOException e) {
                         log.accept("cannot offer a handover to a successor: " + e.getMessage());
                     }
@@ -70,7 +70,7 @@
     private static final class Predecessor extends SimpleChannelInboundHandler<ByteBuf> {
         private final GatewayService gateway;
         private final Consumer<String> log;
-        private boolean succeeded;
+        private boolean successorServing;
 
         Predecessor(GatewayService gateway, Consumer<String> log) {
             this.gateway = gateway;
@@ -90,18 +90,18 @@
         }
 
         @Override
-        protected void channelRead0(ChannelHandlerContext ctx, ByteBuf word) {
-            if (!succeeded && word.isReadable() && word.readByte() == SERVES) {
-                succeeded = true;
+        protected void channelRead0(ChannelHandlerContext ctx, ByteBuf message) {
+            if (!successorServing && message.isReadable() && message.readByte() == SERVING_MESSAGE) {
+                successorServing = true;
                 log.accept("a successor process serves beside this one");
-                gateway.overlap(true);
+                gateway.updateOverlap(true);
             }
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
-            if (succeeded) {
-                gateway.overlap(false);
+            if (successorServing) {
+                gateway.updateOverlap(false);
             } else {
                 log.accept("a successor went before it served; this process serves on");
             }
@@ -117,18 +117,18 @@
      * Takes over the snapshot that a process offers in the directory. Returns when this gateway has restored it, or when
      * there is none, which makes this an ordinary start. The returned task tells the predecessor that this process serves.
      */
-    static Runnable takeOver(EventLoop loop, Path folder, GatewayService gateway, Consumer<String> log) {
-        Path path = folder.resolve(NAME);
+    static Runnable takeOver(EventLoop loop, Path directory, GatewayService gateway, Consumer<String> log) {
+        Path socketPath = directory.resolve(SOCKET_NAME);
         Successor successor = new Successor();
-        if (Files.exists(path)) {
+        if (Files.exists(socketPath)) {
             try {
                 Channel channel = new Bootstrap().group(loop).channel(NioDomainSocketChannel.class).handler(successor)
-                        .connect(UnixDomainSocketAddress.of(path)).addListener(successor::dialled).channel();
-                gateway.recall(successor.snapshot.get(LONGEST_MILLIS, TimeUnit.MILLISECONDS)).get(LONGEST_MILLIS, TimeUnit.MILLISECONDS);
-                gateway.overlap(true);
-                channel.closeFuture().addListener(closed -> gateway.overlap(false));
+                        .connect(UnixDomainSocketAddress.of(socketPath)).addListener(successor::connectDone).channel();
+                gateway.restore(successor.snapshot.get(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)).get(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
+                gateway.updateOverlap(true);
+                channel.closeFuture().addListener(closed -> gateway.updateOverlap(false));
                 log.accept("took over from the process before");
-                return () -> channel.writeAndFlush(Unpooled.wrappedBuffer(new byte[] {SERVES}));
+                return () -> channel.writeAndFlush(Unpooled.wrappedBuffer(new byte[] {SERVING_MESSAGE}));
             } catch (ExecutionException | TimeoutException e) {
                 successor.close();
                 log.accept("no handover, starting without the predecessor's snapshot: "
@@ -144,11 +144,11 @@
     private static final class Successor extends ByteToMessageDecoder {
         private final CompletableFuture<Snapshot> snapshot = new CompletableFuture<>();
         private volatile Channel channel;
-        private String line;
+        private String headerLine;
 
-        void dialled(io.netty.util.concurrent.Future<?> dial) {
-            if (!dial.isSuccess()) {
-                snapshot.completeExceptionally(dial.cause());
+        void connectDone(io.netty.util.concurrent.Future<?> connect) {
+            if (!connect.isSuccess()) {
+                snapshot.completeExceptionally(connect.cause());
             }
         }
 
@@ -165,18 +165,18 @@
 
         @Override
         protected void decode(ChannelHandlerContext ctx, ByteBuf in, List<Object> out) {
-            if (line == null) {
-                int end = in.bytesBefore((byte) '\n');
-                if (end < 0 && in.readableBytes() <= Snapshot.LONGEST_LINE) {
+            if (headerLine == null) {
+                int lineEnd = in.bytesBefore((byte) '\n');
+                if (lineEnd < 0 && in.readableBytes() <= Snapshot.LONGEST_LINE) {
                     return;
                 }
-                line = in.readCharSequence(end < 0 ? 0 : end + 1, StandardCharsets.US_ASCII).toString();
+                headerLine = in.readCharSequence(lineEnd < 0 ? 0 : lineEnd + 1, StandardCharsets.US_ASCII).toString();
             }
-            int length = Snapshot.length(line);
+            int length = Snapshot.length(headerLine);
             if (in.readableBytes() >= length && !snapshot.isDone()) {
                 byte[] body = new byte[length];
                 in.readBytes(body);
-                snapshot.complete(Snapshot.decode(line, body));
+                snapshot.complete(Snapshot.decode(headerLine, body));
             }
         }
 
--- a/src/main/java/cinderhollow/daemon/IncrementalTask.java
+++ b/src/main/java/cinderhollow/daemon/IncrementalTask.java
@@ -13,24 +13,24 @@
     private static final long PAUSE_MILLIS = 1;
 
     private final EventLoop loop;
-    private final BooleanSupplier waits;
+    private final BooleanSupplier hasWork;
     private final Runnable step;
-    private boolean due;
+    private boolean scheduled;
 
     /** Creates the task; it runs {@code step} repeatedly for as long as {@code hasWork} returns true. */
-    IncrementalTask(EventLoop loop, BooleanSupplier waits, Runnable step) {
+    IncrementalTask(EventLoop loop, BooleanSupplier hasWork, Runnable step) {
         this.loop = loop;
-        this.waits = waits;
+        this.hasWork = hasWork;
         this.step = step;
     }
 
     /** Runs the next step now, or when it is due if one is already scheduled. */
     void resume() {
-        if (!due && waits.getAsBoolean()) {
-            due = true;
+        if (!scheduled && hasWork.getAsBoolean()) {
+            scheduled = true;
             // Scheduled before the step runs, so that a step that throws does not stop all later ones.
             loop.schedule(() -> {
-                due = false;
+                scheduled = false;
                 resume();
             }, PAUSE_MILLIS, TimeUnit.MILLISECONDS);
             step.run();
--- a/src/main/java/cinderhollow/daemon/InheritedListener.java
+++ b/src/main/java/cinderhollow/daemon/InheritedListener.java
@@ -13,15 +13,15 @@
  * when the inherited channel is closed. To stop accepting, a process stops reading from it.
  *
  * @param listener the bound, listening socket in non-blocking mode, shared by all processes that hold it
- * @param first connection that was accepted while the socket was checked, or null
- * @param folder directory in which the two processes of an upgrade find each other, or null
+ * @param firstConnection connection that was accepted while the socket was checked, or null
+ * @param handoverDirectory directory in which the two processes of an upgrade find each other, or null
  */
-record InheritedListener(ServerSocketChannel listener, SocketChannel first, Path folder) {
+record InheritedListener(ServerSocketChannel listener, SocketChannel firstConnection, Path handoverDirectory) {
     /**
      * Adopts the file descriptor of this number. An invalid one, or one that does not listen, causes an {@link
      * IllegalArgumentException}.
      */
-    static InheritedListener take(String descriptor, String folder) {
+    static InheritedListener adopt(String descriptor, String handoverDirectory) {
         if (!descriptor.equals("0")) {
             throw new IllegalArgumentException("LB_INHERITED_FD names descriptor '" + descriptor
                     + "', and only 0 can be taken over");
@@ -33,7 +33,7 @@
             }
             listener.configureBlocking(false);
             // Accepting is the only way to find out whether the socket listens: the call fails if it does not.
-            return new InheritedListener(listener, listener.accept(), folder == null ? null : Path.of(folder));
+            return new InheritedListener(listener, listener.accept(), handoverDirectory == null ? null : Path.of(handoverDirectory));
         } catch (IOException e) {
             throw new IllegalArgumentException("LB_INHERITED_FD names descriptor 0, which can't accept: " + e.getMessage(), e);
         }
--- a/src/main/java/cinderhollow/daemon/Journal.java
+++ b/src/main/java/cinderhollow/daemon/Journal.java
@@ -66,88 +66,88 @@
     };
 
     /** Source of the requests that are open on the loop, for a checkpoint frame. */
-    interface Held {
+    interface OpenRequestSource {
         /** Writes each open request to the frame. */
-        void tell(Frame frame);
+        void writeTo(Frame frame);
     }
 
     /** Frames in each queue, usual size of a frame, and size from which a frame is not reused, in bytes. */
-    private static final int FRAMES = 64, ROOM = 1 << 15, LARGE = 1 << 18;
+    private static final int MAX_QUEUED_FRAMES = 64, FRAME_CAPACITY_BYTES = 1 << 15, MAX_REUSED_FRAME_BYTES = 1 << 18;
     /** Longest time, in milliseconds, for which an entry stays on the loop; a killed process loses these entries. */
-    private static final long FLUSH_MILLIS = 5;
+    private static final long FLUSH_INTERVAL_MILLIS = 5;
     /** Pause of the writer thread when there is nothing to write. */
-    private static final long PAUSE_NANOS = TimeUnit.MILLISECONDS.toNanos(1);
+    private static final long WRITER_PARK_NANOS = TimeUnit.MILLISECONDS.toNanos(1);
     /** Time after a write failure before the disk is tried again. */
-    private static final long RETRY_NANOS = TimeUnit.SECONDS.toNanos(1);
+    private static final long RETRY_INTERVAL_NANOS = TimeUnit.SECONDS.toNanos(1);
 
     private final EventLoop loop;
-    private final LoopLedgerConfig setting;
-    private final OutputFactory disk;
+    private final LoopLedgerConfig config;
+    private final OutputFactory outputFactory;
     private final Ledger ledger;
-    private final Held held;
+    private final OpenRequestSource openRequests;
     private final Consumer<String> log;
     private final List<Life> earlierTotals;
     private final long epochMillis = System.currentTimeMillis();
     private final long epochNumber = System.nanoTime();
-    private final SpscArrayQueue<Frame> full = new SpscArrayQueue<>(FRAMES);
-    private final SpscArrayQueue<Frame> empty = new SpscArrayQueue<>(FRAMES);
-    private final CompletableFuture<Void> written = new CompletableFuture<>();
-    private final Thread thread;
+    private final SpscArrayQueue<Frame> filledFrames = new SpscArrayQueue<>(MAX_QUEUED_FRAMES);
+    private final SpscArrayQueue<Frame> freeFrames = new SpscArrayQueue<>(MAX_QUEUED_FRAMES);
+    private final CompletableFuture<Void> writerDone = new CompletableFuture<>();
+    private final Thread writerThread;
     private final FileChannel lock;
 
     // Used only by the event loop.
-    private Frame current = new Frame(ROOM);
-    private boolean due;
+    private Frame currentFrame = new Frame(FRAME_CAPACITY_BYTES);
+    private boolean flushScheduled;
     /** Entries were lost: a checkpoint must be written before any further entry makes sense. */
-    private boolean gap = true;
-    private long lostHere;
+    private boolean checkpointRequired = true;
+    private long lostOnLoop;
 
     // Used by the writer thread; the volatile fields are also used by the event loop.
     private Output output;
-    private long position;
-    private long files;
-    private long syncedAt;
+    private long segmentBytes;
+    private long nextSegmentNumber;
+    private long syncedAtNanos;
     private boolean dirty;
-    private long retryAt;
-    private boolean inTrouble;
-    private final List<Path> old = new ArrayList<>();
-    private volatile boolean wantsAll;
-    private volatile boolean ending;
-    private volatile long lostThere;
-
-    private Journal(EventLoop loop, LoopLedgerConfig setting, OutputFactory disk, Ledger ledger, EarlierRuns lives, Held held,
+    private long retryAtNanos;
+    private boolean failing;
+    private final List<Path> segments = new ArrayList<>();
+    private volatile boolean writerNeedsCheckpoint;
+    private volatile boolean closing;
+    private volatile long lostInWriter;
+
+    private Journal(EventLoop loop, LoopLedgerConfig config, OutputFactory outputFactory, Ledger ledger, EarlierRuns earlierRuns, OpenRequestSource openRequests,
                     Consumer<String> log, FileChannel lock) {
         this.lock = lock;
         this.loop = loop;
-        this.setting = setting;
-        this.disk = disk;
+        this.config = config;
+        this.outputFactory = outputFactory;
         this.ledger = ledger;
-        this.held = held;
+        this.openRequests = openRequests;
         this.log = log;
-        earlierTotals = lives.totals();
-        old.addAll(lives.read());
-        thread = new Thread(this::run, "ledger-" + setting.loop());
-        thread.setDaemon(true);
+        earlierTotals = earlierRuns.totals();
+        segments.addAll(earlierRuns.segmentsRead());
+        writerThread = new Thread(this::runWriter, "ledger-" + config.loopNumber());
+        writerThread.setDaemon(true);
     }
 
     /**
      * Reads the journals of earlier runs and opens a new one. Returns null, with a log line, if the directory cannot be used.
      */
-    static Journal open(EventLoop loop, LoopLedgerConfig setting, OutputFactory disk, Ledger ledger, Held held, Consumer<String> log) {
+    static Journal open(EventLoop loop, LoopLedgerConfig config, OutputFactory outputFactory, Ledger ledger, OpenRequestSource openRequests, Consumer<String> log) {
         FileChannel lock = null;
         try {
-            lock = lock(setting);
-            List<Integer> own = JournalFiles.listLoops(setting.directory()).stream()
-                    .filter(number -> number % setting.loops() == setting.loop()).toList();
-            EarlierRuns lives = EarlierRuns.read(setting.directory(), own);
-            lives.logLines().forEach(line -> log.accept("ledger's journal: " + line));
-            lives.writeOrphans(setting.directory());
-            Journal journal = new Journal(loop, setting, disk, ledger, lives, held, log, lock);
-            journal.thread.start();
-            journal.tick();
+            lock = lock(config);
+            List<Integer> ownLoops = JournalFiles.listLoops(config.directory()).stream()
+                    .filter(number -> number % config.loopCount() == config.loopNumber()).toList();
+            EarlierRuns earlierRuns = EarlierRuns.read(config.directory(), ownLoops);
+            earlierRuns.logLines().forEach(line -> log.accept("ledger's journal: " + line));
+            earlierRuns.writeOrphans(config.directory());
+            Journal journal = new Journal(loop, config, outputFactory, ledger, earlierRuns, openRequests, log, lock);
+            journal.writerThread.start();
+            journal.flush();
             return journal;
         } catch (IOException | OverlappingFileLockException e) {
-            log.accept("ledger's journal: not written, directory " + setting.directory() + " can't be used: "
+            log.accept("ledger's journal: not written, directory " + config.directory() + " can't be used: "
                     + (e instanceof IOException ? e.getMessage() : "this process already writes a journal there"));
             release(lock);
             return null;
@@ -158,8 +158,8 @@
      * Locks the journal of this loop until the process ends. Otherwise two processes could take each other's files for those
      * of an earlier run.
      */
-    private static FileChannel lock(LoopLedgerConfig setting) throws IOException {
-        FileChannel channel = FileChannel.open(setting.directory().resolve("ledger-" + setting.loop() + ".lock"),
+    private static FileChannel lock(LoopLedgerConfig config) throws IOException {
+        FileChannel channel = FileChannel.open(config.directory().resolve("ledger-" + config.loopNumber() + ".lock"),
                 StandardOpenOption.CREATE, StandardOpenOption.WRITE);
         try {
             if (channel.tryLock() != null) {
@@ -191,54 +191,54 @@
 
     /** Returns the number of entries that never reached the disk. */
     long lostEntries() {
-        return lostHere + lostThere;
+        return lostOnLoop + lostInWriter;
     }
 
     /** Records that a request has opened. Called on the event loop. */
     void recordOpened(long request, int account, String id) {
-        if (gap) {
-            lostHere++;
+        if (checkpointRequired) {
+            lostOnLoop++;
             return;
         }
-        current.opened(request, account, id);
-        wrote();
+        currentFrame.opened(request, account, id);
+        scheduleWrite();
     }
 
     /** Records that a request has ended. Called on the event loop. */
     void recordEnded(long request, End end) {
-        if (gap) {
-            lostHere++;
+        if (checkpointRequired) {
+            lostOnLoop++;
             return;
         }
-        current.ended(request, end);
-        wrote();
+        currentFrame.ended(request, end);
+        scheduleWrite();
     }
 
-    private void wrote() {
-        if (current.length() >= ROOM) {
-            handOver();
+    private void scheduleWrite() {
+        if (currentFrame.length() >= FRAME_CAPACITY_BYTES) {
+            enqueueCurrentFrame();
         }
-        tickLater();
+        scheduleFlush();
     }
 
-    private void tickLater() {
-        if (!due) {
-            due = true;
-            loop.schedule(this::tick, FLUSH_MILLIS, TimeUnit.MILLISECONDS);
+    private void scheduleFlush() {
+        if (!flushScheduled) {
+            flushScheduled = true;
+            loop.schedule(this::flush, FLUSH_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
         }
     }
 
-    private void handOver() {
-        if (current.length() == 0) {
+    private void enqueueCurrentFrame() {
+        if (currentFrame.length() == 0) {
             return;
         }
-        if (full.offer(current)) {
-            Frame next = empty.poll();
-            current = next == null ? new Frame(ROOM) : next;
+        if (filledFrames.offer(currentFrame)) {
+            Frame nextFrame = freeFrames.poll();
+            currentFrame = nextFrame == null ? new Frame(FRAME_CAPACITY_BYTES) : nextFrame;
         } else {
-            lostHere += current.entries();
-            current.clear();
-            gap = true;
+            lostOnLoop += currentFrame.entries();
+            currentFrame.clear();
+            checkpointRequired = true;
         }
     }
 
@@ -246,120 +246,120 @@
      * Passes the current frame to the writer, and a checkpoint where one is needed. Runs between events, when the open
      * requests agree with the sums.
      */
-    private void tick() {
-        due = false;
-        handOver();
-        if (gap || wantsAll) {
-            if (full.size() < FRAMES / 2) {
-                wantsAll = false;
-                gap = false;
-                current.reset(ledger, earlierTotals);
+    private void flush() {
+        flushScheduled = false;
+        enqueueCurrentFrame();
+        if (checkpointRequired || writerNeedsCheckpoint) {
+            if (filledFrames.size() < MAX_QUEUED_FRAMES / 2) {
+                writerNeedsCheckpoint = false;
+                checkpointRequired = false;
+                currentFrame.reset(ledger, earlierTotals);
                 if (lostEntries() > 0) {
-                    current.lost(lostEntries());
+                    currentFrame.lost(lostEntries());
                 }
-                held.tell(current);
-                handOver();
+                openRequests.writeTo(currentFrame);
+                enqueueCurrentFrame();
             } else {
-                tickLater();
+                scheduleFlush();
             }
         }
     }
 
     /** Closes the journal; the future completes once everything is on disk. Called on the event loop. */
     CompletableFuture<Void> shutDown() {
-        if (!gap) {
-            current.closed();
-            handOver();
+        if (!checkpointRequired) {
+            currentFrame.closed();
+            enqueueCurrentFrame();
         }
-        ending = true;
-        LockSupport.unpark(thread);
-        return written;
+        closing = true;
+        LockSupport.unpark(writerThread);
+        return writerDone;
     }
 
-    private void run() {
+    private void runWriter() {
         try {
             while (true) {
-                boolean last = ending;
-                Frame frame = full.poll();
+                boolean lastPass = closing;
+                Frame frame = filledFrames.poll();
                 if (frame != null) {
-                    write(frame);
-                    if (frame.bytes().length < LARGE) {
+                    writeFrame(frame);
+                    if (frame.bytes().length < MAX_REUSED_FRAME_BYTES) {
                         frame.clear();
-                        empty.offer(frame);
+                        freeFrames.offer(frame);
                     }
-                } else if (last) {
+                } else if (lastPass) {
                     break;
                 } else {
-                    LockSupport.parkNanos(PAUSE_NANOS);
+                    LockSupport.parkNanos(WRITER_PARK_NANOS);
                 }
-                if (dirty && System.nanoTime() - syncedAt >= setting.syncNanos()) {
+                if (dirty && System.nanoTime() - syncedAtNanos >= config.syncIntervalNanos()) {
                     sync();
                 }
             }
             sync();
-            close();
+            closeOutput();
         } finally {
             release(lock);
-            written.complete(null);
+            writerDone.complete(null);
         }
     }
 
-    private void write(Frame frame) {
-        boolean begins = frame.isCheckpoint() && (output == null || position >= setting.mostBytes());
-        if (output == null && (!begins || System.nanoTime() < retryAt)) {
-            lostThere += frame.entries();
+    private void writeFrame(Frame frame) {
+        boolean startsSegment = frame.isCheckpoint() && (output == null || segmentBytes >= config.maxSegmentBytes());
+        if (output == null && (!startsSegment || System.nanoTime() < retryAtNanos)) {
+            lostInWriter += frame.entries();
             // Not immediately: a failing disk is tried again once a second.
-            wantsAll = System.nanoTime() >= retryAt;
+            writerNeedsCheckpoint = System.nanoTime() >= retryAtNanos;
             return;
         }
         try {
-            if (begins) {
-                begin();
+            if (startsSegment) {
+                startSegment();
             }
-            put(frame);
-            if (begins) {
+            appendFrame(frame);
+            if (startsSegment) {
                 // Only once the checkpoint is on disk are the older files no longer needed.
                 output.sync();
-                removeOld();
+                deleteOldSegments();
             }
             dirty = true;
-            if (position >= setting.mostBytes()) {
-                wantsAll = true;
+            if (segmentBytes >= config.maxSegmentBytes()) {
+                writerNeedsCheckpoint = true;
             }
-            if (inTrouble) {
-                inTrouble = false;
+            if (failing) {
+                failing = false;
                 log.accept("ledger's journal: writing again");
             }
         } catch (IOException e) {
-            lostThere += frame.entries();
-            fails(e);
+            lostInWriter += frame.entries();
+            handleWriteFailure(e);
         }
     }
 
-    private void begin() throws IOException {
-        Path file = JournalFiles.segmentPath(setting.directory(), setting.loop(), epochMillis, files);
-        close();
-        output = disk.create(file);
-        Frame header = new Frame(ROOM);
-        header.header(epochMillis, epochNumber, files);
-        files++;
-        position = 0;
-        put(header);
-        old.add(file);
+    private void startSegment() throws IOException {
+        Path file = JournalFiles.segmentPath(config.directory(), config.loopNumber(), epochMillis, nextSegmentNumber);
+        closeOutput();
+        output = outputFactory.create(file);
+        Frame header = new Frame(FRAME_CAPACITY_BYTES);
+        header.header(epochMillis, epochNumber, nextSegmentNumber);
+        nextSegmentNumber++;
+        segmentBytes = 0;
+        appendFrame(header);
+        segments.add(file);
     }
 
-    private void put(Frame frame) throws IOException {
-        ByteBuffer head = ByteBuffer.allocate(JournalFiles.FRAME_HEADER_BYTES);
-        JournalFiles.writeFrameHeader(frame.bytes(), frame.length(), head);
-        output.write(head);
+    private void appendFrame(Frame frame) throws IOException {
+        ByteBuffer frameHeader = ByteBuffer.allocate(JournalFiles.FRAME_HEADER_BYTES);
+        JournalFiles.writeFrameHeader(frame.bytes(), frame.length(), frameHeader);
+        output.write(frameHeader);
         output.write(ByteBuffer.wrap(frame.bytes(), 0, frame.length()));
-        position += JournalFiles.FRAME_HEADER_BYTES + frame.length();
+        segmentBytes += JournalFiles.FRAME_HEADER_BYTES + frame.length();
     }
 
     /** Deletes all segments but the one that is being written. */
-    private void removeOld() throws IOException {
-        while (old.size() > 1) {
-            Files.deleteIfExists(old.remove(0));
+    private void deleteOldSegments() throws IOException {
+        while (segments.size() > 1) {
+            Files.deleteIfExists(segments.remove(0));
         }
     }
 
@@ -369,23 +369,23 @@
                 output.sync();
             }
             dirty = false;
-            syncedAt = System.nanoTime();
+            syncedAtNanos = System.nanoTime();
         } catch (IOException e) {
-            fails(e);
+            handleWriteFailure(e);
         }
     }
 
-    private void fails(IOException e) {
+    private void handleWriteFailure(IOException e) {
         dirty = false;
-        close();
-        retryAt = System.nanoTime() + RETRY_NANOS;
-        if (!inTrouble) {
-            inTrouble = true;
+        closeOutput();
+        retryAtNanos = System.nanoTime() + RETRY_INTERVAL_NANOS;
+        if (!failing) {
+            failing = true;
             log.accept("ledger's journal: write failed (" + e.getMessage() + "); requests are served without it");
         }
     }
 
-    private void close() {
+    private void closeOutput() {
         try {
             if (output != null) {
                 output.close();
--- a/src/main/java/cinderhollow/daemon/JournalFiles.java
+++ b/src/main/java/cinderhollow/daemon/JournalFiles.java
@@ -23,13 +23,13 @@
  */
 final class JournalFiles {
     /** Longest valid frame, in bytes: a longer one would hold more than a million open requests. */
-    static final int LONGEST_FRAME = 1 << 26;
+    static final int MAX_FRAME_BYTES = 1 << 26;
     static final int FRAME_HEADER_BYTES = 8;
-    private static final Pattern NAME = Pattern.compile("ledger-([0-9]{1,3})-([0-9]{16})-([0-9]{8})\\.journal");
-    private static final int BUFFER = 1 << 16;
+    private static final Pattern NAME_PATTERN = Pattern.compile("ledger-([0-9]{1,3})-([0-9]{16})-([0-9]{8})\\.journal");
+    private static final int BUFFER_BYTES = 1 << 16;
 
     /** A segment file, as described by its name. */
-    record Segment(Path path, int loop, long epochMillis, long number) { }
+    record Segment(Path path, int loopNumber, long epochMillis, long number) { }
 
     private JournalFiles() { }
 
@@ -42,7 +42,7 @@
         List<Segment> found = new ArrayList<>();
         try (Stream<Path> files = Files.list(directory)) {
             for (Path path : (Iterable<Path>) files::iterator) {
-                Matcher matcher = NAME.matcher(path.getFileName().toString());
+                Matcher matcher = NAME_PATTERN.matcher(path.getFileName().toString());
                 if (matcher.matches() && Integer.parseInt(matcher.group(1)) == loop) {
                     found.add(new Segment(path, loop, Long.parseLong(matcher.group(2)), Long.parseLong(matcher.group(3))));
                 }
@@ -55,16 +55,16 @@
     /** Returns the numbers of the loops that have segments. */
     static List<Integer> listLoops(Path directory) throws IOException {
         try (Stream<Path> files = Files.list(directory)) {
-            return files.map(path -> NAME.matcher(path.getFileName().toString())).filter(Matcher::matches)
+            return files.map(path -> NAME_PATTERN.matcher(path.getFileName().toString())).filter(Matcher::matches)
                     .map(matcher -> Integer.parseInt(matcher.group(1))).distinct().sorted().toList();
         }
     }
 
     /** Writes the header of a frame, its length and checksum. */
-    static void writeFrameHeader(byte[] frame, int length, ByteBuffer head) {
-        CRC32C sum = new CRC32C();
-        sum.update(frame, 0, length);
-        head.clear().putInt(length).putInt((int) sum.getValue()).flip();
+    static void writeFrameHeader(byte[] frame, int length, ByteBuffer header) {
+        CRC32C checksum = new CRC32C();
+        checksum.update(frame, 0, length);
+        header.clear().putInt(length).putInt((int) checksum.getValue()).flip();
     }
 
     /**
@@ -73,40 +73,40 @@
      * @return what was wrong, or null
      */
     static String read(Path file, Recovery recovery) throws IOException {
-        byte[] frame = new byte[BUFFER];
-        CRC32C sum = new CRC32C();
-        long good = 0;
-        try (DataInputStream in = new DataInputStream(new BufferedInputStream(Files.newInputStream(file), BUFFER))) {
+        byte[] frame = new byte[BUFFER_BYTES];
+        CRC32C checksum = new CRC32C();
+        long validBytes = 0;
+        try (DataInputStream in = new DataInputStream(new BufferedInputStream(Files.newInputStream(file), BUFFER_BYTES))) {
             while (true) {
                 int length;
                 try {
                     length = in.readInt();
                 } catch (EOFException e) {
-                    long rest = Files.size(file) - good;
-                    return rest == 0 ? null : "its last " + rest + " bytes are an incomplete frame";
+                    long tornBytes = Files.size(file) - validBytes;
+                    return tornBytes == 0 ? null : "its last " + tornBytes + " bytes are an incomplete frame";
                 }
-                if (length <= 0 || length > LONGEST_FRAME) {
-                    return "invalid frame length " + length + " at byte " + good + "; the rest is ignored";
+                if (length <= 0 || length > MAX_FRAME_BYTES) {
+                    return "invalid frame length " + length + " at byte " + validBytes + "; the rest is ignored";
                 }
-                int expected;
+                int expectedChecksum;
                 try {
-                    expected = in.readInt();
+                    expectedChecksum = in.readInt();
                     frame = length > frame.length ? new byte[Math.max(length, 2 * frame.length)] : frame;
                     in.readFully(frame, 0, length);
                 } catch (EOFException e) {
-                    return "its last " + (Files.size(file) - good) + " bytes are an incomplete frame";
+                    return "its last " + (Files.size(file) - validBytes) + " bytes are an incomplete frame";
                 }
-                sum.reset();
-                sum.update(frame, 0, length);
-                if ((int) sum.getValue() != expected) {
-                    return "wrong checksum at byte " + good + "; the rest is ignored";
+                checksum.reset();
+                checksum.update(frame, 0, length);
+                if ((int) checksum.getValue() != expectedChecksum) {
+                    return "wrong checksum at byte " + validBytes + "; the rest is ignored";
                 }
                 try {
                     recovery.read(frame, length);
                 } catch (IllegalArgumentException e) {
-                    return e.getMessage() + " at byte " + good + "; the rest is ignored";
+                    return e.getMessage() + " at byte " + validBytes + "; the rest is ignored";
                 }
-                good += FRAME_HEADER_BYTES + length;
+                validBytes += FRAME_HEADER_BYTES + length;
             }
         }
     }
--- a/src/main/java/cinderhollow/daemon/Loops.java
+++ b/src/main/java/cinderhollow/daemon/MultiLoopGateway.java
@@ -22,48 +22,48 @@
  * the listener and the endpoint list, which the first one follows for all. The policy's limits, trials and cold budgets
  * depend on the number of gateways, and each loop counts as one.
  */
-final class Loops implements GatewayService {
+final class MultiLoopGateway implements GatewayService {
     private final List<Gateway> gateways;
-    private final SocketAddress listen;
+    private final SocketAddress listenAddress;
     /** Null where each loop has its own listener. */
     private final Acceptor acceptor;
-    private final InheritedListener inherited;
+    private final InheritedListener inheritedListener;
     private volatile boolean listening;
 
-    private Loops(List<Gateway> gateways, GatewayConfig config, EventLoop accepting) {
+    private MultiLoopGateway(List<Gateway> gateways, GatewayConfig config, EventLoop acceptLoop) {
         this.gateways = List.copyOf(gateways);
-        listen = config.listen();
-        inherited = config.inherited();
-        acceptor = config.scale().eachListens() ? null
-                : new Acceptor(accepting, gateways.stream().map(Gateway::clients).toList());
+        listenAddress = config.listenAddress();
+        inheritedListener = config.inheritedListener();
+        acceptor = config.eventLoops().listenerPerLoop() ? null
+                : new Acceptor(acceptLoop, gateways.stream().map(Gateway::downstream).toList());
     }
 
     /**
-     * Opens the gateways, like {@link Gateway#open}. The group has one loop more than there are gateways, which accepts
+     * Opens the gateways, like {@link Gateway#openRequests}. The group has one loop more than there are gateways, which accepts
      * connections.
      */
     static CompletableFuture<GatewayService> open(EventLoopGroup group, GatewayConfig config, Transport transport,
                                            Consumer<String> log) {
         List<CompletableFuture<Gateway>> opened = new ArrayList<>();
-        for (int i = 0; i < config.scale().loops(); i++) {
+        for (int i = 0; i < config.eventLoops().loopCount(); i++) {
             String name = "loop " + i + ": ";
-            opened.add(Gateway.open(group.next(), config.loop(i), transport, line -> log.accept(name + line)));
+            opened.add(Gateway.open(group.next(), config.forLoop(i), transport, line -> log.accept(name + line)));
         }
-        return all(opened).thenApply(none -> {
+        return allOf(opened).thenApply(none -> {
             List<Gateway> gateways = opened.stream().map(CompletableFuture::join).toList();
-            gateways.get(0).leads(gateways.subList(1, gateways.size()));
-            return new Loops(gateways, config, group.next());
+            gateways.get(0).setFollowers(gateways.subList(1, gateways.size()));
+            return new MultiLoopGateway(gateways, config, group.next());
         });
     }
 
-    private static CompletableFuture<Void> all(List<? extends CompletableFuture<?>> futures) {
+    private static CompletableFuture<Void> allOf(List<? extends CompletableFuture<?>> futures) {
         return CompletableFuture.allOf(futures.toArray(CompletableFuture<?>[]::new));
     }
 
     @Override
     public CompletableFuture<?> listen() {
         return listenAll().thenRun(() -> {
-            gateways.forEach(Gateway::listened);
+            gateways.forEach(Gateway::markListening);
             listening = true;
         });
     }
@@ -71,11 +71,11 @@
     private CompletableFuture<?> listenAll() {
         if (acceptor == null) {
             // The others use the first one's port, which the system may have chosen.
-            return gateways.get(0).listen().thenCompose(first -> all(gateways.stream().skip(1)
+            return gateways.get(0).listen().thenCompose(first -> allOf(gateways.stream().skip(1)
                     .map(gateway -> gateway.listen(first.address())).toList()));
         }
-        return GatewayService.tell(new CompletableFuture<>(), inherited == null ? acceptor.listen(listen)
-                : acceptor.listen(inherited.listener(), inherited.first()), this);
+        return GatewayService.completeWhenDone(new CompletableFuture<>(), inheritedListener == null ? acceptor.listen(listenAddress)
+                : acceptor.listen(inheritedListener.listener(), inheritedListener.firstConnection()), this);
     }
 
     @Override
@@ -90,33 +90,33 @@
     @Override
     public CompletableFuture<Void> shutDown() {
         if (acceptor != null) {
-            gateways.forEach(gateway -> gateway.stopsWith(acceptor));
+            gateways.forEach(gateway -> gateway.setSharedAcceptor(acceptor));
         }
-        return all(gateways.stream().map(Gateway::shutDown).toList());
+        return allOf(gateways.stream().map(Gateway::shutDown).toList());
     }
 
     @Override
     public CompletableFuture<List<Figures>> ledgerMetrics() {
         List<CompletableFuture<List<Figures>>> each = gateways.stream().map(Gateway::ledgerMetrics).toList();
-        return all(each).thenApply(none -> each.stream().flatMap(figures -> figures.join().stream()).toList());
+        return allOf(each).thenApply(none -> each.stream().flatMap(figures -> figures.join().stream()).toList());
     }
 
     /** All loops must be serving: the endpoint list reaches the first loop first. */
     @Override
     public CompletableFuture<Boolean> isServing() {
         List<CompletableFuture<Boolean>> each = gateways.stream().map(Gateway::isServing).toList();
-        return all(each).thenApply(none -> listening && each.stream().allMatch(CompletableFuture::join));
+        return allOf(each).thenApply(none -> listening && each.stream().allMatch(CompletableFuture::join));
     }
 
     @Override
     public CompletableFuture<Standing> stats() {
         List<CompletableFuture<Standing>> each = gateways.stream().map(Gateway::stats).toList();
-        return all(each).thenApply(none -> each.stream().map(CompletableFuture::join).reduce(Standing::plus).orElseThrow());
+        return allOf(each).thenApply(none -> each.stream().map(CompletableFuture::join).reduce(Standing::plus).orElseThrow());
     }
 
     @Override
-    public CompletableFuture<Void> setStandby(boolean empty) {
-        return all(gateways.stream().map(gateway -> gateway.setStandby(empty)).toList());
+    public CompletableFuture<Void> setStandby(boolean enabled) {
+        return allOf(gateways.stream().map(gateway -> gateway.setStandby(enabled)).toList());
     }
 
     /** Returns the first loop's snapshot: what one loop has learned is valid for each loop of the successor. */
@@ -126,32 +126,32 @@
     }
 
     @Override
-    public CompletableFuture<Void> recall(Snapshot from) {
-        return all(gateways.stream().map(gateway -> gateway.recall(from)).toList());
+    public CompletableFuture<Void> restore(Snapshot snapshot) {
+        return allOf(gateways.stream().map(gateway -> gateway.restore(snapshot)).toList());
     }
 
     @Override
-    public void overlap(boolean begins) {
-        gateways.forEach(gateway -> gateway.overlap(begins));
+    public void updateOverlap(boolean begins) {
+        gateways.forEach(gateway -> gateway.updateOverlap(begins));
     }
 
     @Override
-    public CompletableFuture<Void> acknowledge() {
-        return all(gateways.stream().map(Gateway::acknowledge).toList());
+    public CompletableFuture<Void> acknowledgeBreaches() {
+        return allOf(gateways.stream().map(Gateway::acknowledgeBreaches).toList());
     }
 
     /** Each loop applies the configuration at its own instant, since they share no request. */
     @Override
     public CompletableFuture<Void> reconfigure(GatewayConfig next) {
         gateways.forEach(gateway -> gateway.checkRoutes(next));
-        return all(IntStream.range(0, gateways.size())
-                .mapToObj(i -> gateways.get(i).reconfigure(next.loop(i))).toList());
+        return allOf(IntStream.range(0, gateways.size())
+                .mapToObj(i -> gateways.get(i).reconfigure(next.forLoop(i))).toList());
     }
 
     /** Returns the first loop's state: a gateway with several event loops has no peers. */
     @Override
-    public CompletableFuture<ZoneStanding> zones() {
-        return gateways.get(0).zones();
+    public CompletableFuture<ZoneStanding> zoneStatus() {
+        return gateways.get(0).zoneStatus();
     }
 
     @Override
@@ -160,7 +160,7 @@
     }
 
     @Override
-    public void turnedDown() {
-        gateways.forEach(Gateway::turnedDown);
+    public void recordRejectedConfig() {
+        gateways.forEach(Gateway::recordRejectedConfig);
     }
 }
--- a/src/main/java/cinderhollow/daemon/OperatorConfigLoader.java
+++ b/src/main/java/cinderhollow/daemon/OperatorConfigLoader.java
@@ -29,75 +29,75 @@
 /** Loads the operator's file of a deployment, which is used whole or not at all. Loaded only where a file is named. */
 public final class OperatorConfigLoader {
     /** Findings shown at most in the error message: about one screen of text. */
-    private static final int MOST_SHOWN = 18;
+    private static final int MAX_FINDINGS_SHOWN = 18;
 
     private OperatorConfigLoader() { }
 
     /** The configuration of a valid file. */
-    record Read(List<Route> routes, Scale scale, LoopLedgerConfig bookkeeping, SocketAddress admin, Fellows fellows) { }
+    record LoadedConfig(List<Route> routes, EventLoopConfig eventLoops, LoopLedgerConfig ledger, SocketAddress adminAddress, Fellows peers) { }
 
     /**
      * Reads the file. Any fault in it causes an {@link IllegalArgumentException} that lists the faults, and the gateway must
      * not start.
      */
-    static Read read(String file, SettingsReader settings) {
-        OperatorFile read = OperatorFile.read(Path.of(file), platform(settings));
-        if (!read.findings().isEmpty()) {
-            throw new IllegalArgumentException(text(file, read.findings(), MOST_SHOWN));
+    static LoadedConfig read(String file, SettingsReader settings) {
+        OperatorFile operatorFile = OperatorFile.read(Path.of(file), readPlatform(settings));
+        if (!operatorFile.findings().isEmpty()) {
+            throw new IllegalArgumentException(describeFindings(file, operatorFile.findings(), MAX_FINDINGS_SHOWN));
         }
-        return new Read(read.routes(), scale(read.growth()), bookkeeping(read.books()),
-                read.admin() == null ? null : AdminClient.address(read.admin()), read.fellows());
+        return new LoadedConfig(operatorFile.routes(), toEventLoopConfig(operatorFile.growth()), toLedgerConfig(operatorFile.books()),
+                operatorFile.admin() == null ? null : AdminClient.parseAddress(operatorFile.admin()), operatorFile.fellows());
     }
 
     /** Returns the peers, from the operator's file or else from the platform's configuration. */
-    static Peering peering(Fellows f, SettingsReader settings, Json json) {
-        Settings read = settings.read();
+    static Peering readPeering(Fellows peers, SettingsReader settings, Json json) {
+        Settings parsedSettings = settings.read();
         List<InetSocketAddress> members = new ArrayList<>();
-        f.members().forEach(member -> members.add(EndpointList.parseAddress(member)));
+        peers.members().forEach(member -> members.add(EndpointList.parseAddress(member)));
         if (members.isEmpty()) {
             json.field("peers").entries().forEach(peer -> members.add(EndpointList.parseAddress(peer.text())));
         }
-        String listen = f.listen() == null ? json.field("peer_listen").text() : f.listen();
-        int number = f.number() < 0 ? read.gatewayNumber() : f.number();
+        String listen = peers.listen() == null ? json.field("peer_listen").text() : peers.listen();
+        int number = peers.number() < 0 ? parsedSettings.gatewayNumber() : peers.number();
         if (members.size() < 2 || number >= members.size() || listen.isEmpty()) {
             throw new IllegalArgumentException("[peers] and the platform's file give no usable members or listen address");
         }
         try {
-            byte[] secret = f.secret() == null ? new byte[0] : Files.readAllBytes(f.secret());
-            return new Peering(EndpointList.parseAddress(listen), members, new Roster(number, members.size(), f.fleet(), secret),
-                    new Terms(f.zones(), f.zones().indexOf(read.zone()), f.gateways(), f.regions(), f.mostOut(), f.holdNanos(), f.mostHoldNanos()));
+            byte[] secret = peers.secret() == null ? new byte[0] : Files.readAllBytes(peers.secret());
+            return new Peering(EndpointList.parseAddress(listen), members, new Roster(number, members.size(), peers.fleet(), secret),
+                    new Terms(peers.zones(), peers.zones().indexOf(parsedSettings.zone()), peers.gateways(), peers.regions(), peers.mostOut(), peers.holdNanos(), peers.mostHoldNanos()));
         } catch (IOException e) {
             throw new IllegalArgumentException("can't read the file with the fleet's secret: " + e.getMessage(), e);
         }
     }
 
-    private static LoopLedgerConfig bookkeeping(Books books) {
+    private static LoopLedgerConfig toLedgerConfig(Books books) {
         return books == null ? null : new LoopLedgerConfig(books.everyNanos(), books.directory(), books.syncNanos(),
-                LoopLedgerConfig.USUAL_BYTES, 0, 1);
+                LoopLedgerConfig.DEFAULT_MAX_SEGMENT_BYTES, 0, 1);
     }
 
-    private static Scale scale(Growth growth) {
+    private static EventLoopConfig toEventLoopConfig(Growth growth) {
         FleetPosition place = growth.subset() == 0 ? null
                 : new FleetPosition(growth.subset(), growth.gateways(), growth.zone(), growth.number());
-        return growth.loops() == 1 && place == null ? null : new Scale(growth.loops(), growth.eachListens(), false, place);
+        return growth.loops() == 1 && place == null ? null : new EventLoopConfig(growth.loops(), growth.eachListens(), false, place);
     }
 
-    private static Platform platform(SettingsReader settings) {
-        boolean advice = settings.flag("allowed.retry_after", false);
-        Settings read = settings.read();
-        return new Platform(read.classes(), read.upstreamOptions().maxAttempts(), settings.flag("allowed.may_duplicate", false),
-                advice ? settings.number("allowed.max_retry_after_ns", 0) : 0, read.gateways(), read.gatewayNumber(),
-                read.zone(), settings.flag("allowed.peers", true));
+    private static Platform readPlatform(SettingsReader settings) {
+        boolean retryAfterAllowed = settings.flag("allowed.retry_after", false);
+        Settings parsedSettings = settings.read();
+        return new Platform(parsedSettings.classes(), parsedSettings.upstreamOptions().maxAttempts(), settings.flag("allowed.may_duplicate", false),
+                retryAfterAllowed ? settings.number("allowed.max_retry_after_ns", 0) : 0, parsedSettings.gateways(), parsedSettings.gatewayNumber(),
+                parsedSettings.zone(), settings.flag("allowed.peers", true));
     }
 
     /** Returns the error message for a file with faults, which shows at most {@code most} of them. */
-    private static String text(String file, List<Finding> findings, int most) {
+    private static String describeFindings(String file, List<Finding> findings, int maxShown) {
         List<String> lines = new ArrayList<>();
         lines.add("the operator's file " + file + " has " + findings.size() + (findings.size() == 1 ? " fault" : " faults")
                 + "; nothing of it is used");
-        findings.stream().limit(most).forEach(finding -> lines.add("  " + finding));
-        if (findings.size() > most) {
-            lines.add("  and " + (findings.size() - most) + " more: 'check " + file + "' shows all");
+        findings.stream().limit(maxShown).forEach(finding -> lines.add("  " + finding));
+        if (findings.size() > maxShown) {
+            lines.add("  and " + (findings.size() - maxShown) + " more: 'check " + file + "' shows all");
         }
         return String.join("\n", lines);
     }
@@ -109,16 +109,16 @@
      * @param config a gateway's JSON file, or null for a deployment with the two default classes
      */
     public static String explain(Path file, Path config) throws IOException {
-        OperatorFile read = OperatorFile.read(file, config == null ? usual()
-                : platform(GatewayConfig.settings(Json.read(Files.readString(config)))));
-        if (!read.findings().isEmpty()) {
-            throw new IllegalArgumentException(text(file.toString(), read.findings(), Integer.MAX_VALUE));
+        OperatorFile operatorFile = OperatorFile.read(file, config == null ? defaultPlatform()
+                : readPlatform(GatewayConfig.settings(Json.read(Files.readString(config)))));
+        if (!operatorFile.findings().isEmpty()) {
+            throw new IllegalArgumentException(describeFindings(file.toString(), operatorFile.findings(), Integer.MAX_VALUE));
         }
-        return read.explained();
+        return operatorFile.explained();
     }
 
     /** Returns the platform of a deployment with the two default classes. */
-    private static Platform usual() {
+    private static Platform defaultPlatform() {
         return new Platform(List.of(
                 new RequestClass("status", Effect.SAFE, DedupGroup.ALL, 0, TimeUnit.MILLISECONDS.toNanos(150),
                         TimeUnit.MILLISECONDS.toNanos(750), 1, 0, false),
--- a/src/main/java/cinderhollow/daemon/Operations.java
+++ b/src/main/java/cinderhollow/daemon/OpsSocketLauncher.java
@@ -8,15 +8,15 @@
 import java.util.concurrent.CompletableFuture;
 
 /** Starts the operators' socket of a process. Loaded only where the platform names an address for it. */
-final class Operations {
-    private Operations() { }
+final class OpsSocketLauncher {
+    private OpsSocketLauncher() { }
 
     /**
      * Opens the operators' socket for this gateway and returns a task that closes it. An address that cannot be bound causes
      * an {@link IllegalArgumentException}, which fails the start.
      */
     static Runnable open(EventLoopGroup group, SocketAddress address, GatewayService gateway) {
-        Door door = new Door(group.next(), new Desk() {
+        Door opsSocket = new Door(group.next(), new Desk() {
             @Override
             public CompletableFuture<Boolean> serves() {
                 return gateway.isServing();
@@ -31,12 +31,12 @@
             public CompletableFuture<Void> standby(boolean empty) {
                 return gateway.setStandby(empty);
             }
-        }, Gateway.DOOR_DESCRIPTORS - 1);
-        Throwable fault = door.open(address).awaitUninterruptibly().cause();
+        }, Gateway.OPS_SOCKET_DESCRIPTORS - 1);
+        Throwable fault = opsSocket.open(address).awaitUninterruptibly().cause();
         if (fault != null) {
             group.shutdownGracefully();
             throw new IllegalArgumentException("can't listen on " + address + " for operators: " + fault.getMessage(), fault);
         }
-        return door::close;
+        return opsSocket::close;
     }
 }
--- a/src/main/java/cinderhollow/daemon/PeerTransport.java
+++ b/src/main/java/cinderhollow/daemon/PeerTransport.java
@@ -34,32 +34,32 @@
  */
 final class PeerTransport {
     /** Longest datagram that is read, in bytes, longer than any valid one; a longer one is truncated and then rejected. */
-    private static final int RECEIVED = 512;
-    private static final long LEAST_WAIT = TimeUnit.MILLISECONDS.toNanos(1), MOST_WAIT = TimeUnit.MILLISECONDS.toNanos(25);
+    private static final int MAX_DATAGRAM_BYTES = 512;
+    private static final long MIN_TICK_DELAY_NANOS = TimeUnit.MILLISECONDS.toNanos(1), MAX_TICK_DELAY_NANOS = TimeUnit.MILLISECONDS.toNanos(25);
     /** Lateness of the event loop from which the gateway doubts its own observations, in nanoseconds. */
-    private static final long LATE_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
+    private static final long LATE_THRESHOLD_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
 
     private final EventLoop loop;
     private final Peering peering;
     private final GatewayClock clock;
     private final Evacuation evacuation;
-    private final Map<InetSocketAddress, Integer> numbers = new HashMap<>();
+    private final Map<InetSocketAddress, Integer> memberNumbers = new HashMap<>();
     private Channel channel;
-    private boolean over;
+    private boolean closed;
 
     /**
      * Creates the exchange. Events for the decision module go to {@code eventSink}, and whether clients should come to this
      * gateway goes to {@code zoneAvailable}.
      */
-    PeerTransport(EventLoop loop, Peering peering, Rules rules, GatewayClock clock, long seed, Consumer<Event> module,
-             Consumer<Boolean> welcome, Consumer<String> log) {
+    PeerTransport(EventLoop loop, Peering peering, Rules rules, GatewayClock clock, long seed, Consumer<Event> eventSink,
+             Consumer<Boolean> zoneAvailable, Consumer<String> log) {
         this.loop = loop;
         this.peering = peering;
         this.clock = clock;
         for (int i = 0; i < peering.members().size(); i++) {
-            numbers.put(peering.members().get(i), i);
+            memberNumbers.put(peering.members().get(i), i);
         }
-        evacuation = new Evacuation(peering.terms(), rules, peering.roster(), Pace.USUAL, seed, unixMillis(), new Evacuation.Host() {
+        evacuation = new Evacuation(peering.evacuationConfig(), rules, peering.roster(), Pace.USUAL, seed, unixMillis(), new Evacuation.Host() {
             @Override
             public void send(int member, byte[] datagram) {
                 channel.writeAndFlush(new DatagramPacket(Unpooled.wrappedBuffer(datagram), peering.members().get(member)),
@@ -68,17 +68,17 @@
 
             @Override
             public void weigh(Map<String, Double> byZone) {
-                module.accept(new ZoneWeightsChanged(byZone));
+                eventSink.accept(new ZoneWeightsChanged(byZone));
             }
 
             @Override
             public void bears(double perSecond) {
-                module.accept(new WarmServerRateReceived(perSecond));
+                eventSink.accept(new WarmServerRateReceived(perSecond));
             }
 
             @Override
             public void welcome(boolean clients) {
-                welcome.accept(clients);
+                zoneAvailable.accept(clients);
             }
 
             @Override
@@ -99,8 +99,8 @@
     /** Binds the socket and starts the exchange; the future fails if the address cannot be bound. */
     ChannelFuture open() {
         ChannelFuture bound = new Bootstrap().group(loop).channel(NioDatagramChannel.class)
-                .option(ChannelOption.RECVBUF_ALLOCATOR, new FixedRecvByteBufAllocator(RECEIVED))
-                .handler(new Ear()).bind(peering.listen());
+                .option(ChannelOption.RECVBUF_ALLOCATOR, new FixedRecvByteBufAllocator(MAX_DATAGRAM_BYTES))
+                .handler(new DatagramHandler()).bind(peering.listenAddress());
         channel = bound.channel();
         bound.addListener(done -> {
             if (done.isSuccess()) {
@@ -111,26 +111,26 @@
     }
 
     private void tick() {
-        if (over) {
+        if (closed) {
             return;
         }
         long next = evacuation.tick(clock.nanos(), unixMillis());
-        loop.schedule(this::tick, Math.max(LEAST_WAIT, Math.min(MOST_WAIT, next - clock.nanos())), TimeUnit.NANOSECONDS);
+        loop.schedule(this::tick, Math.max(MIN_TICK_DELAY_NANOS, Math.min(MAX_TICK_DELAY_NANOS, next - clock.nanos())), TimeUnit.NANOSECONDS);
     }
 
     /** Tells the other gateways that this one leaves, so that they need not detect it, and stops the exchange. */
     void close() {
         evacuation.leave();
-        over = true;
+        closed = true;
         channel.close();
     }
 
     /**
-     * Passes on how late this gateway's own event loop was recently, in nanoseconds: from {@link #LATE_NANOS} on, it doubts
+     * Passes on how late this gateway's own event loop was recently, in nanoseconds: from {@link #LATE_THRESHOLD_NANOS} on, it doubts
      * its own observations.
      */
-    void late(long nanos) {
-        evacuation.late(nanos >= LATE_NANOS);
+    void updateLateness(long lateNanos) {
+        evacuation.late(lateNanos >= LATE_THRESHOLD_NANOS);
     }
 
     /** Returns the receiver of the outcomes of attempts and of the endpoint list. */
@@ -138,7 +138,7 @@
         return evacuation.traffic();
     }
 
-    ZoneStanding standing() {
+    ZoneStanding zoneStatus() {
         return evacuation.standing();
     }
 
@@ -149,16 +149,16 @@
     void order(String zone, Order.What what, long forMillis) {
         int number = evacuation.zone(zone);
         if (number < 0) {
-            throw new IllegalArgumentException("no zone '" + zone + "' among " + peering.terms().zones());
+            throw new IllegalArgumentException("no zone '" + zone + "' among " + peering.evacuationConfig().zones());
         }
         evacuation.order(number, what, unixMillis() + forMillis);
     }
 
     /** Receives the datagrams of the other gateways. */
-    private final class Ear extends SimpleChannelInboundHandler<DatagramPacket> {
+    private final class DatagramHandler extends SimpleChannelInboundHandler<DatagramPacket> {
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, DatagramPacket packet) {
-            int from = numbers.getOrDefault(packet.sender(), -1);
+            int from = memberNumbers.getOrDefault(packet.sender(), -1);
             evacuation.received(clock.nanos(), unixMillis(), from, ByteBufUtil.getBytes(packet.content()));
         }
 
--- a/src/main/java/cinderhollow/daemon/Peering.java
+++ b/src/main/java/cinderhollow/daemon/Peering.java
@@ -8,12 +8,12 @@
 /**
  * How this gateway exchanges datagrams with the fleet's other gateways, as set by the operator's file.
  *
- * @param listen address on which datagrams are received
+ * @param listenAddress address on which datagrams are received
  * @param members addresses of all members, in the order of their numbers; a member also sends from its address
  * @param roster this member's number, the fleet's size and name, and its secret
- * @param terms configuration of the evacuation of zones
+ * @param evacuationConfig configuration of the evacuation of zones
  */
-record Peering(InetSocketAddress listen, List<InetSocketAddress> members, Roster roster, Terms terms) {
+record Peering(InetSocketAddress listenAddress, List<InetSocketAddress> members, Roster roster, Terms evacuationConfig) {
     /** Copies the list of members. */
     Peering {
         members = List.copyOf(members);
--- a/src/main/java/cinderhollow/daemon/Reload.java
+++ b/src/main/java/cinderhollow/daemon/Reload.java
@@ -12,12 +12,12 @@
     private final Map<String, String> environment;
     private final GatewayService gateway;
     /** The configuration file that is in force. */
-    private Json running;
+    private Json currentFile;
 
     /** Creates the reload of a gateway that was started from this environment and this file. */
-    Reload(Map<String, String> environment, Json running, GatewayService gateway) {
+    Reload(Map<String, String> environment, Json currentFile, GatewayService gateway) {
         this.environment = environment;
-        this.running = running;
+        this.currentFile = currentFile;
         this.gateway = gateway;
     }
 
@@ -28,7 +28,7 @@
     void run() {
         try {
             Json next = GatewayConfig.readFile(environment);
-            ReloadValidator.check(running, next);
+            ReloadValidator.check(currentFile, next);
             String discovery = next.field("discovery").text();
             if (discovery.isEmpty()) {
                 throw new IllegalArgumentException("the configuration has no discovery address");
@@ -36,10 +36,10 @@
             GatewayConfig config = GatewayConfig.read(next, null, EndpointList.parseAddress(discovery),
                     environment.get("LB_OPERATOR"));
             gateway.reconfigure(config).join();
-            running = next;
+            currentFile = next;
         } catch (IllegalArgumentException e) {
             System.err.println("cinderhollow: reload rejected, the old configuration stays in force: " + e.getMessage());
-            gateway.turnedDown();
+            gateway.recordRejectedConfig();
         }
     }
 }
--- a/src/main/java/cinderhollow/daemon/ReloadValidator.java
+++ b/src/main/java/cinderhollow/daemon/ReloadValidator.java
@@ -15,7 +15,7 @@
  */
 final class ReloadValidator {
     /** Key of the endpoint list as known at a start, which is not compared: it does not configure the gateway's behavior. */
-    private static final String KNOWN = "known";
+    private static final String KNOWN_ENDPOINTS_KEY = "known";
 
     private ReloadValidator() { }
 
@@ -26,49 +26,49 @@
         if (!next.isObject()) {
             throw new IllegalArgumentException("it is no JSON object");
         }
-        fields("", running.fields().keySet(), running, next);
+        checkFields("", running.fields().keySet(), running, next);
     }
 
-    private static void fields(String at, Set<?> names, Json running, Json next) {
-        for (Object name : names) {
-            String path = at.isEmpty() ? name.toString() : at + "." + name;
-            if (!path.equals(KNOWN)) {
-                compare(path, running.field(name.toString()), next.field(name.toString()));
+    private static void checkFields(String parentPath, Set<?> fieldNames, Json running, Json next) {
+        for (Object name : fieldNames) {
+            String path = parentPath.isEmpty() ? name.toString() : parentPath + "." + name;
+            if (!path.equals(KNOWN_ENDPOINTS_KEY)) {
+                checkValue(path, running.field(name.toString()), next.field(name.toString()));
             }
         }
     }
 
-    private static void compare(String path, Json running, Json next) {
+    private static void checkValue(String path, Json running, Json next) {
         if (running.value() == null) {
             return;
         }
         if (next.value() == null) {
             throw new IllegalArgumentException("it lacks " + path);
         }
-        if (!kind(running).equals(kind(next))) {
-            throw new IllegalArgumentException(path + " is " + kind(next) + " and was " + kind(running));
+        if (!typeName(running).equals(typeName(next))) {
+            throw new IllegalArgumentException(path + " is " + typeName(next) + " and was " + typeName(running));
         }
         if (running.isObject()) {
-            fields(path, running.fields().keySet(), running, next);
+            checkFields(path, running.fields().keySet(), running, next);
         } else if (running.isArray() && !running.entries().isEmpty()) {
-            entries(path, running.entries(), next.entries());
+            checkEntries(path, running.entries(), next.entries());
         }
     }
 
-    private static void entries(String path, List<Json> running, List<Json> next) {
-        Set<Object> shared = new HashSet<>(running.get(0).fields().keySet());
-        running.forEach(entry -> shared.retainAll(entry.fields().keySet()));
+    private static void checkEntries(String path, List<Json> running, List<Json> next) {
+        Set<Object> sharedKeys = new HashSet<>(running.get(0).fields().keySet());
+        running.forEach(entry -> sharedKeys.retainAll(entry.fields().keySet()));
         for (int i = 0; i < next.size(); i++) {
             Json entry = next.get(i);
-            String at = path + "." + i;
-            if (!kind(entry).equals(kind(running.get(0)))) {
-                throw new IllegalArgumentException(at + " is " + kind(entry) + " and the others were " + kind(running.get(0)));
+            String entryPath = path + "." + i;
+            if (!typeName(entry).equals(typeName(running.get(0)))) {
+                throw new IllegalArgumentException(entryPath + " is " + typeName(entry) + " and the others were " + typeName(running.get(0)));
             }
-            fields(at, shared, running.get(0), entry);
+            checkFields(entryPath, sharedKeys, running.get(0), entry);
         }
     }
 
-    private static String kind(Json json) {
+    private static String typeName(Json json) {
         Object value = json.value();
         if (value instanceof Number number) {
             // JSON numbers such as 1e999 parse as infinite, which would pass every check for a lower bound.
--- a/src/main/java/cinderhollow/daemon/WarmUp.java
+++ b/src/main/java/cinderhollow/daemon/WarmUp.java
@@ -45,44 +45,44 @@
  */
 final class WarmUp {
     /** Size of the warm-up: enough to run nearly all code often; more would delay the start of the gateway. */
-    private static final int REQUESTS = 400, CLIENTS = 8, HOSTS = 4, NONE = -1, MARK = 0;
+    private static final int REQUEST_COUNT = 400, CLIENT_COUNT = 8, SERVER_COUNT = 4, NO_BYTE = -1, END_MARK = 0;
     /** Body that contains the end mark only as its last byte: a read may end anywhere. */
-    private static final byte[] BODY = (".".repeat(600) + (char) MARK).getBytes(StandardCharsets.US_ASCII);
-    private static final byte[] NOTHING = { };
+    private static final byte[] BODY = (".".repeat(600) + (char) END_MARK).getBytes(StandardCharsets.US_ASCII);
+    private static final byte[] EMPTY_BODY = { };
     /**
      * Longest duration of the warm-up, in milliseconds: the gateway is needed soon, and what is not compiled by then stays
      * cold.
      */
-    static final long LONGEST_MILLIS = 4_000;
-    private static final long END_MILLIS = 500;
+    static final long MAX_DURATION_MILLIS = 4_000;
+    private static final long CLOSE_TIMEOUT_MILLIS = 500;
     /**
      * Longest wait for the first client connection, in milliseconds: far longer than connecting within a machine takes. On a
      * slower machine only the sockets are not warmed up.
      */
-    private static final long FIRST_MILLIS = 100;
+    private static final long FIRST_CONNECTION_TIMEOUT_MILLIS = 100;
 
     /** Event loops of the stand-in clients and servers, and of the warm-up's gateway. */
-    private final EventLoop loop;
+    private final EventLoop standInLoop;
     private final EventLoop gatewayLoop;
     private final GatewayConfig config;
     private final Transport transport;
-    private final SocketAddress stage;
-    private final SocketAddress hosts;
+    private final SocketAddress gatewayAddress;
+    private final SocketAddress serverAddress;
     /** Channels of the stand-ins for clients and servers. */
-    private final ChannelGroup sides;
+    private final ChannelGroup standInChannels;
     private final CompletableFuture<Boolean> done = new CompletableFuture<>();
-    private int asked;
-    private int answered;
+    private int requestsSent;
+    private int responsesReceived;
 
     private WarmUp(MultiThreadIoEventLoopGroup group, GatewayConfig config, Transport transport,
-                      SocketAddress stage, SocketAddress hosts) {
-        loop = group.next();
+                      SocketAddress gatewayAddress, SocketAddress serverAddress) {
+        standInLoop = group.next();
         gatewayLoop = group.next();
-        sides = new DefaultChannelGroup(loop);
+        standInChannels = new DefaultChannelGroup(standInLoop);
         this.config = config;
         this.transport = transport;
-        this.stage = stage;
-        this.hosts = hosts;
+        this.gatewayAddress = gatewayAddress;
+        this.serverAddress = serverAddress;
     }
 
     /**
@@ -90,26 +90,26 @@
      * its benefit. Where no connection over Unix domain sockets comes up, it runs without sockets, which warms up everything
      * but reading and writing them.
      */
-    static boolean run(GatewayConfig config, long longestMillis) {
-        return run(config, Transport.UNIX_DOMAIN, longestMillis);
+    static boolean run(GatewayConfig config, long maxMillis) {
+        return run(config, Transport.UNIX_DOMAIN, maxMillis);
     }
 
-    static boolean run(GatewayConfig config, Transport transport, long longestMillis) {
+    static boolean run(GatewayConfig config, Transport transport, long maxMillis) {
         MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         try {
             // Not a library method for temporary directories: these take their names from a slow random source.
-            Path folder = Files.createDirectory(Path.of(System.getProperty("java.io.tmpdir"),
+            Path directory = Files.createDirectory(Path.of(System.getProperty("java.io.tmpdir"),
                     "rehearsal-" + ProcessHandle.current().pid() + "-" + System.nanoTime()));
-            Path stage = folder.resolve("stage");
-            Path hosts = folder.resolve("hosts");
+            Path gatewaySocket = directory.resolve("stage");
+            Path serverSocket = directory.resolve("hosts");
             try {
-                return new WarmUp(group, config, transport, UnixDomainSocketAddress.of(stage),
-                        UnixDomainSocketAddress.of(hosts)).played(longestMillis) || inProcess(config, longestMillis);
+                return new WarmUp(group, config, transport, UnixDomainSocketAddress.of(gatewaySocket),
+                        UnixDomainSocketAddress.of(serverSocket)).runAndClose(maxMillis) || runInProcess(config, maxMillis);
             } finally {
-                group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS).await(END_MILLIS);
-                Files.deleteIfExists(stage);
-                Files.deleteIfExists(hosts);
-                Files.deleteIfExists(folder);
+                group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS).await(CLOSE_TIMEOUT_MILLIS);
+                Files.deleteIfExists(gatewaySocket);
+                Files.deleteIfExists(serverSocket);
+                Files.deleteIfExists(directory);
             }
         } catch (TimeoutException e) {
             System.err.println("cinderhollow: warm-up stopped at its time limit");
@@ -124,52 +124,52 @@
     }
 
     /** Runs the warm-up over in-process channels, without sockets. */
-    private static boolean inProcess(GatewayConfig config, long longestMillis)
+    private static boolean runInProcess(GatewayConfig config, long maxMillis)
             throws InterruptedException, ExecutionException, TimeoutException {
         // Two threads: on one, answers would be received while their request is still being sent.
         MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(2, LocalIoHandler.newFactory());
         try {
             return new WarmUp(group, config, Transport.IN_PROCESS, new LocalAddress(WarmUp.class),
-                    new LocalAddress(WarmUp.class)).played(longestMillis);
+                    new LocalAddress(WarmUp.class)).runAndClose(maxMillis);
         } finally {
-            group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS).await(END_MILLIS);
+            group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS).await(CLOSE_TIMEOUT_MILLIS);
         }
     }
 
     /** Runs the warm-up and closes what it opened. Returns true if it completed, false if no client connected. */
-    private boolean played(long longestMillis) throws InterruptedException, ExecutionException, TimeoutException {
+    private boolean runAndClose(long maxMillis) throws InterruptedException, ExecutionException, TimeoutException {
         try {
-            return play().get(longestMillis, TimeUnit.MILLISECONDS);
+            return start().get(maxMillis, TimeUnit.MILLISECONDS);
         } finally {
             // Closed while both loops run: an in-process channel whose peer's loop has ended cannot be closed without a
             // warning. What the closing of the stand-ins triggers is queued on the gateway's loop before that ends, and the
             // reaction to it on theirs. In one process the gateway's loop ends first, since it may open new connections until
             // then, and closes what it has open.
-            sides.close().await(END_MILLIS);
-            gatewayLoop.submit(() -> { }).await(END_MILLIS);
-            if (gatewayLoop != loop) {
-                gatewayLoop.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS).await(END_MILLIS);
+            standInChannels.close().await(CLOSE_TIMEOUT_MILLIS);
+            gatewayLoop.submit(() -> { }).await(CLOSE_TIMEOUT_MILLIS);
+            if (gatewayLoop != standInLoop) {
+                gatewayLoop.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS).await(CLOSE_TIMEOUT_MILLIS);
             }
-            loop.submit(() -> { }).await(END_MILLIS);
+            standInLoop.submit(() -> { }).await(CLOSE_TIMEOUT_MILLIS);
         }
     }
 
-    private CompletableFuture<Boolean> play() {
+    private CompletableFuture<Boolean> start() {
         // Loads the TCP channel class too: code compiled for one kind of channel alone would be deoptimized by the first
         // channel of the other kind.
         new NioSocketChannel().unsafe().closeForcibly();
-        ServerBootstrap listener = new ServerBootstrap().group(loop).channel(transport.serverChannelType());
+        ServerBootstrap listener = new ServerBootstrap().group(standInLoop).channel(transport.serverChannelType());
         listener.handler(new AcceptErrorHandler()).childHandler(new ChannelInitializer<Channel>() {
             @Override
             protected void initChannel(Channel channel) {
-                sides.add(channel);
-                channel.pipeline().addLast(new Host());
+                standInChannels.add(channel);
+                channel.pipeline().addLast(new StandInServer());
             }
-        }).bind(hosts).addListener(bound -> {
+        }).bind(serverAddress).addListener(bound -> {
             if (bound.isSuccess()) {
-                Gateway.start(gatewayLoop, setting(), transport, line -> { }).whenComplete((gateway, fault) -> {
+                Gateway.start(gatewayLoop, gatewayConfig(), transport, line -> { }).whenComplete((gateway, fault) -> {
                     if (fault == null) {
-                        clients();
+                        connectClients();
                     } else {
                         done.completeExceptionally(fault);
                     }
@@ -182,36 +182,36 @@
     }
 
     /** Returns the real settings, with the stand-in servers as the only endpoints. */
-    private GatewayConfig setting() {
+    private GatewayConfig gatewayConfig() {
         List<Endpoint> endpoints = new ArrayList<>();
-        for (int i = 0; i < HOSTS; i++) {
+        for (int i = 0; i < SERVER_COUNT; i++) {
             endpoints.add(new Endpoint(new ServerInfo("host-" + i, config.settings().zone(), "any", 0, Readiness.READY,
-                    1, 0), hosts));
+                    1, 0), serverAddress));
         }
-        return new GatewayConfig(stage, hosts, config.seed(), config.maxDescriptors(), config.dialTimeoutNanos(),
+        return new GatewayConfig(gatewayAddress, serverAddress, config.seed(), config.maxDescriptors(), config.dialTimeoutNanos(),
                 config.idleTimeoutNanos(), config.settings(), new EndpointList(0, true, endpoints), null, null, null, null, null, null, null);
     }
 
-    private void clients() {
-        Bootstrap dial = new Bootstrap().group(loop).channel(transport.clientChannelType())
+    private void connectClients() {
+        Bootstrap bootstrap = new Bootstrap().group(standInLoop).channel(transport.clientChannelType())
                 .handler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
-                        sides.add(channel);
-                        channel.pipeline().addLast(new Client());
+                        standInChannels.add(channel);
+                        channel.pipeline().addLast(new StandInClient());
                     }
                 });
-        for (int i = 0; i < CLIENTS; i++) {
-            dial.connect(stage);
+        for (int i = 0; i < CLIENT_COUNT; i++) {
+            bootstrap.connect(gatewayAddress);
         }
         // On a machine where no connection over such sockets comes up, the start would otherwise wait for the whole duration
         // of the warm-up, and in a release most of a fleet starts at once.
         if (transport != Transport.IN_PROCESS) {
-            loop.schedule(() -> {
-                if (asked == 0) {
+            standInLoop.schedule(() -> {
+                if (requestsSent == 0) {
                     done.complete(false);
                 }
-            }, FIRST_MILLIS, TimeUnit.MILLISECONDS);
+            }, FIRST_CONNECTION_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
         }
     }
 
@@ -219,16 +219,16 @@
      * Stand-in for a client or a server. Both know each other's messages and need no codec, whose own warming up would only
      * cost time: a body ends with a mark, and nothing is sent before the answer to it has come.
      */
-    private abstract static class FarSide extends SimpleChannelInboundHandler<ByteBuf> {
-        private int first = NONE;
+    private abstract static class StandIn extends SimpleChannelInboundHandler<ByteBuf> {
+        private int firstByte = NO_BYTE;
 
         @Override
         protected final void channelRead0(ChannelHandlerContext ctx, ByteBuf bytes) {
-            first = first == NONE ? bytes.getByte(bytes.readerIndex()) : first;
-            int last = bytes.getByte(bytes.writerIndex() - 1);
-            if (isWhole(first, last, bytes)) {
-                first = NONE;
-                came(ctx);
+            firstByte = firstByte == NO_BYTE ? bytes.getByte(bytes.readerIndex()) : firstByte;
+            int lastByte = bytes.getByte(bytes.writerIndex() - 1);
+            if (isComplete(firstByte, lastByte, bytes)) {
+                firstByte = NO_BYTE;
+                handleMessage(ctx);
             }
         }
 
@@ -239,10 +239,10 @@
         }
 
         /** Returns whether the message read so far is complete, by its first and last byte and what was read last. */
-        abstract boolean isWhole(int first, int last, ByteBuf end);
+        abstract boolean isComplete(int firstByte, int lastByte, ByteBuf bytes);
 
         /** Handles a complete message. */
-        abstract void came(ChannelHandlerContext ctx);
+        abstract void handleMessage(ChannelHandlerContext ctx);
 
         static void write(ChannelHandlerContext ctx, String head, byte[] body) {
             ctx.writeAndFlush(Unpooled.wrappedBuffer((head + "\r\n").getBytes(StandardCharsets.US_ASCII), body));
@@ -250,26 +250,26 @@
     }
 
     /** Stand-in client: sends a request, and the next one after each answer. */
-    private final class Client extends FarSide {
+    private final class StandInClient extends StandIn {
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
-            ask(ctx);
+            sendRequest(ctx);
         }
 
-        private void ask(ChannelHandlerContext ctx) {
+        private void sendRequest(ChannelHandlerContext ctx) {
             List<RequestClass> classes = config.settings().classes();
-            RequestClass c = classes.get(asked++ % classes.size());
+            RequestClass c = classes.get(requestsSent++ % classes.size());
             boolean safe = c.effect() == Effect.SAFE;
-            String head = (safe ? "GET /" : "POST /") + c.name() + "/" + asked + " HTTP/1.1\r\nHost: localhost\r\n"
-                    + "X-Request-ID: rehearsal-" + asked + "\r\nX-Timeout: "
+            String head = (safe ? "GET /" : "POST /") + c.name() + "/" + requestsSent + " HTTP/1.1\r\nHost: localhost\r\n"
+                    + "X-Request-ID: rehearsal-" + requestsSent + "\r\nX-Timeout: "
                     + TimeUnit.NANOSECONDS.toMillis(c.deadlineNanos()) + "m\r\n";
             if (!config.settings().tenants().isEmpty()) {
                 head += "X-Tenant-Id: " + config.settings().tenants().get(0).name() + "\r\n";
             }
             if (c.effect() == Effect.KEYED) {
-                head += "Idempotency-Key: rehearsal-" + asked + "\r\n";
+                head += "Idempotency-Key: rehearsal-" + requestsSent + "\r\n";
             }
-            write(ctx, safe ? head : head + "Content-Length: " + BODY.length + "\r\n", safe ? NOTHING : BODY);
+            write(ctx, safe ? head : head + "Content-Length: " + BODY.length + "\r\n", safe ? EMPTY_BODY : BODY);
         }
 
         /**
@@ -277,15 +277,15 @@
          * does.
          */
         @Override
-        boolean isWhole(int first, int last, ByteBuf end) {
-            int ahead = end.readableBytes() < 2 ? MARK : end.getByte(end.writerIndex() - 2);
-            return last == MARK || last == '\n' && ahead != '\r';
+        boolean isComplete(int firstByte, int lastByte, ByteBuf bytes) {
+            int secondLastByte = bytes.readableBytes() < 2 ? END_MARK : bytes.getByte(bytes.writerIndex() - 2);
+            return lastByte == END_MARK || lastByte == '\n' && secondLastByte != '\r';
         }
 
         @Override
-        void came(ChannelHandlerContext ctx) {
-            if (++answered < REQUESTS) {
-                ask(ctx);
+        void handleMessage(ChannelHandlerContext ctx) {
+            if (++responsesReceived < REQUEST_COUNT) {
+                sendRequest(ctx);
             } else {
                 done.complete(true);
             }
@@ -293,25 +293,25 @@
     }
 
     /** Stand-in server: serves nearly all requests, and answers some in the other ways in which an attempt can end. */
-    private static final class Host extends FarSide {
+    private static final class StandInServer extends StandIn {
         private static final int FULL_EVERY = 37, ERROR_EVERY = 53;
-        private static final String REST = "Content-Length: " + BODY.length + "\r\nX-Server-Load: tps=";
+        private static final String COMMON_HEADERS = "Content-Length: " + BODY.length + "\r\nX-Server-Load: tps=";
 
         private int requests;
 
         /** A POST has a body, which ends with the mark; a GET ends with its headers. */
         @Override
-        boolean isWhole(int first, int last, ByteBuf end) {
-            return last == (first == 'P' ? MARK : '\n');
+        boolean isComplete(int firstByte, int lastByte, ByteBuf bytes) {
+            return lastByte == (firstByte == 'P' ? END_MARK : '\n');
         }
 
         @Override
-        void came(ChannelHandlerContext ctx) {
+        void handleMessage(ChannelHandlerContext ctx) {
             requests++;
             boolean full = requests % FULL_EVERY == 0;
             String status = full ? "503 Full\r\nX-Not-Processed: 1\r\n"
                     : requests % ERROR_EVERY == 0 ? "500 Error\r\n" : "200 OK\r\n";
-            write(ctx, "HTTP/1.1 " + status + REST + requests + ".5,load_share=0.25,err_ps=0\r\n", BODY);
+            write(ctx, "HTTP/1.1 " + status + COMMON_HEADERS + requests + ".5,load_share=0.25,err_ps=0\r\n", BODY);
         }
     }
 }
