--- a/src/main/java/cinderhollow/daemon/Admin.java
+++ b/src/main/java/cinderhollow/daemon/Admin.java
@@ -160,7 +160,7 @@
         private void order(ChannelHandlerContext ctx, String path) {
             String[] parts = path.split("/");
             try {
-                Order.What what = Order.What.valueOf(parts[0].toUpperCase(Locale.ROOT));
+                Order.Action what = Order.Action.valueOf(parts[0].toUpperCase(Locale.ROOT));
                 long forMillis = Long.parseLong(parts[2]);
                 if (parts.length != ORDER_PARTS || forMillis < 0 || forMillis > MAX_ORDER_MILLIS) {
                     throw new IllegalArgumentException("no order: " + path);
--- a/src/main/java/cinderhollow/daemon/Gateway.java
+++ b/src/main/java/cinderhollow/daemon/Gateway.java
@@ -590,7 +590,7 @@
     }
 
     @Override
-    public CompletableFuture<Void> order(String zone, Order.What what, long forMillis) {
+    public CompletableFuture<Void> order(String zone, Order.Action what, long forMillis) {
         return CompletableFuture.runAsync(() -> {
             if (evacuation == null) {
                 throw new IllegalArgumentException("this gateway talks with no other: there is no [peers] in its operator's file");
--- a/src/main/java/cinderhollow/daemon/GatewayService.java
+++ b/src/main/java/cinderhollow/daemon/GatewayService.java
@@ -77,7 +77,7 @@
      * Gives the whole fleet an order about a zone, valid for {@code forMillis} milliseconds. An invalid order completes the
      * future with an {@link IllegalArgumentException}.
      */
-    CompletableFuture<Void> order(String zone, Order.What what, long forMillis);
+    CompletableFuture<Void> order(String zone, Order.Action what, long forMillis);
 
     /** Counts a reload that was rejected because its file was not usable. */
     void recordRejectedConfig();
--- a/src/main/java/cinderhollow/daemon/MultiLoopGateway.java
+++ b/src/main/java/cinderhollow/daemon/MultiLoopGateway.java
@@ -155,7 +155,7 @@
     }
 
     @Override
-    public CompletableFuture<Void> order(String zone, Order.What what, long forMillis) {
+    public CompletableFuture<Void> order(String zone, Order.Action what, long forMillis) {
         return gateways.get(0).order(zone, what, forMillis);
     }
 
--- a/src/main/java/cinderhollow/daemon/PeerTransport.java
+++ b/src/main/java/cinderhollow/daemon/PeerTransport.java
@@ -146,7 +146,7 @@
      * Gives the fleet an order about a zone, valid for {@code forMillis} milliseconds. An unknown zone causes an {@link
      * IllegalArgumentException}.
      */
-    void order(String zone, Order.What what, long forMillis) {
+    void order(String zone, Order.Action what, long forMillis) {
         int number = evacuation.zone(zone);
         if (number < 0) {
             throw new IllegalArgumentException("no zone '" + zone + "' among " + peering.evacuationConfig().zones());
--- a/src/main/java/cinderhollow/evacuation/Evacuation.java
+++ b/src/main/java/cinderhollow/evacuation/Evacuation.java
@@ -461,8 +461,8 @@
         return now < zones[zone].protectedUntil && others < terms.mostOut();
     }
 
-    private Order.What ordered(Zone z) {
-        return z.order == null || z.order.untilMillis() <= unixMillis ? Order.What.NONE : z.order.what();
+    private Order.Action ordered(Zone z) {
+        return z.order == null || z.order.untilMillis() <= unixMillis ? Order.Action.NONE : z.order.what();
     }
 
     private void drive(int zone) {
@@ -482,7 +482,7 @@
         }
         z.evidence = seen;
         protect(zone);
-        Course next = ordered(z) != Order.What.NONE ? null : next(z, seen, verdict);
+        Course next = ordered(z) != Order.Action.NONE ? null : next(z, seen, verdict);
         if (next == null || !mayDecide()) {
             z.dueSince = NEVER;
             return;
@@ -663,7 +663,7 @@
 
     /** Returns whether a zone is left, by automatic decision or by an operator's order. */
     private boolean isOut(int zone) {
-        return zones[zone].course.phase() != Phase.IN || ordered(zones[zone]) == Order.What.LEAVE;
+        return zones[zone].course.phase() != Phase.IN || ordered(zones[zone]) == Order.Action.LEAVE;
     }
 
     /** Returns whether another zone is sound by its own gateways, so that a vantage with few attempts there can rely on them. */
@@ -820,7 +820,7 @@
     }
 
     /** Publishes an operator's order to the whole fleet, valid from now until the given Unix time in milliseconds. */
-    public void order(int zone, Order.What what, long untilMillis) {
+    public void order(int zone, Order.Action what, long untilMillis) {
         Order before = zones[zone].order;
         peers.publish(new Order(zone, what, untilMillis, Course.epoch(before == null ? 0 : before.epoch(), unixMillis), self()).fact());
     }
@@ -837,7 +837,7 @@
                         judged(z, v).toString()));
             }
             all.add(new ZoneStanding.OfZone(terms.zones().get(z), told(z),
-                    ordered(zones[z]), ordered(zones[z]) == Order.What.NONE ? 0 : zones[z].order.untilMillis(), from));
+                    ordered(zones[z]), ordered(zones[z]) == Order.Action.NONE ? 0 : zones[z].order.untilMillis(), from));
         }
         int known = orders();
         List<Integer> unheard = new ArrayList<>();
--- a/src/main/java/cinderhollow/evacuation/Order.java
+++ b/src/main/java/cinderhollow/evacuation/Order.java
@@ -10,9 +10,9 @@
  * @param untilMillis Unix time in milliseconds at which the order expires
  * @param by number of the member that took the order
  */
-public record Order(int zone, What what, long untilMillis, long epoch, int by) {
+public record Order(int zone, Action what, long untilMillis, long epoch, int by) {
     /** Action that an order asks for. */
-    public enum What {
+    public enum Action {
         /** No order: automatic decisions apply. */
         NONE,
         /** Traffic of the zone is reduced to none. */
@@ -24,7 +24,7 @@
     }
 
     static final Kind KIND = new Kind(3, true, 0);
-    private static final What[] ALL = What.values();
+    private static final Action[] ALL = Action.values();
     private static final int MEMBER_BITS = 16;
 
     Fact fact() {
--- a/src/main/java/cinderhollow/evacuation/ZoneStanding.java
+++ b/src/main/java/cinderhollow/evacuation/ZoneStanding.java
@@ -19,7 +19,7 @@
 public record ZoneStanding(int member, int living, int members, int health, List<OfZone> zones, List<Integer> unheard,
                        Peers.Figures figures, long unreadable) {
     /** State of one zone: the weight that this gateway applies, 1 being full traffic, and the order in force. */
-    public record OfZone(String zone, double weight, Order.What order, long untilMillis, List<From> seen) { }
+    public record OfZone(String zone, double weight, Order.Action order, long untilMillis, List<From> seen) { }
 
     /** Newest decision of one vantage about the zone, and its evidence. */
     public record From(String vantage, String phase, double weight, long epoch, int by, int flaps, String evidence) { }
@@ -59,7 +59,7 @@
         List<String> lines = new ArrayList<>();
         lines.add("member " + member + ", " + living + " of " + members + " alive, health " + health);
         for (OfZone z : zones) {
-            String order = z.order == Order.What.NONE ? "" : ", ordered to " + z.order.name().toLowerCase(Locale.ROOT) + " until "
+            String order = z.order == Order.Action.NONE ? "" : ", ordered to " + z.order.name().toLowerCase(Locale.ROOT) + " until "
                     + Instant.ofEpochMilli(z.untilMillis);
             lines.add(String.format(Locale.ROOT, "zone %s: weight %.2f%s", z.zone, z.weight, order));
             for (From f : z.seen) {
