--- a/src/main/java/cinderhollow/daemon/OperatorConfigLoader.java
+++ b/src/main/java/cinderhollow/daemon/OperatorConfigLoader.java
@@ -1,7 +1,7 @@
 package cinderhollow.daemon;
 
 import cinderhollow.core.Json;
-import cinderhollow.evacuation.Terms;
+import cinderhollow.evacuation.EvacuationSettings;
 import cinderhollow.membership.EndpointList;
 import cinderhollow.membership.Subset.FleetPosition;
 import cinderhollow.operator.Books;
@@ -65,7 +65,7 @@
         try {
             byte[] secret = peers.secret() == null ? new byte[0] : Files.readAllBytes(peers.secret());
             return new Peering(EndpointList.parseAddress(listen), members, new Roster(number, members.size(), peers.fleet(), secret),
-                    new Terms(peers.zones(), peers.zones().indexOf(parsedSettings.zone()), peers.gateways(), peers.regions(), peers.mostOut(), peers.holdNanos(), peers.mostHoldNanos()));
+                    new EvacuationSettings(peers.zones(), peers.zones().indexOf(parsedSettings.zone()), peers.gateways(), peers.regions(), peers.mostOut(), peers.holdNanos(), peers.mostHoldNanos()));
         } catch (IOException e) {
             throw new IllegalArgumentException("can't read the file with the fleet's secret: " + e.getMessage(), e);
         }
--- a/src/main/java/cinderhollow/daemon/Peering.java
+++ b/src/main/java/cinderhollow/daemon/Peering.java
@@ -1,6 +1,6 @@
 package cinderhollow.daemon;
 
-import cinderhollow.evacuation.Terms;
+import cinderhollow.evacuation.EvacuationSettings;
 import cinderhollow.peers.Roster;
 import java.net.InetSocketAddress;
 import java.util.List;
@@ -13,7 +13,7 @@
  * @param roster this member's number, the fleet's size and name, and its secret
  * @param evacuationConfig configuration of the evacuation of zones
  */
-record Peering(InetSocketAddress listenAddress, List<InetSocketAddress> members, Roster roster, Terms evacuationConfig) {
+record Peering(InetSocketAddress listenAddress, List<InetSocketAddress> members, Roster roster, EvacuationSettings evacuationConfig) {
     /** Copies the list of members. */
     Peering {
         members = List.copyOf(members);
--- a/src/main/java/cinderhollow/evacuation/Evacuation.java
+++ b/src/main/java/cinderhollow/evacuation/Evacuation.java
@@ -114,7 +114,7 @@
         private Judgement evidence = Judgement.of(0, 0, List.of());
     }
 
-    private final Terms terms;
+    private final EvacuationSettings terms;
     private final Peers peers;
     private final Host host;
     private final Sightings sightings;
@@ -134,7 +134,7 @@
     private long unreadable;
 
     /** Creates the evacuation of a member that knows no others yet; the start time in Unix milliseconds is its generation. */
-    public Evacuation(Terms terms, Rules rules, Roster roster, Pace pace, long seed, long lifeMillis, Host host) {
+    public Evacuation(EvacuationSettings terms, Rules rules, Roster roster, Pace pace, long seed, long lifeMillis, Host host) {
         this.terms = terms;
         this.host = host;
         sightings = new Sightings(terms.zones().size());
--- a/src/main/java/cinderhollow/evacuation/Terms.java
+++ b/src/main/java/cinderhollow/evacuation/EvacuationSettings.java
@@ -14,9 +14,9 @@
  * @param holdNanos minimum time for which a zone stays out; doubles with each time that the zone failed again
  * @param mostHoldNanos upper bound of that time
  */
-public record Terms(List<String> zones, int vantage, List<Integer> gatewaysByZone, List<Integer> regions, int mostOut, long holdNanos, long mostHoldNanos) {
+public record EvacuationSettings(List<String> zones, int vantage, List<Integer> gatewaysByZone, List<Integer> regions, int mostOut, long holdNanos, long mostHoldNanos) {
     /** Checks the values and copies the lists. */
-    public Terms {
+    public EvacuationSettings {
         zones = List.copyOf(zones);
         gatewaysByZone = List.copyOf(gatewaysByZone);
         regions = List.copyOf(regions);
@@ -35,7 +35,7 @@
      * Returns settings with one region per zone, at most half of the other zones out at once (but at least one), and a hold of
      * 1 s to 60 s.
      */
-    public static Terms usual(List<String> zones, int vantage, List<Integer> gatewaysByZone) {
-        return new Terms(zones, vantage, gatewaysByZone, eachItsOwn(zones.size()), Math.max(1, (zones.size() - 1) / 2), 1_000_000_000L, 60_000_000_000L);
+    public static EvacuationSettings withDefaults(List<String> zones, int vantage, List<Integer> gatewaysByZone) {
+        return new EvacuationSettings(zones, vantage, gatewaysByZone, eachItsOwn(zones.size()), Math.max(1, (zones.size() - 1) / 2), 1_000_000_000L, 60_000_000_000L);
     }
 }
--- a/src/test/java/cinderhollow/evacuation/World.java
+++ b/src/test/java/cinderhollow/evacuation/World.java
@@ -23,7 +23,7 @@
 
     /** Creates the evacuation of a gateway, unchanged or with a planted fault. */
     interface Maker {
-        Evacuation make(Terms terms, Rules rules, Roster roster, long seed, long lifeMillis, Evacuation.Host host);
+        Evacuation make(EvacuationSettings terms, Rules rules, Roster roster, long seed, long lifeMillis, Evacuation.Host host);
     }
 
     static final List<String> ZONES = List.of("a", "b", "c");
@@ -44,7 +44,7 @@
     /** Number of times that a gateway applied weights below one half for several zones at once. */
     int tooManyOut;
     /** Region of each zone; read when a gateway starts. */
-    List<Integer> regions = Terms.eachItsOwn(ZONES.size());
+    List<Integer> regions = EvacuationSettings.eachItsOwn(ZONES.size());
     /** Rate that a warm server can take, as last set at each gateway; 0 if unknown. */
     final double[] bears;
     private final List<Map<String, Double>> told;
@@ -73,8 +73,8 @@
 
     private Net.Member make(Net.Place place, long unixMillis, long seed, int size) {
         int number = place.number;
-        Terms usual = Terms.usual(ZONES, zoneOf(number), Collections.nCopies(3, size / 3));
-        Terms terms = new Terms(ZONES, usual.vantage(), usual.gatewaysByZone(), regions, 1, usual.holdNanos(), usual.mostHoldNanos());
+        EvacuationSettings usual = EvacuationSettings.withDefaults(ZONES, zoneOf(number), Collections.nCopies(3, size / 3));
+        EvacuationSettings terms = new EvacuationSettings(ZONES, usual.vantage(), usual.gatewaysByZone(), regions, 1, usual.holdNanos(), usual.mostHoldNanos());
         told.set(number, Map.of());
         bears[number] = 0;
         Evacuation made = maker.make(terms, RULES, new Roster(number, size, "world", new byte[0]), seed, unixMillis,
