--- a/src/main/java/cinderhollow/daemon/Gateway.java
+++ b/src/main/java/cinderhollow/daemon/Gateway.java
@@ -14,7 +14,7 @@
 import cinderhollow.http1.RequestReader;
 import cinderhollow.http1.Upload;
 import cinderhollow.evacuation.Order;
-import cinderhollow.evacuation.Traffic;
+import cinderhollow.evacuation.TrafficObserver;
 import cinderhollow.evacuation.ZoneStanding;
 import cinderhollow.handover.Snapshot;
 import cinderhollow.lifecycle.RequestLifecycle;
@@ -811,7 +811,7 @@
     private void applyList(ListKind kind, EndpointList list) {
         upstreamPool.update(list);
         if (evacuation != null) {
-            evacuation.traffic().listed(list.servers(), kind != ListKind.CHANGES);
+            evacuation.traffic().updateServers(list.servers(), kind != ListKind.CHANGES);
         }
         dispatch(new ListReceived(kind, list.servers()));
     }
@@ -911,13 +911,13 @@
         private final long openedAtNanos = clock.nanos();
         private int attemptsInFlight;
         /** Null where this gateway has no peers. */
-        private final Traffic.OfRequest zoneTraffic;
+        private final TrafficObserver.RequestObserver zoneTraffic;
         /** Null where there is no operators' socket. */
         private RequestCounters counters;
 
         OpenRequest(RequestArrived arrived, FullHttpRequest request, Upload upload, Reply reply, LedgerEntry entry) {
             id = arrived.id();
-            zoneTraffic = evacuation == null ? null : evacuation.traffic().arrived(classes.get(arrived.requestClass()));
+            zoneTraffic = evacuation == null ? null : evacuation.traffic().onRequestReceived(classes.get(arrived.requestClass()));
             expiresInNanos = arrived.expiresInNanos();
             lifecycle = upload == null ? RequestLifecycle.pending(id, clock.nanos() + expiresInNanos, monitor)
                     : RequestLifecycle.receiving(id, monitor);
@@ -943,7 +943,7 @@
                 attemptCounts.open(entry.account, id);
             }
             if (zoneTraffic != null) {
-                zoneTraffic.sent(clock.nanos(), server);
+                zoneTraffic.onAttemptSent(clock.nanos(), server);
             }
             attemptServers.add(server);
             if (upload == null) {
@@ -988,7 +988,7 @@
             }
             cleanUpIfOver();
             if (zoneTraffic != null) {
-                zoneTraffic.ended(at, number, Outcome.SERVED, attempt.elapsed(at), load);
+                zoneTraffic.onAttemptEnded(at, number, Outcome.SERVED, attempt.elapsed(at), load);
             }
             dispatch(at, new AttemptEnded(id, number, attemptServers.get(number), Outcome.SERVED, attempt.elapsed(at), true, load));
             return wanted ? this : null;
@@ -1044,7 +1044,7 @@
             }
             cleanUpIfOver();
             if (zoneTraffic != null) {
-                zoneTraffic.ended(at, number, outcome, attempt.elapsed(at), load);
+                zoneTraffic.onAttemptEnded(at, number, outcome, attempt.elapsed(at), load);
             }
             // An attempt cancelled before its last byte was sent says nothing about the server, and certainly did not run.
             boolean unsent = outcome == Outcome.CANCELLED && attempt.isUnsent();
--- a/src/main/java/cinderhollow/daemon/PeerTransport.java
+++ b/src/main/java/cinderhollow/daemon/PeerTransport.java
@@ -3,7 +3,7 @@
 import cinderhollow.core.GatewayClock;
 import cinderhollow.evacuation.Evacuation;
 import cinderhollow.evacuation.Order;
-import cinderhollow.evacuation.Traffic;
+import cinderhollow.evacuation.TrafficObserver;
 import cinderhollow.evacuation.ZoneStanding;
 import cinderhollow.peers.Pace;
 import cinderhollow.policy.Protocol.WarmServerRateReceived;
@@ -134,7 +134,7 @@
     }
 
     /** Returns the receiver of the outcomes of attempts and of the endpoint list. */
-    Traffic traffic() {
+    TrafficObserver traffic() {
         return evacuation.traffic();
     }
 
--- a/src/main/java/cinderhollow/emulator/EmulatedGateway.java
+++ b/src/main/java/cinderhollow/emulator/EmulatedGateway.java
@@ -2,7 +2,7 @@
 
 import cinderhollow.evacuation.Evacuation;
 import cinderhollow.evacuation.EvacuationSettings;
-import cinderhollow.evacuation.Traffic;
+import cinderhollow.evacuation.TrafficObserver;
 import cinderhollow.peers.Pace;
 import cinderhollow.peers.Roster;
 import cinderhollow.policy.LoadBalancer;
@@ -93,7 +93,7 @@
             }
             over = true;
             if (evacuation != null) {
-                zones.get(request).ended(time.now(), number, outcome, time.now() - sentAt, load);
+                zones.get(request).onAttemptEnded(time.now(), number, outcome, time.now() - sentAt, load);
             }
             invariants.ended(request, outcome);
             if (connection >= 0) {
@@ -127,7 +127,7 @@
     private final Map<String, ArrayDeque<Idle>> idle = new HashMap<>();
     private final Map<String, List<Attempt>> open = new HashMap<>();
     /** The evacuation module's observer of each open request; empty unless gateways evacuate zones together. */
-    private final Map<String, Traffic.OfRequest> zones = new HashMap<>();
+    private final Map<String, TrafficObserver.RequestObserver> zones = new HashMap<>();
     /** Null unless gateways evacuate zones together. */
     private final Evacuation evacuation;
 
@@ -219,7 +219,7 @@
         if (event instanceof ListReceived list) {
             list.servers().forEach(s -> invariants.told(time.now(), s.id(), s.readiness() == Readiness.READY));
             if (evacuation != null) {
-                evacuation.traffic().listed(list.servers(), list.kind() != ListKind.CHANGES);
+                evacuation.traffic().updateServers(list.servers(), list.kind() != ListKind.CHANGES);
             }
         }
         events.add(event);
@@ -254,7 +254,7 @@
         }
         open.put(request, new ArrayList<>(1));
         if (evacuation != null) {
-            zones.put(request, evacuation.traffic().arrived(kind));
+            zones.put(request, evacuation.traffic().onRequestReceived(kind));
         }
         invariants.arrived(time.now(), request, kind, expiresIn);
         tell(new RequestArrived(request, kind.name(), null, null, expiresIn, 0, false));
@@ -313,7 +313,7 @@
         Attempt attempt = new Attempt(request, all.size(), node);
         all.add(attempt);
         if (evacuation != null) {
-            zones.get(request).sent(time.now(), server);
+            zones.get(request).onAttemptSent(time.now(), server);
         }
         sends++;
         crossings += node.info.zone().equals(zone) ? 0 : 1;
--- a/src/main/java/cinderhollow/evacuation/Evacuation.java
+++ b/src/main/java/cinderhollow/evacuation/Evacuation.java
@@ -118,7 +118,7 @@
     private final Peers peers;
     private final Host host;
     private final Sightings sightings;
-    private final Traffic traffic;
+    private final TrafficObserver traffic;
     private final Zone[] zones;
     private final Map<Integer, Heard> heard = new HashMap<>();
     /** Vantage (number of the own zone) of each member that has published a digest. */
@@ -138,7 +138,7 @@
         this.terms = terms;
         this.host = host;
         sightings = new Sightings(terms.zones().size());
-        traffic = new Traffic(terms.zones(), rules, sightings);
+        traffic = new TrafficObserver(terms.zones(), rules, sightings);
         zones = new Zone[terms.zones().size()];
         for (int z = 0; z < zones.length; z++) {
             zones[z] = new Zone();
@@ -165,7 +165,7 @@
     }
 
     /** Returns the observer to notify of requests, attempts and the server list. */
-    public Traffic traffic() {
+    public TrafficObserver traffic() {
         return traffic;
     }
 
--- a/src/main/java/cinderhollow/evacuation/Traffic.java
+++ b/src/main/java/cinderhollow/evacuation/TrafficObserver.java
@@ -14,7 +14,7 @@
 import java.util.Map;
 
 /** Observes the requests, the attempts and the server list of a gateway, for the assessment of zones. */
-public final class Traffic {
+public final class TrafficObserver {
     /** Multiple of the aim after which a missing answer counts as a failure of the server's zone. */
     private static final double PATIENCE = 1.5;
     /** Weight of the newest load report in a zone's smoothed utilisation. */
@@ -33,7 +33,7 @@
     private boolean changed;
     private long countedAt;
 
-    Traffic(List<String> names, Rules rules, Sightings sightings) {
+    TrafficObserver(List<String> names, Rules rules, Sightings sightings) {
         this.names = names;
         this.rules = rules;
         this.sightings = sightings;
@@ -44,7 +44,7 @@
     }
 
     /** Updates the known servers, by a complete list or by those that have changed. */
-    public void listed(Collection<ServerInfo> servers, boolean whole) {
+    public void updateServers(Collection<ServerInfo> servers, boolean whole) {
         if (whole) {
             hosts.clear();
         }
@@ -59,9 +59,9 @@
     }
 
     /** Counts a received request and returns the observer to notify of its attempts. */
-    public OfRequest arrived(RequestClass requestClass) {
+    public RequestObserver onRequestReceived(RequestClass requestClass) {
         sightings.arrived();
-        return new OfRequest(requestClass);
+        return new RequestObserver(requestClass);
     }
 
     /** Recounts the servers of each zone after a change, and periodically because servers warm up with time. */
@@ -111,18 +111,18 @@
     }
 
     /** Observes one request and its attempts, which are numbered from 0. */
-    public final class OfRequest {
+    public final class RequestObserver {
         private final RequestClass requestClass;
         private Host[] to = new Host[1];
         private int[] slots = new int[1];
         private int attempts;
 
-        private OfRequest(RequestClass requestClass) {
+        private RequestObserver(RequestClass requestClass) {
             this.requestClass = requestClass;
         }
 
         /** Records that the next attempt was sent to a server. */
-        public void sent(long now, String host) {
+        public void onAttemptSent(long now, String host) {
             if (attempts == to.length) {
                 to = Arrays.copyOf(to, 2 * attempts);
                 slots = Arrays.copyOf(slots, 2 * attempts);
@@ -134,7 +134,7 @@
         }
 
         /** Records how an attempt ended; the load report may be null. */
-        public void ended(long now, int attempt, Outcome outcome, long elapsedNanos, LoadReport load) {
+        public void onAttemptEnded(long now, int attempt, Outcome outcome, long elapsedNanos, LoadReport load) {
             sightings.ended(now, slots[attempt], seen(outcome, elapsedNanos > requestClass.aimNanos()));
             Host at = to[attempt];
             if (at == null) {
--- a/src/test/java/cinderhollow/evacuation/EvacuationTest.java
+++ b/src/test/java/cinderhollow/evacuation/EvacuationTest.java
@@ -61,13 +61,13 @@
         world.fate = (g, z, h) -> z == 0 ? null : Seen.GOOD;
         assertTrue(world.net.until(3 * SECOND, () -> world.left("a", g -> true)) > 0);
         for (Evacuation gateway : world.gateways) {
-            gateway.traffic().listed(World.hosts(List.of("b", "c"), 0), true);
+            gateway.traffic().updateServers(World.hosts(List.of("b", "c"), 0), true);
         }
         world.net.run(4 * SECOND);
         assertTrue(world.left("a", g -> true), "a zone without listed servers is not tried");
         world.fate = (g, z, h) -> Seen.GOOD;
         for (Evacuation gateway : world.gateways) {
-            gateway.traffic().listed(World.hosts(List.of("a"), world.net.now), false);
+            gateway.traffic().updateServers(World.hosts(List.of("a"), world.net.now), false);
         }
         long took = world.net.until(10 * SECOND, () -> IntStream.range(0, GATEWAYS).allMatch(g -> world.weight(g, "a") >= 0.5));
         assertTrue(took > 0 && took < 2 * SECOND, () -> "back after " + took / MS + " ms\n" + String.join("\n", world.log));
--- a/src/test/java/cinderhollow/evacuation/World.java
+++ b/src/test/java/cinderhollow/evacuation/World.java
@@ -104,7 +104,7 @@
                 watch.accept(number, line);
             }
         });
-        made.traffic().listed(hosts(ZONES, 0), true);
+        made.traffic().updateServers(hosts(ZONES, 0), true);
         gateways[number] = made;
         return new Net.Member() {
             @Override
