--- a/src/main/java/cinderhollow/daemon/Admin.java
+++ b/src/main/java/cinderhollow/daemon/Admin.java
@@ -3,7 +3,7 @@
 import cinderhollow.core.AcceptErrorHandler;
 import cinderhollow.core.Transport;
 import cinderhollow.evacuation.Order;
-import cinderhollow.evacuation.ZoneStanding;
+import cinderhollow.evacuation.ZoneStatus;
 import cinderhollow.ledger.OpenMetrics;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.Unpooled;
@@ -128,9 +128,9 @@
     }
 
     /** Inserts the zones' metrics before the last line, which marks the end of OpenMetrics text. */
-    private static String appendZones(String metrics, ZoneStanding zones) {
+    private static String appendZones(String metrics, ZoneStatus zones) {
         return zones == null || !metrics.endsWith(EOF_LINE) ? metrics
-                : metrics.substring(0, metrics.length() - EOF_LINE.length()) + zones.metrics() + EOF_LINE;
+                : metrics.substring(0, metrics.length() - EOF_LINE.length()) + zones.formatMetrics() + EOF_LINE;
     }
 
     /** Handles the requests of one connection. */
@@ -146,7 +146,7 @@
             } else if (requestLine.equals("POST /ledger/acknowledge")) {
                 answerWhenDone(ctx, gateway.acknowledgeBreaches().thenApply(none -> "acknowledged\n"));
             } else if (requestLine.equals("GET /zones")) {
-                answerWhenDone(ctx, gateway.zoneStatus().thenApply(standing -> standing == null ? NO_PEERS_TEXT : standing.text()));
+                answerWhenDone(ctx, gateway.zoneStatus().thenApply(standing -> standing == null ? NO_PEERS_TEXT : standing.formatText()));
             } else if (requestLine.startsWith("POST /zones/")) {
                 order(ctx, request.uri().substring("/zones/".length()));
             } else {
--- a/src/main/java/cinderhollow/daemon/Gateway.java
+++ b/src/main/java/cinderhollow/daemon/Gateway.java
@@ -15,7 +15,7 @@
 import cinderhollow.http1.Upload;
 import cinderhollow.evacuation.Order;
 import cinderhollow.evacuation.TrafficObserver;
-import cinderhollow.evacuation.ZoneStanding;
+import cinderhollow.evacuation.ZoneStatus;
 import cinderhollow.handover.Snapshot;
 import cinderhollow.lifecycle.RequestLifecycle;
 import cinderhollow.lifecycle.RequestState;
@@ -585,7 +585,7 @@
     }
 
     @Override
-    public CompletableFuture<ZoneStanding> zoneStatus() {
+    public CompletableFuture<ZoneStatus> zoneStatus() {
         return CompletableFuture.supplyAsync(() -> evacuation == null ? null : evacuation.zoneStatus(), loop);
     }
 
--- a/src/main/java/cinderhollow/daemon/GatewayService.java
+++ b/src/main/java/cinderhollow/daemon/GatewayService.java
@@ -1,7 +1,7 @@
 package cinderhollow.daemon;
 
 import cinderhollow.evacuation.Order;
-import cinderhollow.evacuation.ZoneStanding;
+import cinderhollow.evacuation.ZoneStatus;
 import cinderhollow.handover.Snapshot;
 import cinderhollow.ledger.Figures;
 import cinderhollow.ops.Standing;
@@ -71,7 +71,7 @@
     CompletableFuture<Void> reconfigure(GatewayConfig next);
 
     /** Returns the state of the fleet's zones, or null where this gateway has no peers. */
-    CompletableFuture<ZoneStanding> zoneStatus();
+    CompletableFuture<ZoneStatus> zoneStatus();
 
     /**
      * Gives the whole fleet an order about a zone, valid for {@code forMillis} milliseconds. An invalid order completes the
--- a/src/main/java/cinderhollow/daemon/MultiLoopGateway.java
+++ b/src/main/java/cinderhollow/daemon/MultiLoopGateway.java
@@ -3,7 +3,7 @@
 import cinderhollow.core.Transport;
 import cinderhollow.http1.Acceptor;
 import cinderhollow.evacuation.Order;
-import cinderhollow.evacuation.ZoneStanding;
+import cinderhollow.evacuation.ZoneStatus;
 import cinderhollow.handover.Snapshot;
 import cinderhollow.ledger.Figures;
 import cinderhollow.ops.Standing;
@@ -150,7 +150,7 @@
 
     /** Returns the first loop's state: a gateway with several event loops has no peers. */
     @Override
-    public CompletableFuture<ZoneStanding> zoneStatus() {
+    public CompletableFuture<ZoneStatus> zoneStatus() {
         return gateways.get(0).zoneStatus();
     }
 
--- a/src/main/java/cinderhollow/daemon/PeerTransport.java
+++ b/src/main/java/cinderhollow/daemon/PeerTransport.java
@@ -4,7 +4,7 @@
 import cinderhollow.evacuation.Evacuation;
 import cinderhollow.evacuation.Order;
 import cinderhollow.evacuation.TrafficObserver;
-import cinderhollow.evacuation.ZoneStanding;
+import cinderhollow.evacuation.ZoneStatus;
 import cinderhollow.peers.Pace;
 import cinderhollow.policy.Protocol.WarmServerRateReceived;
 import cinderhollow.policy.Protocol.Event;
@@ -138,7 +138,7 @@
         return evacuation.traffic();
     }
 
-    ZoneStanding zoneStatus() {
+    ZoneStatus zoneStatus() {
         return evacuation.standing();
     }
 
--- a/src/main/java/cinderhollow/evacuation/Evacuation.java
+++ b/src/main/java/cinderhollow/evacuation/Evacuation.java
@@ -826,17 +826,17 @@
     }
 
     /** Returns the state of all zones and members for operators. */
-    public ZoneStanding standing() {
-        List<ZoneStanding.OfZone> all = new ArrayList<>();
+    public ZoneStatus standing() {
+        List<ZoneStatus.OfZone> all = new ArrayList<>();
         for (int z = 0; z < zones.length; z++) {
-            List<ZoneStanding.From> from = new ArrayList<>();
+            List<ZoneStatus.From> from = new ArrayList<>();
             for (int v = 0; v < zones.length; v++) {
                 Course known = course(z, v);
                 Course c = known == null ? Course.in(z, v) : known;
-                from.add(new ZoneStanding.From(terms.zones().get(v), c.word(), c.weight(), c.epoch(), c.by(), c.flaps(),
+                from.add(new ZoneStatus.From(terms.zones().get(v), c.word(), c.weight(), c.epoch(), c.by(), c.flaps(),
                         judged(z, v).toString()));
             }
-            all.add(new ZoneStanding.OfZone(terms.zones().get(z), told(z),
+            all.add(new ZoneStatus.OfZone(terms.zones().get(z), told(z),
                     ordered(zones[z]), ordered(zones[z]) == Order.Action.NONE ? 0 : zones[z].order.untilMillis(), from));
         }
         int known = orders();
@@ -847,7 +847,7 @@
                 unheard.add(member);
             }
         }
-        return new ZoneStanding(peers.roster().self(), peers.living(), peers.roster().size(), peers.health(), all,
+        return new ZoneStatus(peers.roster().self(), peers.living(), peers.roster().size(), peers.health(), all,
                 unheard.stream().filter(m -> m != self()).toList(), peers.figures(), unreadable);
     }
 
--- a/src/main/java/cinderhollow/evacuation/ZoneStanding.java
+++ b/src/main/java/cinderhollow/evacuation/ZoneStatus.java
@@ -16,7 +16,7 @@
  * @param unheard members that are dead, or not known to have the newest orders
  * @param unreadable facts that could not be decoded
  */
-public record ZoneStanding(int member, int living, int members, int health, List<OfZone> zones, List<Integer> unheard,
+public record ZoneStatus(int member, int living, int members, int health, List<OfZone> zones, List<Integer> unheard,
                        Peers.Figures figures, long unreadable) {
     /** State of one zone: the weight that this gateway applies, 1 being full traffic, and the order in force. */
     public record OfZone(String zone, double weight, Order.Action order, long untilMillis, List<From> seen) { }
@@ -25,7 +25,7 @@
     public record From(String vantage, String phase, double weight, long epoch, int by, int flaps, String evidence) { }
 
     /** Returns lines of OpenMetrics text, without the end marker. */
-    public String metrics() {
+    public String formatMetrics() {
         StringBuilder text = new StringBuilder(1024);
         gauge(text, "cinderhollow_peers_alive", "Members of the fleet that are taken for alive.", living);
         gauge(text, "cinderhollow_peers_health", "How much this member doubts itself.", health);
@@ -55,7 +55,7 @@
     }
 
     /** Returns a table as plain lines of text. */
-    public String text() {
+    public String formatText() {
         List<String> lines = new ArrayList<>();
         lines.add("member " + member + ", " + living + " of " + members + " alive, health " + health);
         for (OfZone z : zones) {
