--- a/src/main/java/cinderhollow/daemon/PeerTransport.java
+++ b/src/main/java/cinderhollow/daemon/PeerTransport.java
@@ -59,7 +59,7 @@
         for (int i = 0; i < peering.members().size(); i++) {
             memberNumbers.put(peering.members().get(i), i);
         }
-        evacuation = new Evacuation(peering.evacuationConfig(), rules, peering.roster(), Pace.USUAL, seed, unixMillis(), new Evacuation.Host() {
+        evacuation = new Evacuation(peering.evacuationConfig(), rules, peering.roster(), Pace.USUAL, seed, unixMillis(), new Evacuation.Callbacks() {
             @Override
             public void send(int member, byte[] datagram) {
                 channel.writeAndFlush(new DatagramPacket(Unpooled.wrappedBuffer(datagram), peering.members().get(member)),
@@ -67,17 +67,17 @@
             }
 
             @Override
-            public void weigh(Map<String, Double> byZone) {
+            public void setZoneWeights(Map<String, Double> byZone) {
                 eventSink.accept(new ZoneWeightsChanged(byZone));
             }
 
             @Override
-            public void bears(double perSecond) {
+            public void setWarmServerRate(double perSecond) {
                 eventSink.accept(new WarmServerRateReceived(perSecond));
             }
 
             @Override
-            public void welcome(boolean clients) {
+            public void setAcceptingClients(boolean clients) {
                 zoneAvailable.accept(clients);
             }
 
@@ -120,7 +120,7 @@
 
     /** Tells the other gateways that this one leaves, so that they need not detect it, and stops the exchange. */
     void close() {
-        evacuation.leave();
+        evacuation.leaveFleet();
         closed = true;
         channel.close();
     }
@@ -130,7 +130,7 @@
      * its own observations.
      */
     void updateLateness(long lateNanos) {
-        evacuation.late(lateNanos >= LATE_THRESHOLD_NANOS);
+        evacuation.setLoopLate(lateNanos >= LATE_THRESHOLD_NANOS);
     }
 
     /** Returns the receiver of the outcomes of attempts and of the endpoint list. */
@@ -139,7 +139,7 @@
     }
 
     ZoneStatus zoneStatus() {
-        return evacuation.standing();
+        return evacuation.status();
     }
 
     /**
@@ -147,11 +147,11 @@
      * IllegalArgumentException}.
      */
     void order(String zone, Order.Action what, long forMillis) {
-        int number = evacuation.zone(zone);
+        int number = evacuation.zoneNumber(zone);
         if (number < 0) {
             throw new IllegalArgumentException("no zone '" + zone + "' among " + peering.evacuationConfig().zones());
         }
-        evacuation.order(number, what, unixMillis() + forMillis);
+        evacuation.issueOrder(number, what, unixMillis() + forMillis);
     }
 
     /** Receives the datagrams of the other gateways. */
@@ -159,7 +159,7 @@
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, DatagramPacket packet) {
             int from = memberNumbers.getOrDefault(packet.sender(), -1);
-            evacuation.received(clock.nanos(), unixMillis(), from, ByteBufUtil.getBytes(packet.content()));
+            evacuation.onDatagram(clock.nanos(), unixMillis(), from, ByteBufUtil.getBytes(packet.content()));
         }
 
         /**
--- a/src/main/java/cinderhollow/emulator/EmulatedGateway.java
+++ b/src/main/java/cinderhollow/emulator/EmulatedGateway.java
@@ -159,7 +159,7 @@
         List<String> names = IntStream.range(0, scenario.zones()).mapToObj(i -> Emulation.zone(i, scenario.zones())).toList();
         Roster roster = new Roster(settings.gatewayNumber(), settings.gateways(), "emulated", new byte[0]);
         return new Evacuation(EvacuationSettings.withDefaults(names, names.indexOf(zone), Collections.nCopies(names.size(), 0)), settings.rules(), roster, Pace.USUAL, seed,
-                unixMillis(), new Evacuation.Host() {
+                unixMillis(), new Evacuation.Callbacks() {
             @Override
             public void send(int member, byte[] datagram) {
                 datagrams++;
@@ -167,18 +167,18 @@
             }
 
             @Override
-            public void weigh(Map<String, Double> byZone) {
+            public void setZoneWeights(Map<String, Double> byZone) {
                 world.weighed(EmulatedGateway.this, byZone);
                 tell(new ZoneWeightsChanged(byZone));
             }
 
             @Override
-            public void bears(double perSecond) {
+            public void setWarmServerRate(double perSecond) {
                 tell(new WarmServerRateReceived(perSecond));
             }
 
             @Override
-            public void welcome(boolean clients) { }
+            public void setAcceptingClients(boolean clients) { }
 
             @Override
             public void log(String line) {
@@ -207,7 +207,7 @@
     /** Passes a datagram of another gateway to the evacuation module. */
     void heard(int from, byte[] datagram) {
         if (evacuation != null && !dead) {
-            evacuation.received(time.now(), unixMillis(), from, datagram);
+            evacuation.onDatagram(time.now(), unixMillis(), from, datagram);
         }
     }
 
--- a/src/main/java/cinderhollow/evacuation/Evacuation.java
+++ b/src/main/java/cinderhollow/evacuation/Evacuation.java
@@ -32,18 +32,18 @@
  */
 public class Evacuation {
     /** Callbacks into the process that runs the evacuation. */
-    public interface Host {
+    public interface Callbacks {
         /** Sends a datagram to a member. */
         void send(int member, byte[] datagram);
 
         /** Sets the weight of every configured zone: the part of its normal traffic that it gets from now on, 0 to 1. */
-        void weigh(Map<String, Double> byZone);
+        void setZoneWeights(Map<String, Double> byZone);
 
         /** Sets how many requests per second of this gateway one warm server can take; 0 if that is unknown. */
-        void bears(double perSecond);
+        void setWarmServerRate(double perSecond);
 
         /** Sets whether clients should connect here: not while cut off from half of the fleet and from all sound zones. */
-        void welcome(boolean clients);
+        void setAcceptingClients(boolean clients);
 
         /** Writes a log line for operators. */
         void log(String line);
@@ -116,7 +116,7 @@
 
     private final EvacuationSettings terms;
     private final Peers peers;
-    private final Host host;
+    private final Callbacks host;
     private final Sightings sightings;
     private final TrafficObserver traffic;
     private final Zone[] zones;
@@ -134,7 +134,7 @@
     private long unreadable;
 
     /** Creates the evacuation of a member that knows no others yet; the start time in Unix milliseconds is its generation. */
-    public Evacuation(EvacuationSettings terms, Rules rules, Roster roster, Pace pace, long seed, long lifeMillis, Host host) {
+    public Evacuation(EvacuationSettings terms, Rules rules, Roster roster, Pace pace, long seed, long lifeMillis, Callbacks host) {
         this.terms = terms;
         this.host = host;
         sightings = new Sightings(terms.zones().size());
@@ -174,17 +174,17 @@
     }
 
     /** Returns the number of a zone, or -1 if no zone has this name. */
-    public int zone(String name) {
+    public int zoneNumber(String name) {
         return terms.zones().indexOf(name);
     }
 
     /** Sets whether this gateway's event loop is late, so that its observations are not reliable. */
-    public void late(boolean now) {
+    public void setLoopLate(boolean now) {
         late = now;
     }
 
     /** Handles a datagram received from the address of a member; -1 if the address belongs to no member. */
-    public void received(long nowNanos, long nowUnixMillis, int from, byte[] datagram) {
+    public void onDatagram(long nowNanos, long nowUnixMillis, int from, byte[] datagram) {
         now = nowNanos;
         unixMillis = nowUnixMillis;
         peers.received(nowNanos, nowUnixMillis, from, datagram);
@@ -210,7 +210,7 @@
     }
 
     /** Leaves the fleet: tells the other members that this one has ended. */
-    public void leave() {
+    public void leaveFleet() {
         peers.leave();
     }
 
@@ -733,7 +733,7 @@
         }
         if (moved) {
             told = Map.copyOf(weights);
-            host.weigh(told);
+            host.setZoneWeights(told);
         }
         boolean nowhere = 2 * peers.living() <= peers.roster().size();
         for (int z = 0; z < zones.length; z++) {
@@ -742,7 +742,7 @@
         nowhere &= byOwn(terms.vantage()).verdict() == Verdict.BAD;
         if (nowhere == toldWelcome) {
             toldWelcome = !nowhere;
-            host.welcome(toldWelcome);
+            host.setAcceptingClients(toldWelcome);
             host.log(nowhere ? "cut off from half of the fleet and from all sound zones: clients are sent to other gateways"
                     : "no longer cut off: clients are accepted again");
         }
@@ -800,7 +800,7 @@
         }
         if (Math.abs(bears - toldBears) > toldBears * SMOOTH / 3) {
             toldBears = bears;
-            host.bears(bears);
+            host.setWarmServerRate(bears);
         }
     }
 
@@ -820,13 +820,13 @@
     }
 
     /** Publishes an operator's order to the whole fleet, valid from now until the given Unix time in milliseconds. */
-    public void order(int zone, Order.Action what, long untilMillis) {
+    public void issueOrder(int zone, Order.Action what, long untilMillis) {
         Order before = zones[zone].order;
         peers.publish(new Order(zone, what, untilMillis, Course.epoch(before == null ? 0 : before.epoch(), unixMillis), self()).fact());
     }
 
     /** Returns the state of all zones and members for operators. */
-    public ZoneStatus standing() {
+    public ZoneStatus status() {
         List<ZoneStatus.OfZone> all = new ArrayList<>();
         for (int z = 0; z < zones.length; z++) {
             List<ZoneStatus.From> from = new ArrayList<>();
--- a/src/test/java/cinderhollow/evacuation/EvacuationTest.java
+++ b/src/test/java/cinderhollow/evacuation/EvacuationTest.java
@@ -258,10 +258,10 @@
         World world = calm(13);
         world.net.places.get(29).kill();
         world.net.run(6 * SECOND);
-        world.gateways[2].order(1, Order.Action.LEAVE, world.net.unix(world.net.places.get(2)) + 30_000);
+        world.gateways[2].issueOrder(1, Order.Action.LEAVE, world.net.unix(world.net.places.get(2)) + 30_000);
         assertTrue(world.net.until(4 * SECOND, () -> world.left("b", g -> g != 29)) > 0, () -> String.join("\n", world.log));
         world.net.run(2 * SECOND);
-        assertEquals(List.of(29), world.gateways[2].standing().unheard());
+        assertEquals(List.of(29), world.gateways[2].status().unheard());
         world.net.places.get(2).kill();
         world.net.run(SECOND);
         world.net.places.get(2).start();
--- a/src/test/java/cinderhollow/evacuation/WalkTest.java
+++ b/src/test/java/cinderhollow/evacuation/WalkTest.java
@@ -24,7 +24,7 @@
     private static final class Mistaken extends Watched {
         private final Mistake mistake;
 
-        Mistaken(Mistake mistake, EvacuationSettings terms, Rules rules, Roster roster, long seed, long lifeMillis, Host host) {
+        Mistaken(Mistake mistake, EvacuationSettings terms, Rules rules, Roster roster, long seed, long lifeMillis, Callbacks host) {
             super(terms, rules, roster, seed, lifeMillis, host);
             this.mistake = mistake;
         }
--- a/src/test/java/cinderhollow/evacuation/Watched.java
+++ b/src/test/java/cinderhollow/evacuation/Watched.java
@@ -9,7 +9,7 @@
 class Watched extends Evacuation {
     BiConsumer<Watched, Course> watch = (gateway, course) -> { };
 
-    Watched(EvacuationSettings terms, Rules rules, Roster roster, long seed, long lifeMillis, Host host) {
+    Watched(EvacuationSettings terms, Rules rules, Roster roster, long seed, long lifeMillis, Callbacks host) {
         super(terms, rules, roster, Pace.USUAL, seed, lifeMillis, host);
     }
 
--- a/src/test/java/cinderhollow/evacuation/World.java
+++ b/src/test/java/cinderhollow/evacuation/World.java
@@ -23,7 +23,7 @@
 
     /** Creates the evacuation of a gateway, unchanged or with a planted fault. */
     interface Maker {
-        Evacuation make(EvacuationSettings terms, Rules rules, Roster roster, long seed, long lifeMillis, Evacuation.Host host);
+        Evacuation make(EvacuationSettings terms, Rules rules, Roster roster, long seed, long lifeMillis, Evacuation.Callbacks host);
     }
 
     static final List<String> ZONES = List.of("a", "b", "c");
@@ -78,25 +78,25 @@
         told.set(number, Map.of());
         bears[number] = 0;
         Evacuation made = maker.make(terms, RULES, new Roster(number, size, "world", new byte[0]), seed, unixMillis,
-                new Evacuation.Host() {
+                new Evacuation.Callbacks() {
             @Override
             public void send(int member, byte[] datagram) {
                 place.carry(member, datagram);
             }
 
             @Override
-            public void weigh(Map<String, Double> byZone) {
+            public void setZoneWeights(Map<String, Double> byZone) {
                 told.set(number, byZone);
                 tooManyOut += byZone.values().stream().filter(w -> w < 0.5).count() > 1 ? 1 : 0;
             }
 
             @Override
-            public void bears(double perSecond) {
+            public void setWarmServerRate(double perSecond) {
                 bears[number] = perSecond;
             }
 
             @Override
-            public void welcome(boolean clients) { }
+            public void setAcceptingClients(boolean clients) { }
 
             @Override
             public void log(String line) {
@@ -114,7 +114,7 @@
 
             @Override
             public void received(long now, long unix, int from, byte[] datagram) {
-                made.received(now, unix, from, datagram);
+                made.onDatagram(now, unix, from, datagram);
             }
         };
     }
