--- a/src/main/java/cinderhollow/daemon/PeerTransport.java
+++ b/src/main/java/cinderhollow/daemon/PeerTransport.java
@@ -5,7 +5,7 @@
 import cinderhollow.evacuation.Order;
 import cinderhollow.evacuation.TrafficObserver;
 import cinderhollow.evacuation.ZoneStatus;
-import cinderhollow.peers.Pace;
+import cinderhollow.peers.GossipSettings;
 import cinderhollow.policy.Protocol.WarmServerRateReceived;
 import cinderhollow.policy.Protocol.Event;
 import cinderhollow.policy.Protocol.Rules;
@@ -59,7 +59,7 @@
         for (int i = 0; i < peering.members().size(); i++) {
             memberNumbers.put(peering.members().get(i), i);
         }
-        evacuation = new Evacuation(peering.evacuationConfig(), rules, peering.roster(), Pace.USUAL, seed, unixMillis(), new Evacuation.Callbacks() {
+        evacuation = new Evacuation(peering.evacuationConfig(), rules, peering.roster(), GossipSettings.DEFAULT, seed, unixMillis(), new Evacuation.Callbacks() {
             @Override
             public void send(int member, byte[] datagram) {
                 channel.writeAndFlush(new DatagramPacket(Unpooled.wrappedBuffer(datagram), peering.members().get(member)),
--- a/src/main/java/cinderhollow/emulator/EmulatedGateway.java
+++ b/src/main/java/cinderhollow/emulator/EmulatedGateway.java
@@ -3,7 +3,7 @@
 import cinderhollow.evacuation.Evacuation;
 import cinderhollow.evacuation.EvacuationSettings;
 import cinderhollow.evacuation.TrafficObserver;
-import cinderhollow.peers.Pace;
+import cinderhollow.peers.GossipSettings;
 import cinderhollow.peers.Roster;
 import cinderhollow.policy.LoadBalancer;
 import cinderhollow.policy.Protocol.Actions;
@@ -158,7 +158,7 @@
     private Evacuation talk(Settings settings, long seed) {
         List<String> names = IntStream.range(0, scenario.zones()).mapToObj(i -> Emulation.zone(i, scenario.zones())).toList();
         Roster roster = new Roster(settings.gatewayNumber(), settings.gateways(), "emulated", new byte[0]);
-        return new Evacuation(EvacuationSettings.withDefaults(names, names.indexOf(zone), Collections.nCopies(names.size(), 0)), settings.rules(), roster, Pace.USUAL, seed,
+        return new Evacuation(EvacuationSettings.withDefaults(names, names.indexOf(zone), Collections.nCopies(names.size(), 0)), settings.rules(), roster, GossipSettings.DEFAULT, seed,
                 unixMillis(), new Evacuation.Callbacks() {
             @Override
             public void send(int member, byte[] datagram) {
--- a/src/main/java/cinderhollow/evacuation/Evacuation.java
+++ b/src/main/java/cinderhollow/evacuation/Evacuation.java
@@ -4,7 +4,7 @@
 import cinderhollow.evacuation.Judgement.Verdict;
 import cinderhollow.peers.Fact;
 import cinderhollow.peers.Kind;
-import cinderhollow.peers.Pace;
+import cinderhollow.peers.GossipSettings;
 import cinderhollow.peers.Peers;
 import cinderhollow.peers.Roster;
 import cinderhollow.policy.Protocol.Rules;
@@ -134,7 +134,7 @@
     private long unreadable;
 
     /** Creates the evacuation of a member that knows no others yet; the start time in Unix milliseconds is its generation. */
-    public Evacuation(EvacuationSettings terms, Rules rules, Roster roster, Pace pace, long seed, long lifeMillis, Callbacks host) {
+    public Evacuation(EvacuationSettings terms, Rules rules, Roster roster, GossipSettings pace, long seed, long lifeMillis, Callbacks host) {
         this.terms = terms;
         this.host = host;
         sightings = new Sightings(terms.zones().size());
--- a/src/main/java/cinderhollow/peers/Pace.java
+++ b/src/main/java/cinderhollow/peers/GossipSettings.java
@@ -12,10 +12,10 @@
  * @param suspicion number of probe intervals that a suspect has at least to refute, for each factor of ten in members
  * @param slack factor by which that time is longer while nobody else confirms the suspicion
  */
-public record Pace(long probe, long pingTimeout, long gossip, long hurried, int fanout, long sync, double suspicion, double slack) {
+public record GossipSettings(long probe, long pingTimeout, long gossip, long hurried, int fanout, long sync, double suspicion, double slack) {
     private static final long MS = 1_000_000L;
     /** Defaults, for latencies between machines from a few to some tens of milliseconds. */
-    public static final Pace USUAL = new Pace(250 * MS, 100 * MS, 100 * MS, 25 * MS, 3, 1_000 * MS, 4, 3);
+    public static final GossipSettings DEFAULT = new GossipSettings(250 * MS, 100 * MS, 100 * MS, 25 * MS, 3, 1_000 * MS, 4, 3);
 
     /** Returns how often a member sends a new fact: enough to reach all members almost surely (Karp and others, 2000). */
     int sends(int members) {
--- a/src/main/java/cinderhollow/peers/Peers.java
+++ b/src/main/java/cinderhollow/peers/Peers.java
@@ -59,7 +59,7 @@
     private record Errand(int for_, long itsNumber, long nackAt) { }
 
     private final Roster roster;
-    private final Pace pace;
+    private final GossipSettings pace;
     private final Host host;
     private final SplittableRandom random;
     private final Seal seal;
@@ -94,7 +94,7 @@
      * Creates a member that knows no others yet. Its start time in Unix milliseconds is its generation, by which its datagrams
      * are told apart from those of earlier starts.
      */
-    public Peers(Roster roster, Pace pace, Collection<Kind> kinds, long seed, long lifeMillis, Host host) {
+    public Peers(Roster roster, GossipSettings pace, Collection<Kind> kinds, long seed, long lifeMillis, Host host) {
         this.roster = roster;
         this.pace = pace;
         this.host = host;
--- a/src/test/java/cinderhollow/evacuation/Watched.java
+++ b/src/test/java/cinderhollow/evacuation/Watched.java
@@ -1,6 +1,6 @@
 package cinderhollow.evacuation;
 
-import cinderhollow.peers.Pace;
+import cinderhollow.peers.GossipSettings;
 import cinderhollow.peers.Roster;
 import cinderhollow.policy.Protocol.Rules;
 import java.util.function.BiConsumer;
@@ -10,7 +10,7 @@
     BiConsumer<Watched, Course> watch = (gateway, course) -> { };
 
     Watched(EvacuationSettings terms, Rules rules, Roster roster, long seed, long lifeMillis, Callbacks host) {
-        super(terms, rules, roster, Pace.USUAL, seed, lifeMillis, host);
+        super(terms, rules, roster, GossipSettings.DEFAULT, seed, lifeMillis, host);
     }
 
     @Override
--- a/src/test/java/cinderhollow/evacuation/World.java
+++ b/src/test/java/cinderhollow/evacuation/World.java
@@ -2,7 +2,7 @@
 
 import cinderhollow.evacuation.Sightings.Seen;
 import cinderhollow.peers.Net;
-import cinderhollow.peers.Pace;
+import cinderhollow.peers.GossipSettings;
 import cinderhollow.peers.Roster;
 import cinderhollow.policy.Protocol.Readiness;
 import cinderhollow.policy.Protocol.Rules;
@@ -52,7 +52,7 @@
 
     World(int size, long seed) {
         this(size, seed, (terms, rules, roster, itsSeed, life, host) ->
-                new Evacuation(terms, rules, roster, Pace.USUAL, itsSeed, life, host));
+                new Evacuation(terms, rules, roster, GossipSettings.DEFAULT, itsSeed, life, host));
     }
 
     World(int size, long seed, Maker maker) {
--- a/src/test/java/cinderhollow/peers/Net.java
+++ b/src/test/java/cinderhollow/peers/Net.java
@@ -59,7 +59,7 @@
         }
 
         private Member peers(long unixMillis, long itsSeed) {
-            peers = new Peers(new Roster(number, places.size(), "fleet", secret), Pace.USUAL, List.of(NOTE),
+            peers = new Peers(new Roster(number, places.size(), "fleet", secret), GossipSettings.DEFAULT, List.of(NOTE),
                     itsSeed, unixMillis, new Peers.Host() {
                 @Override
                 public void send(int member, byte[] datagram) {
--- a/src/test/java/cinderhollow/peers/PeersTest.java
+++ b/src/test/java/cinderhollow/peers/PeersTest.java
@@ -157,7 +157,7 @@
         };
         byte[] secret = {7};
         long unix = Net.UNIX;
-        Peers receiver = new Peers(new Roster(0, 3, "f", secret), Pace.USUAL, List.of(NOTE), 1, unix, keeps);
+        Peers receiver = new Peers(new Roster(0, 3, "f", secret), GossipSettings.DEFAULT, List.of(NOTE), 1, unix, keeps);
         receiver.tick(0, unix);
         check(receiver, Flaw.LENGTH, 1, made(sent, keeps, 1, "f", secret, unix, d -> Arrays.copyOf(d, 20)));
         check(receiver, Flaw.LENGTH, 1, made(sent, keeps, 1, "f", secret, unix, d -> Arrays.copyOf(d, 300)));
@@ -185,7 +185,7 @@
 
     private static byte[] made(byte[][] sent, Peers.Host host, int self, String fleet, byte[] secret, long life,
                                UnaryOperator<byte[]> change) {
-        Peers sender = new Peers(new Roster(self, 3, fleet, secret), Pace.USUAL, List.of(NOTE), 1, life, host);
+        Peers sender = new Peers(new Roster(self, 3, fleet, secret), GossipSettings.DEFAULT, List.of(NOTE), 1, life, host);
         sender.tick(0, life);
         sender.tick(Long.MAX_VALUE / 4, life);
         for (int i = 1; sent[0] == null && i < 100; i++) {
@@ -228,7 +228,7 @@
     void onlyAnAnswerThatNamesTheSilentMemberSpeaksForIt(boolean named) {
         List<byte[]> sent = new ArrayList<>();
         List<Integer> to = new ArrayList<>();
-        Peers member = new Peers(new Roster(0, 3, "f", new byte[0]), Pace.USUAL, List.of(NOTE), 1, Net.UNIX, new Peers.Host() {
+        Peers member = new Peers(new Roster(0, 3, "f", new byte[0]), GossipSettings.DEFAULT, List.of(NOTE), 1, Net.UNIX, new Peers.Host() {
             @Override
             public void send(int receiver, byte[] datagram) {
                 sent.add(datagram);
