--- a/src/main/java/cinderhollow/evacuation/Evacuation.java
+++ b/src/main/java/cinderhollow/evacuation/Evacuation.java
@@ -1,9 +1,9 @@
 package cinderhollow.evacuation;
 
-import cinderhollow.evacuation.Course.Phase;
-import cinderhollow.evacuation.Judgement.Verdict;
+import cinderhollow.evacuation.ZoneDecision.Phase;
+import cinderhollow.evacuation.ZoneAssessment.Verdict;
 import cinderhollow.peers.Fact;
-import cinderhollow.peers.Kind;
+import cinderhollow.peers.FactKind;
 import cinderhollow.peers.GossipSettings;
 import cinderhollow.peers.Peers;
 import cinderhollow.peers.Roster;
@@ -27,7 +27,7 @@
  * <p>Some package-private methods are overridden by tests with planted faults, which the random walks must detect.
  *
  * <p>Any living gateway of a vantage may decide. Each waits according to its rank, so that the decision of the first has
- * usually reached the second before the second's wait ends. Of two concurrent decisions the one that {@link Course} ranks
+ * usually reached the second before the second's wait ends. Of two concurrent decisions the one that {@link ZoneDecision} ranks
  * higher applies.
  */
 public class Evacuation {
@@ -43,125 +43,125 @@
         void setWarmServerRate(double perSecond);
 
         /** Sets whether clients should connect here: not while cut off from half of the fleet and from all sound zones. */
-        void setAcceptingClients(boolean clients);
+        void setAcceptingClients(boolean accepting);
 
         /** Writes a log line for operators. */
         void log(String line);
     }
 
-    static final Kind SIGHTINGS = new Kind(1, false, 2);
+    static final FactKind DIGEST_KIND = new FactKind(1, false, 2);
     private static final long MS = 1_000_000L, SECOND = 1_000 * MS, NEVER = Long.MIN_VALUE / 2;
     /**
      * Intervals of evaluation while a zone is suspected or evacuated and otherwise; intervals of publishing a digest while a
      * zone is suspected and otherwise.
      */
-    private static final long THINK = 25 * MS, THINK_CALM = 100 * MS, URGENT = 100 * MS, CALM = SECOND;
+    private static final long EVALUATION_INTERVAL_NANOS = 25 * MS, IDLE_EVALUATION_INTERVAL_NANOS = 100 * MS, URGENT_DIGEST_INTERVAL_NANOS = 100 * MS, DIGEST_INTERVAL_NANOS = SECOND;
     /**
      * Age up to which a digest counts during a suspicion; time in which news reaches the fleet; time of fast gossip after a
      * decision; interval of updating the rate that a warm server can take.
      */
-    private static final long FRESH = 600 * MS, ROUND = 100 * MS, HASTE = SECOND, BEAR = 250 * MS;
+    private static final long URGENT_DIGEST_MAX_AGE_NANOS = 600 * MS, PROPAGATION_NANOS = 100 * MS, FAST_GOSSIP_NANOS = SECOND, WARM_RATE_INTERVAL_NANOS = 250 * MS;
     /**
      * Bounds on the digests sent: of a vantage at most this many gateways send urgent digests, which is enough to decide and
      * keeps the traffic from growing with the fleet; and all members together send about this many normal digests per second.
      */
-    private static final int WITNESSES = 16, MEMBERS_A_SECOND = 100;
+    private static final int MAX_URGENT_REPORTERS = 16, MAX_DIGESTS_PER_SECOND = 100;
     /** Attempts that ended this shortly before a suspicion still count for it; an unconfirmed suspicion ends after the second. */
-    private static final long BEFORE_DOUBT = 300 * MS, DOUBT_ENDS = 2 * SECOND;
+    private static final long SUSPICION_LOOKBACK_NANOS = 300 * MS, SUSPICION_TIMEOUT_NANOS = 2 * SECOND;
     /**
      * How long a condition must hold before a decision, so that at least two evaluations see it; the additional wait of each
      * later decider; the bound of that additional wait.
      */
-    private static final long CONFIRM = 50 * MS, TURN = 40 * MS, LAST_TURN = 400 * MS;
-    private static final long LEAVE_STEP = 250 * MS, RETURN_STEP = 250 * MS, TRY_STEP = 3 * SECOND, FORGIVE = 60 * SECOND;
-    private static final double LEAST_TRY = 0.02, MOST_TRY = 0.25, FIRST_RETURN = 0.25, FASTER = 2, IN_USE = 0.5;
+    private static final long CONFIRMATION_NANOS = 50 * MS, DECIDER_DELAY_NANOS = 40 * MS, MAX_DECIDER_DELAY_NANOS = 400 * MS;
+    private static final long LEAVE_STEP_INTERVAL_NANOS = 250 * MS, RETURN_STEP_INTERVAL_NANOS = 250 * MS, TRIAL_STEP_INTERVAL_NANOS = 3 * SECOND, FLAP_DECAY_NANOS = 60 * SECOND;
+    private static final double MIN_TRIAL_WEIGHT = 0.02, MAX_TRIAL_WEIGHT = 0.25, INITIAL_RETURN_WEIGHT = 0.25, RETURN_GROWTH_FACTOR = 2, MIN_IN_USE_WEIGHT = 0.5;
     /**
      * Utilisation up to which other zones are filled; ratio of attempts answered in time below which a zone counts as dead;
      * utilisation assumed at least when the capacity of a warm server is estimated.
      */
-    private static final double FILL = 0.9, DEAD = 0.1, LEAST_USE = 0.25;
+    private static final double MAX_FILL_RATIO = 0.9, MIN_IN_TIME_RATIO = 0.1, MIN_ASSUMED_UTILISATION = 0.25;
     /** Requests per second that a vantage sends in a trial; failures that end it if at least half of the attempts fail. */
-    private static final double TRY_RATE = 10, TRY_FAILS = 3;
+    private static final double TRIAL_REQUESTS_PER_SECOND = 10, TRIAL_FAILURE_LIMIT = 3;
     /**
      * Number of holds after which a vantage tries a zone without news from that zone's own gateways; and the divisor of the
      * time since the zone was left that gives the least length of a hold.
      */
-    private static final int ALONE = 8, OF_OUT = 8;
-    private static final int USE_PARTS = 200, ENOUGH = 30, LEAST_ENOUGH = 3, FEW_BAD = 2;
-    private static final double LOCAL = 0.05, SAME = 0.005, SMOOTH = 0.3;
+    private static final int INDEPENDENT_TRIAL_HOLDS = 8, OUT_TIME_DIVISOR = 8;
+    private static final int UTILISATION_SCALE = 200, MIN_ATTEMPTS_PER_VANTAGE = 30, MIN_ATTEMPTS_PER_GATEWAY = 3, MIN_SUSPICIOUS_FAILURES = 2;
+    private static final double RESIDUAL_WEIGHT = 0.05, MIN_WEIGHT_CHANGE = 0.005, RATE_SMOOTHING_FACTOR = 0.3;
 
-    private record Heard(Digest digest, long at) { }
+    private record ReceivedDigest(Digest digest, long receivedAtNanos) { }
 
     /** State of one zone at this gateway. */
     private static final class Zone {
-        private Course course;
-        private long adoptedAt;
-        private long phaseAt = NEVER;
+        private ZoneDecision decision;
+        private long adoptedAtNanos;
+        private long phaseSinceNanos = NEVER;
         /** Whether the zone's own gateways had left it; when it was left; when its own gateways were seen to return to it. */
-        private boolean withinWasOut;
-        private long leftAt = NEVER, foundWellAt = NEVER;
-        private long doubtedSince = NEVER, doubtConfirmedAt;
+        private boolean residentsWereOut;
+        private long leftAtNanos = NEVER, residentsReturnedAtNanos = NEVER;
+        private long suspectedSinceNanos = NEVER, suspicionConfirmedAtNanos;
         /** Time since which the condition of the next step holds, or NEVER. */
-        private long dueSince = NEVER;
+        private long stepDueSinceNanos = NEVER;
         private Order order;
-        private double ordered = 1;
-        private long orderedAt;
-        private long protectedUntil = NEVER;
-        private int hosts;
+        private double orderedWeight = 1;
+        private long orderSteppedAtNanos;
+        private long avoidedUntilNanos = NEVER;
+        private int serverCount;
         /** Whether all servers of the zone were gone from the list and some are listed again: new or restarted ones. */
-        private boolean anew;
+        private boolean serversReplaced;
         /** Assessment at the last evaluation. */
-        private Judgement evidence = Judgement.of(0, 0, List.of());
+        private ZoneAssessment evidence = ZoneAssessment.of(0, 0, List.of());
     }
 
-    private final EvacuationSettings terms;
+    private final EvacuationSettings settings;
     private final Peers peers;
-    private final Callbacks host;
-    private final Sightings sightings;
+    private final Callbacks callbacks;
+    private final AttemptWindow attemptWindow;
     private final TrafficObserver traffic;
     private final Zone[] zones;
-    private final Map<Integer, Heard> heard = new HashMap<>();
+    private final Map<Integer, ReceivedDigest> receivedDigests = new HashMap<>();
     /** Vantage (number of the own zone) of each member that has published a digest. */
-    private final Map<Integer, Integer> vantages = new HashMap<>();
-    private Map<String, Double> told = Map.of();
-    private double toldBears;
-    private boolean toldWelcome = true;
-    private long now, unixMillis, thinkAt, publishedAt = NEVER, ratesAt = NEVER, bornAt = NEVER;
-    private long arrivalsBefore, servedBefore, lastVersion;
-    private double arrivals, served;
-    private boolean late;
-    private Digest own;
-    private long unreadable;
+    private final Map<Integer, Integer> vantageByMember = new HashMap<>();
+    private Map<String, Double> appliedWeights = Map.of();
+    private double appliedWarmServerRate;
+    private boolean acceptingClients = true;
+    private long now, unixMillis, evaluateAtNanos, publishedAtNanos = NEVER, ratesUpdatedAtNanos = NEVER, warmRateUpdatedAtNanos = NEVER;
+    private long previousArrivalCount, previousWarmServedCount, lastDigestVersion;
+    private double arrivalRate, warmServedRate;
+    private boolean loopLate;
+    private Digest ownDigest;
+    private long unreadableFacts;
 
     /** Creates the evacuation of a member that knows no others yet; the start time in Unix milliseconds is its generation. */
-    public Evacuation(EvacuationSettings terms, Rules rules, Roster roster, GossipSettings pace, long seed, long lifeMillis, Callbacks host) {
-        this.terms = terms;
-        this.host = host;
-        sightings = new Sightings(terms.zones().size());
-        traffic = new TrafficObserver(terms.zones(), rules, sightings);
-        zones = new Zone[terms.zones().size()];
+    public Evacuation(EvacuationSettings settings, Rules rules, Roster roster, GossipSettings gossipSettings, long seed, long generationMillis, Callbacks callbacks) {
+        this.settings = settings;
+        this.callbacks = callbacks;
+        attemptWindow = new AttemptWindow(settings.zones().size());
+        traffic = new TrafficObserver(settings.zones(), rules, attemptWindow);
+        zones = new Zone[settings.zones().size()];
         for (int z = 0; z < zones.length; z++) {
             zones[z] = new Zone();
-            zones[z].course = Course.in(z, terms.vantage());
+            zones[z].decision = ZoneDecision.initial(z, settings.vantage());
         }
-        peers = new Peers(roster, pace, List.of(SIGHTINGS, Course.KIND, Order.KIND), seed, lifeMillis, new Peers.Host() {
+        peers = new Peers(roster, gossipSettings, List.of(DIGEST_KIND, ZoneDecision.FACT_KIND, Order.FACT_KIND), seed, generationMillis, new Peers.Callbacks() {
             @Override
             public void send(int member, byte[] datagram) {
-                host.send(member, datagram);
+                callbacks.send(member, datagram);
             }
 
             @Override
-            public void told(Fact fact) {
-                hear(fact);
+            public void onFact(Fact fact) {
+                handleFact(fact);
             }
 
             @Override
-            public void lives(int member, boolean alive) {
-                host.log("peer=" + member + (alive ? " alive" : " dead") + " living=" + peers.living());
+            public void onLivenessChanged(int member, boolean alive) {
+                callbacks.log("peer=" + member + (alive ? " alive" : " dead") + " living=" + peers.aliveCount());
             }
         });
-        vantages.put(roster.self(), terms.vantage());
-        own = new Digest(terms.vantage(), false, 0, 0, 0, List.of());
+        vantageByMember.put(roster.self(), settings.vantage());
+        ownDigest = new Digest(settings.vantage(), false, 0, 0, 0, List.of());
     }
 
     /** Returns the observer to notify of requests, attempts and the server list. */
@@ -169,25 +169,25 @@
         return traffic;
     }
 
-    Sightings sightings() {
-        return sightings;
+    AttemptWindow attemptWindow() {
+        return attemptWindow;
     }
 
     /** Returns the number of a zone, or -1 if no zone has this name. */
     public int zoneNumber(String name) {
-        return terms.zones().indexOf(name);
+        return settings.zones().indexOf(name);
     }
 
     /** Sets whether this gateway's event loop is late, so that its observations are not reliable. */
-    public void setLoopLate(boolean now) {
-        late = now;
+    public void setLoopLate(boolean isLate) {
+        loopLate = isLate;
     }
 
     /** Handles a datagram received from the address of a member; -1 if the address belongs to no member. */
     public void onDatagram(long nowNanos, long nowUnixMillis, int from, byte[] datagram) {
         now = nowNanos;
         unixMillis = nowUnixMillis;
-        peers.received(nowNanos, nowUnixMillis, from, datagram);
+        peers.onDatagram(nowNanos, nowUnixMillis, from, datagram);
     }
 
     /** Does the work that is due and returns the time in nanoseconds at which the next work is due. */
@@ -195,18 +195,18 @@
         now = nowNanos;
         unixMillis = nowUnixMillis;
         long next = peers.tick(nowNanos, nowUnixMillis);
-        if (now >= thinkAt) {
-            think();
-            boolean calm = true;
-            boolean haste = false;
+        if (now >= evaluateAtNanos) {
+            evaluate();
+            boolean idle = true;
+            boolean fastGossip = false;
             for (Zone z : zones) {
-                calm &= z.doubtedSince == NEVER && z.course.phase() == Phase.IN;
-                haste |= z.doubtedSince != NEVER || now - z.adoptedAt < HASTE && z.course.epoch() > 0;
+                idle &= z.suspectedSinceNanos == NEVER && z.decision.phase() == Phase.IN;
+                fastGossip |= z.suspectedSinceNanos != NEVER || now - z.adoptedAtNanos < FAST_GOSSIP_NANOS && z.decision.epoch() > 0;
             }
-            peers.hurry(haste);
-            thinkAt = now + (calm ? THINK_CALM : THINK);
+            peers.setFastGossip(fastGossip);
+            evaluateAtNanos = now + (idle ? IDLE_EVALUATION_INTERVAL_NANOS : EVALUATION_INTERVAL_NANOS);
         }
-        return Math.min(next, thinkAt);
+        return Math.min(next, evaluateAtNanos);
     }
 
     /** Leaves the fleet: tells the other members that this one has ended. */
@@ -214,219 +214,219 @@
         peers.leave();
     }
 
-    private void hear(Fact fact) {
+    private void handleFact(Fact fact) {
         try {
-            if (fact.kind() == SIGHTINGS.number()) {
+            if (fact.kind() == DIGEST_KIND.number()) {
                 Digest digest = Digest.read(fact.value(), zones.length);
-                heard.put(fact.subject(), new Heard(digest, now));
-                vantages.put(fact.subject(), digest.vantage());
-                for (Digest.OfZone z : digest.zones()) {
-                    if (!digest.doubtsItself() && doubtful(z)) {
-                        doubt(z.zone());
+                receivedDigests.put(fact.subject(), new ReceivedDigest(digest, now));
+                vantageByMember.put(fact.subject(), digest.vantage());
+                for (Digest.ZoneSummary z : digest.zones()) {
+                    if (!digest.localFaultSuspected() && isSuspect(z)) {
+                        suspect(z.zone());
                     }
                 }
             }
         } catch (IllegalArgumentException | IndexOutOfBoundsException e) {
-            unreadable++;
+            unreadableFacts++;
         }
     }
 
-    private static boolean doubtful(Digest.OfZone z) {
-        return z.bad() + z.late() >= FEW_BAD && 2 * (z.bad() + z.late()) >= z.tried();
+    private static boolean isSuspect(Digest.ZoneSummary z) {
+        return z.failures() + z.lateOrFull() >= MIN_SUSPICIOUS_FAILURES && 2 * (z.failures() + z.lateOrFull()) >= z.attempts();
     }
 
     /**
      * Starts a suspicion of a zone and discards older attempts, since successes from before a fault would hide it. Zones that
      * are out or already suspected are unchanged.
      */
-    private void doubt(int zone) {
+    private void suspect(int zone) {
         Zone z = zones[zone];
-        if (z.doubtedSince == NEVER && z.course.phase() != Phase.OUT) {
-            z.doubtedSince = now;
-            z.doubtConfirmedAt = now;
-            sightings.forget(now - BEFORE_DOUBT, zone);
-            thinkAt = Math.min(thinkAt, now);
-            peers.hurry(true);
+        if (z.suspectedSinceNanos == NEVER && z.decision.phase() != Phase.OUT) {
+            z.suspectedSinceNanos = now;
+            z.suspicionConfirmedAtNanos = now;
+            attemptWindow.discardBefore(now - SUSPICION_LOOKBACK_NANOS, zone);
+            evaluateAtNanos = Math.min(evaluateAtNanos, now);
+            peers.setFastGossip(true);
         }
     }
 
     // ---- observation
 
-    private void think() {
-        rates();
-        count();
-        look();
+    private void evaluate() {
+        updateRates();
+        updateServerCounts();
+        refreshDigest();
         for (int z = 0; z < zones.length; z++) {
             adopt(z);
-            drive(z);
+            evaluateZone(z);
         }
-        weigh();
-        if (now - bornAt >= BEAR) {
-            bornAt = now;
-            bear();
+        updateWeights();
+        if (now - warmRateUpdatedAtNanos >= WARM_RATE_INTERVAL_NANOS) {
+            warmRateUpdatedAtNanos = now;
+            updateWarmServerRate();
         }
     }
 
-    private void rates() {
-        if (ratesAt == NEVER) {
-            ratesAt = now;
-        } else if (now - ratesAt >= SECOND) {
-            double seconds = (now - ratesAt) / (double) SECOND;
-            arrivals += SMOOTH * ((sightings.arrivals() - arrivalsBefore) / seconds - arrivals);
-            served += SMOOTH * ((sightings.servedByWarm() - servedBefore) / seconds - served);
-            arrivalsBefore = sightings.arrivals();
-            servedBefore = sightings.servedByWarm();
-            ratesAt = now;
+    private void updateRates() {
+        if (ratesUpdatedAtNanos == NEVER) {
+            ratesUpdatedAtNanos = now;
+        } else if (now - ratesUpdatedAtNanos >= SECOND) {
+            double seconds = (now - ratesUpdatedAtNanos) / (double) SECOND;
+            arrivalRate += RATE_SMOOTHING_FACTOR * ((attemptWindow.arrivalCount() - previousArrivalCount) / seconds - arrivalRate);
+            warmServedRate += RATE_SMOOTHING_FACTOR * ((attemptWindow.warmServedCount() - previousWarmServedCount) / seconds - warmServedRate);
+            previousArrivalCount = attemptWindow.arrivalCount();
+            previousWarmServedCount = attemptWindow.warmServedCount();
+            ratesUpdatedAtNanos = now;
         }
     }
 
-    private void count() {
+    private void updateServerCounts() {
         traffic.recount(now);
         for (int z = 0; z < zones.length; z++) {
-            int hosts = traffic.hosts(z);
-            zones[z].anew |= zones[z].course.phase() == Phase.OUT && zones[z].hosts == 0 && hosts > 0;
-            zones[z].hosts = hosts;
+            int serverCount = traffic.serverCount(z);
+            zones[z].serversReplaced |= zones[z].decision.phase() == Phase.OUT && zones[z].serverCount == 0 && serverCount > 0;
+            zones[z].serverCount = serverCount;
         }
     }
 
-    private void look() {
-        int beside = Math.max(1, livingOf(terms.vantage()));
-        Digest.OfZone[] of = sightings.look(now, Math.max(LEAST_ENOUGH, ENOUGH / beside));
-        int tried = 0;
-        int bad = 0;
-        for (int z = 0; z < of.length; z++) {
-            double use = traffic.use(z);
-            of[z] = of[z].used(Double.isNaN(use) ? Digest.UNKNOWN_USE : (int) Math.round(Math.min(1, use) * USE_PARTS));
-            tried += of[z].tried() >= FEW_BAD ? 1 : 0;
-            bad += of[z].bad() >= FEW_BAD && 2 * of[z].bad() >= of[z].tried() ? 1 : 0;
+    private void refreshDigest() {
+        int aliveGateways = Math.max(1, aliveCountOf(settings.vantage()));
+        Digest.ZoneSummary[] summaries = attemptWindow.summarise(now, Math.max(MIN_ATTEMPTS_PER_GATEWAY, MIN_ATTEMPTS_PER_VANTAGE / aliveGateways));
+        int zonesTried = 0;
+        int zonesFailing = 0;
+        for (int z = 0; z < summaries.length; z++) {
+            double utilisation = traffic.utilisation(z);
+            summaries[z] = summaries[z].withUtilisation(Double.isNaN(utilisation) ? Digest.UNKNOWN_UTILISATION : (int) Math.round(Math.min(1, utilisation) * UTILISATION_SCALE));
+            zonesTried += summaries[z].attempts() >= MIN_SUSPICIOUS_FAILURES ? 1 : 0;
+            zonesFailing += summaries[z].failures() >= MIN_SUSPICIOUS_FAILURES && 2 * summaries[z].failures() >= summaries[z].attempts() ? 1 : 0;
         }
         // If all zones fail, or the loop is late, the cause is likely local: a starved core, no descriptors, a broken link.
-        boolean doubtsItself = late || tried > 1 && bad == tried;
-        own = new Digest(terms.vantage(), doubtsItself, orders(), (int) Math.round(arrivals), (int) Math.round(served), List.of(of));
-        if (!doubtsItself) {
-            int[] row = sightings.badInARow(now);
-            for (Digest.OfZone z : of) {
-                if (doubtful(z) || row[z.zone()] >= FEW_BAD) {
-                    doubt(z.zone());
+        boolean localFaultSuspected = loopLate || zonesTried > 1 && zonesFailing == zonesTried;
+        ownDigest = new Digest(settings.vantage(), localFaultSuspected, ordersHash(), (int) Math.round(arrivalRate), (int) Math.round(warmServedRate), List.of(summaries));
+        if (!localFaultSuspected) {
+            int[] failuresSinceGood = attemptWindow.countFailuresSinceGood(now);
+            for (Digest.ZoneSummary z : summaries) {
+                if (isSuspect(z) || failuresSinceGood[z.zone()] >= MIN_SUSPICIOUS_FAILURES) {
+                    suspect(z.zone());
                 }
             }
         }
         boolean urgent = false;
         for (int z = 0; z < zones.length; z++) {
-            urgent |= zones[z].doubtedSince != NEVER && of[z].tried() > 0 && turn(z, 0) < WITNESSES;
+            urgent |= zones[z].suspectedSinceNanos != NEVER && summaries[z].attempts() > 0 && deciderRank(z, 0) < MAX_URGENT_REPORTERS;
         }
-        if (now - publishedAt >= (urgent ? URGENT : calm())) {
-            publishedAt = now;
-            Fact before = peers.fact(SIGHTINGS.number(), self());
-            lastVersion = Math.max(Math.max(lastVersion, before == null ? 0 : before.version()) + 1, unixMillis);
-            peers.publish(new Fact(SIGHTINGS.number(), self(), lastVersion, own.write()));
+        if (now - publishedAtNanos >= (urgent ? URGENT_DIGEST_INTERVAL_NANOS : digestIntervalNanos())) {
+            publishedAtNanos = now;
+            Fact before = peers.fact(DIGEST_KIND.number(), self());
+            lastDigestVersion = Math.max(Math.max(lastDigestVersion, before == null ? 0 : before.version()) + 1, unixMillis);
+            peers.publish(new Fact(DIGEST_KIND.number(), self(), lastDigestVersion, ownDigest.write()));
         }
-        heard.put(self(), new Heard(own, now));
+        receivedDigests.put(self(), new ReceivedDigest(ownDigest, now));
     }
 
-    private long calm() {
-        return CALM * Math.max(1, peers.living() / MEMBERS_A_SECOND);
+    private long digestIntervalNanos() {
+        return DIGEST_INTERVAL_NANOS * Math.max(1, peers.aliveCount() / MAX_DIGESTS_PER_SECOND);
     }
 
     private int self() {
         return peers.roster().self();
     }
 
-    final int livingOf(int vantage) {
-        return (int) vantages.entrySet().stream().filter(e -> e.getValue() == vantage && peers.isAlive(e.getKey())).count();
+    final int aliveCountOf(int vantage) {
+        return (int) vantageByMember.entrySet().stream().filter(e -> e.getValue() == vantage && peers.isAlive(e.getKey())).count();
     }
 
     /** Returns this gateway's rank for a zone and epoch: the number of living gateways of its vantage that come before it. */
-    private int turn(int zone, long epoch) {
-        long mine = draw(zone, epoch, self());
+    private int deciderRank(int zone, long epoch) {
+        long mine = hash(zone, epoch, self());
         int before = 0;
-        for (Map.Entry<Integer, Integer> e : vantages.entrySet()) {
-            boolean counts = e.getValue() == terms.vantage() && e.getKey() != self() && peers.isAlive(e.getKey());
-            before += counts && draw(zone, epoch, e.getKey()) < mine ? 1 : 0;
+        for (Map.Entry<Integer, Integer> e : vantageByMember.entrySet()) {
+            boolean counts = e.getValue() == settings.vantage() && e.getKey() != self() && peers.isAlive(e.getKey());
+            before += counts && hash(zone, epoch, e.getKey()) < mine ? 1 : 0;
         }
         return before;
     }
 
-    private static long draw(int zone, long epoch, int member) {
+    private static long hash(int zone, long epoch, int member) {
         // The finaliser of SplitMix64: the order of the members differs from one zone and epoch to the next.
-        long h = (epoch * MEMBERS_A_SECOND + zone) * 0x9e3779b97f4a7c15L + member;
+        long h = (epoch * MAX_DIGESTS_PER_SECOND + zone) * 0x9e3779b97f4a7c15L + member;
         h = (h ^ h >>> 30) * 0xbf58476d1ce4e5b9L;
         h = (h ^ h >>> 27) * 0x94d049bb133111ebL;
         return h ^ h >>> 31;
     }
 
     /** Assesses a zone by the fresh digests of the living gateways of a vantage. */
-    private Judgement judged(int zone, int vantage) {
+    private ZoneAssessment assess(int zone, int vantage) {
         Zone z = zones[zone];
-        long fresh = now - 3 * calm() / 2;
+        long freshSince = now - 3 * digestIntervalNanos() / 2;
         // During a suspicion digests come often, and older ones may be from before the fault: only the most recent count.
-        long since = z.doubtedSince == NEVER ? fresh : Math.max(Math.max(fresh, z.doubtedSince), now - FRESH);
-        if (vantage == terms.vantage() && (z.course.phase() == Phase.TRYING || z.course.phase() == Phase.RETURNING)) {
+        long since = z.suspectedSinceNanos == NEVER ? freshSince : Math.max(Math.max(freshSince, z.suspectedSinceNanos), now - URGENT_DIGEST_MAX_AGE_NANOS);
+        if (vantage == settings.vantage() && (z.decision.phase() == Phase.TRYING || z.decision.phase() == Phase.RETURNING)) {
             // Ignores digests that others sent before they knew of the new trial.
-            since = Math.max(since, z.phaseAt + ROUND);
+            since = Math.max(since, z.phaseSinceNanos + PROPAGATION_NANOS);
         }
         long from = since;
         Collection<Digest> digests = new ArrayList<>();
-        heard.forEach((member, h) -> {
-            if (h.digest.vantage() == vantage && h.at >= from && peers.isAlive(member)) {
+        receivedDigests.forEach((member, h) -> {
+            if (h.digest.vantage() == vantage && h.receivedAtNanos >= from && peers.isAlive(member)) {
                 digests.add(h.digest);
             }
         });
-        return Judgement.of(zone, zones[zone].hosts, digests);
+        return ZoneAssessment.of(zone, zones[zone].serverCount, digests);
     }
 
     /** Assesses a zone by this gateway's own digest alone. */
-    private Judgement byOwn(int zone) {
-        return Judgement.of(zone, zones[zone].hosts, List.of(own));
+    private ZoneAssessment assessLocally(int zone) {
+        return ZoneAssessment.of(zone, zones[zone].serverCount, List.of(ownDigest));
     }
 
     // ---- decisions
 
     private void adopt(int zone) {
         Zone z = zones[zone];
-        Phase within = within(zone);
-        if (within != Phase.RETURNING && within != Phase.IN) {
-            z.foundWellAt = NEVER;
-        } else if (z.foundWellAt == NEVER && z.withinWasOut) {
-            z.foundWellAt = now;
-        }
-        z.withinWasOut = within == Phase.OUT || within == Phase.TRYING || z.withinWasOut && z.course.phase() != Phase.IN;
-        Course newest = course(zone, terms.vantage());
-        if (newest != null && (newest.epoch() != z.course.epoch() || newest.by() != z.course.by())) {
-            take(z, newest);
-        }
-        Fact order = peers.fact(Order.KIND.number(), zone);
+        Phase residentPhase = residentPhase(zone);
+        if (residentPhase != Phase.RETURNING && residentPhase != Phase.IN) {
+            z.residentsReturnedAtNanos = NEVER;
+        } else if (z.residentsReturnedAtNanos == NEVER && z.residentsWereOut) {
+            z.residentsReturnedAtNanos = now;
+        }
+        z.residentsWereOut = residentPhase == Phase.OUT || residentPhase == Phase.TRYING || z.residentsWereOut && z.decision.phase() != Phase.IN;
+        ZoneDecision newest = knownDecision(zone, settings.vantage());
+        if (newest != null && (newest.epoch() != z.decision.epoch() || newest.decider() != z.decision.decider())) {
+            adoptDecision(z, newest);
+        }
+        Fact order = peers.fact(Order.FACT_KIND.number(), zone);
         if (order != null) {
             try {
                 Order given = Order.read(order, zones.length);
                 if (!given.equals(z.order)) {
                     z.order = given;
-                    z.ordered = z.course.weight();
-                    z.orderedAt = now;
-                    host.log("zone=" + terms.zones().get(zone) + " order=" + given.what().name().toLowerCase(Locale.ROOT)
-                            + " epoch=" + given.epoch() + " by=" + given.by());
+                    z.orderedWeight = z.decision.weight();
+                    z.orderSteppedAtNanos = now;
+                    callbacks.log("zone=" + settings.zones().get(zone) + " order=" + given.action().name().toLowerCase(Locale.ROOT)
+                            + " epoch=" + given.epoch() + " by=" + given.issuer());
                 }
             } catch (IllegalArgumentException | IndexOutOfBoundsException e) {
-                unreadable++;
+                unreadableFacts++;
             }
         }
     }
 
-    private void take(Zone z, Course newest) {
-        boolean another = newest.phase() != z.course.phase();
-        z.course = newest;
-        z.anew &= newest.phase() == Phase.OUT;
-        z.adoptedAt = now;
-        z.dueSince = NEVER;
-        if (another) {
-            z.phaseAt = now;
-            z.leftAt = newest.phase() == Phase.IN ? NEVER : z.leftAt == NEVER ? now : z.leftAt;
+    private void adoptDecision(Zone z, ZoneDecision newest) {
+        boolean phaseChanged = newest.phase() != z.decision.phase();
+        z.decision = newest;
+        z.serversReplaced &= newest.phase() == Phase.OUT;
+        z.adoptedAtNanos = now;
+        z.stepDueSinceNanos = NEVER;
+        if (phaseChanged) {
+            z.phaseSinceNanos = now;
+            z.leftAtNanos = newest.phase() == Phase.IN ? NEVER : z.leftAtNanos == NEVER ? now : z.leftAtNanos;
             // Attempts of the previous phase say nothing about the new one.
-            z.doubtedSince = NEVER;
-            sightings.forget(now, newest.zone());
-            host.log(String.format(Locale.ROOT, "zone=%s seen-from=%s phase=%s weight=%.2f epoch=%d by=%d flaps=%d evidence=\"%s\"",
-                    terms.zones().get(newest.zone()), terms.zones().get(newest.vantage()), newest.word(), newest.weight(),
-                    newest.epoch(), newest.by(), newest.flaps(), z.evidence));
+            z.suspectedSinceNanos = NEVER;
+            attemptWindow.discardBefore(now, newest.zone());
+            callbacks.log(String.format(Locale.ROOT, "zone=%s seen-from=%s phase=%s weight=%.2f epoch=%d by=%d flaps=%d evidence=\"%s\"",
+                    settings.zones().get(newest.zone()), settings.zones().get(newest.vantage()), newest.phaseName(), newest.weight(),
+                    newest.epoch(), newest.decider(), newest.flaps(), z.evidence));
         }
     }
 
@@ -435,20 +435,20 @@
      * more regions are left than the maximum, only those with the lowest numbers are evacuated and the others keep their full
      * weight. Each gateway applies this rule by itself, before a decision confirms it.
      */
-    boolean isLeft(int zone) {
-        int region = terms.regions().get(zone);
-        return zones[zone].course.phase() != Phase.IN
-                && regions(z -> terms.regions().get(z) < region && zones[z].course.phase() != Phase.IN) < terms.mostOut();
+    boolean isEvacuated(int zone) {
+        int region = settings.regionByZone().get(zone);
+        return zones[zone].decision.phase() != Phase.IN
+                && countRegions(z -> settings.regionByZone().get(z) < region && zones[z].decision.phase() != Phase.IN) < settings.maxRegionsOut();
     }
 
     /** Returns the number of regions with at least one zone that matches. */
-    private int regions(IntPredicate which) {
-        return (int) IntStream.range(0, zones.length).filter(which).map(terms.regions()::get).distinct().count();
+    private int countRegions(IntPredicate which) {
+        return (int) IntStream.range(0, zones.length).filter(which).map(settings.regionByZone()::get).distinct().count();
     }
 
     /** Returns the weight of a zone by automatic decisions, without operators' orders. */
-    private double decided(int zone) {
-        return isLeft(zone) ? zones[zone].course.weight() : 1;
+    private double decidedWeight(int zone) {
+        return isEvacuated(zone) ? zones[zone].decision.weight() : 1;
     }
 
     /**
@@ -456,119 +456,119 @@
      * towards the maximum of regions out.
      */
     private boolean isAvoided(int zone) {
-        int region = terms.regions().get(zone);
-        int others = regions(z -> terms.regions().get(z) != region && (isLeft(z) || z < zone && now < zones[z].protectedUntil));
-        return now < zones[zone].protectedUntil && others < terms.mostOut();
+        int region = settings.regionByZone().get(zone);
+        int otherRegions = countRegions(z -> settings.regionByZone().get(z) != region && (isEvacuated(z) || z < zone && now < zones[z].avoidedUntilNanos));
+        return now < zones[zone].avoidedUntilNanos && otherRegions < settings.maxRegionsOut();
     }
 
-    private Order.Action ordered(Zone z) {
-        return z.order == null || z.order.untilMillis() <= unixMillis ? Order.Action.NONE : z.order.what();
+    private Order.Action orderedAction(Zone z) {
+        return z.order == null || z.order.untilMillis() <= unixMillis ? Order.Action.NONE : z.order.action();
     }
 
-    private void drive(int zone) {
+    private void evaluateZone(int zone) {
         Zone z = zones[zone];
-        Judgement seen = judged(zone, terms.vantage());
-        Verdict verdict = seen.verdict();
-        boolean tried = z.course.phase() == Phase.TRYING;
-        if (verdict == Verdict.UNKNOWN && z.doubtedSince != NEVER && othersCondemn(zone, !tried)) {
+        ZoneAssessment assessment = assess(zone, settings.vantage());
+        Verdict verdict = assessment.verdict();
+        boolean onTrial = z.decision.phase() == Phase.TRYING;
+        if (verdict == Verdict.UNKNOWN && z.suspectedSinceNanos != NEVER && isBadForOthers(zone, !onTrial)) {
             verdict = Verdict.BAD;
         }
-        boolean against = verdict == Verdict.BAD || verdict == Verdict.SLOW;
-        if (z.doubtedSince != NEVER) {
-            z.doubtConfirmedAt = against ? now : z.doubtConfirmedAt;
-            if (now - z.doubtConfirmedAt >= DOUBT_ENDS) {
-                z.doubtedSince = NEVER;
+        boolean unhealthy = verdict == Verdict.BAD || verdict == Verdict.SLOW;
+        if (z.suspectedSinceNanos != NEVER) {
+            z.suspicionConfirmedAtNanos = unhealthy ? now : z.suspicionConfirmedAtNanos;
+            if (now - z.suspicionConfirmedAtNanos >= SUSPICION_TIMEOUT_NANOS) {
+                z.suspectedSinceNanos = NEVER;
             }
         }
-        z.evidence = seen;
-        protect(zone);
-        Course next = ordered(z) != Order.Action.NONE ? null : next(z, seen, verdict);
+        z.evidence = assessment;
+        avoidLocally(zone);
+        ZoneDecision next = orderedAction(z) != Order.Action.NONE ? null : nextDecision(z, assessment, verdict);
         if (next == null || !mayDecide()) {
-            z.dueSince = NEVER;
+            z.stepDueSinceNanos = NEVER;
             return;
         }
-        z.dueSince = z.dueSince == NEVER ? now : z.dueSince;
+        z.stepDueSinceNanos = z.stepDueSinceNanos == NEVER ? now : z.stepDueSinceNanos;
         // Waiting costs little with a slow zone; and if all zones become slow at once, the digests of the others must have
         // arrived before the decision.
-        long confirmed = z.course.phase() != Phase.IN ? 0 : verdict == Verdict.SLOW ? SECOND : CONFIRM;
-        long wait = confirmed + Math.min(LAST_TURN, turn(zone, z.course.epoch()) * TURN);
-        if (now - z.dueSince >= wait) {
-            Course decided = decided(next);
-            peers.publish(decided.fact());
-            take(z, decided);
+        long confirmationNanos = z.decision.phase() != Phase.IN ? 0 : verdict == Verdict.SLOW ? SECOND : CONFIRMATION_NANOS;
+        long waitNanos = confirmationNanos + Math.min(MAX_DECIDER_DELAY_NANOS, deciderRank(zone, z.decision.epoch()) * DECIDER_DELAY_NANOS);
+        if (now - z.stepDueSinceNanos >= waitNanos) {
+            ZoneDecision decision = stampEpoch(next);
+            peers.publish(decision.toFact());
+            adoptDecision(z, decision);
         }
     }
 
-    Course decided(Course next) {
+    ZoneDecision stampEpoch(ZoneDecision next) {
         // Exceeds unreadable versions too: they would win at all other gateways, and only this one would follow its decision.
-        Fact known = peers.fact(Course.KIND.number(), Course.subject(next.zone(), next.vantage()));
-        return next.decided(known == null ? 0 : known.version(), unixMillis, self());
+        Fact known = peers.fact(ZoneDecision.FACT_KIND.number(), ZoneDecision.subject(next.zone(), next.vantage()));
+        return next.withNextEpoch(known == null ? 0 : known.version(), unixMillis, self());
     }
 
     /** Returns the newest decision of a vantage, or null if none is known or it is unreadable (made by a newer build). */
-    private Course course(int zone, int vantage) {
-        Fact fact = peers.fact(Course.KIND.number(), Course.subject(zone, vantage));
+    private ZoneDecision knownDecision(int zone, int vantage) {
+        Fact fact = peers.fact(ZoneDecision.FACT_KIND.number(), ZoneDecision.subject(zone, vantage));
         try {
-            return fact == null ? null : Course.read(fact, zones.length);
+            return fact == null ? null : ZoneDecision.read(fact, zones.length);
         } catch (IllegalArgumentException | IndexOutOfBoundsException e) {
-            unreadable++;
+            unreadableFacts++;
             return null;
         }
     }
 
     /** Returns the decision that should follow now, or null; it still has the epoch of the current one. */
-    private Course next(Zone z, Judgement seen, Verdict verdict) {
-        Course c = z.course;
-        long since = now - z.adoptedAt;
-        if (c.phase() != Phase.IN && !isLeft(c.zone())) {
-            return c.next(Phase.IN, 1, c.flaps());
-        }
-        boolean against = verdict == Verdict.BAD || verdict == Verdict.SLOW;
-        switch (c.phase()) {
+    private ZoneDecision nextDecision(Zone z, ZoneAssessment assessment, Verdict verdict) {
+        ZoneDecision current = z.decision;
+        long sinceAdoptedNanos = now - z.adoptedAtNanos;
+        if (current.phase() != Phase.IN && !isEvacuated(current.zone())) {
+            return current.transitionTo(Phase.IN, 1, current.flaps());
+        }
+        boolean unhealthy = verdict == Verdict.BAD || verdict == Verdict.SLOW;
+        switch (current.phase()) {
             case IN:
-                if (against && mayLeave(c.zone(), verdict)) {
-                    boolean again = c.epoch() > 0 && since < FORGIVE;
-                    return leaving(c, seen, verdict, again ? c.flaps() + 1 : c.flaps());
+                if (unhealthy && mayLeave(current.zone(), verdict)) {
+                    boolean flapped = current.epoch() > 0 && sinceAdoptedNanos < FLAP_DECAY_NANOS;
+                    return nextLeaveStep(current, assessment, verdict, flapped ? current.flaps() + 1 : current.flaps());
                 }
-                return c.flaps() > 0 && since >= FORGIVE ? c.next(Phase.IN, 1, c.flaps() - 1) : null;
+                return current.flaps() > 0 && sinceAdoptedNanos >= FLAP_DECAY_NANOS ? current.transitionTo(Phase.IN, 1, current.flaps() - 1) : null;
             case LEAVING:
-                if (verdict == Verdict.SOUND && since >= SECOND || !mayLeave(c.zone(), verdict)) {
-                    return c.next(Phase.RETURNING, c.weight(), c.flaps());
+                if (verdict == Verdict.SOUND && sinceAdoptedNanos >= SECOND || !mayLeave(current.zone(), verdict)) {
+                    return current.transitionTo(Phase.RETURNING, current.weight(), current.flaps());
                 }
-                return since >= LEAVE_STEP ? leaving(c, seen, verdict, c.flaps()) : null;
+                return sinceAdoptedNanos >= LEAVE_STEP_INTERVAL_NANOS ? nextLeaveStep(current, assessment, verdict, current.flaps()) : null;
             case OUT:
-                if (z.anew && z.hosts > 0) {
+                if (z.serversReplaced && z.serverCount > 0) {
                     // The list says that the servers are new, so no trial is needed; the cold-server budget limits their load.
-                    return c.next(Phase.RETURNING, IN_USE, c.flaps());
+                    return current.transitionTo(Phase.RETURNING, MIN_IN_USE_WEIGHT, current.flaps());
                 }
-                return z.hosts > 0 && mayTry(z) ? c.next(Phase.TRYING, Math.max(tryPart(), c.weight()), c.flaps()) : null;
+                return z.serverCount > 0 && mayTry(z) ? current.transitionTo(Phase.TRYING, Math.max(trialWeight(), current.weight()), current.flaps()) : null;
             case TRYING:
                 // The zone was bad before, so that a few failures are enough to end the trial without losing more requests.
-                if (against || seen.bad() >= TRY_FAILS && 2 * seen.bad() >= seen.tried()) {
-                    return c.next(Phase.OUT, 0, c.flaps());
-                } else if (verdict == Verdict.SOUND || z.foundWellAt != NEVER && soundFromWithin(c.zone())) {
-                    return c.next(Phase.RETURNING, Math.max(FIRST_RETURN, c.weight()), c.flaps());
-                } else if (since < TRY_STEP) {
+                if (unhealthy || assessment.failures() >= TRIAL_FAILURE_LIMIT && 2 * assessment.failures() >= assessment.attempts()) {
+                    return current.transitionTo(Phase.OUT, 0, current.flaps());
+                } else if (verdict == Verdict.SOUND || z.residentsReturnedAtNanos != NEVER && isSoundForResidents(current.zone())) {
+                    return current.transitionTo(Phase.RETURNING, Math.max(INITIAL_RETURN_WEIGHT, current.weight()), current.flaps());
+                } else if (sinceAdoptedNanos < TRIAL_STEP_INTERVAL_NANOS) {
                     return null;
                 }
-                return c.weight() < MOST_TRY ? c.next(Phase.TRYING, Math.min(MOST_TRY, 2 * c.weight()), c.flaps())
-                        : c.next(Phase.RETURNING, MOST_TRY, c.flaps());
+                return current.weight() < MAX_TRIAL_WEIGHT ? current.transitionTo(Phase.TRYING, Math.min(MAX_TRIAL_WEIGHT, 2 * current.weight()), current.flaps())
+                        : current.transitionTo(Phase.RETURNING, MAX_TRIAL_WEIGHT, current.flaps());
             default:
                 if (verdict == Verdict.BAD) {
-                    return c.next(Phase.OUT, 0, c.flaps() + 1);
-                } else if (since < RETURN_STEP) {
+                    return current.transitionTo(Phase.OUT, 0, current.flaps() + 1);
+                } else if (sinceAdoptedNanos < RETURN_STEP_INTERVAL_NANOS) {
                     return null;
                 } else if (verdict == Verdict.SLOW) {
-                    return c.weight() > LEAST_TRY ? c.next(Phase.RETURNING, Math.max(LEAST_TRY, c.weight() / 2), c.flaps()) : null;
+                    return current.weight() > MIN_TRIAL_WEIGHT ? current.transitionTo(Phase.RETURNING, Math.max(MIN_TRIAL_WEIGHT, current.weight() / 2), current.flaps()) : null;
                 }
-                double more = c.weight() * FASTER;
-                return more >= 1 ? c.next(Phase.IN, 1, c.flaps()) : c.next(Phase.RETURNING, more, c.flaps());
+                double increased = current.weight() * RETURN_GROWTH_FACTOR;
+                return increased >= 1 ? current.transitionTo(Phase.IN, 1, current.flaps()) : current.transitionTo(Phase.RETURNING, increased, current.flaps());
         }
     }
 
-    private long hold(Zone z) {
-        long doubled = terms.holdNanos() << Math.min(20, z.course.flaps());
-        return Math.min(terms.mostHoldNanos(), Math.max(doubled, (now - z.leftAt) / OF_OUT));
+    private long holdNanos(Zone z) {
+        long doubledNanos = settings.holdNanos() << Math.min(20, z.decision.flaps());
+        return Math.min(settings.maxHoldNanos(), Math.max(doubledNanos, (now - z.leftAtNanos) / OUT_TIME_DIVISOR));
     }
 
     /**
@@ -577,56 +577,56 @@
      * left the zone, are all dead, or take too long.
      */
     private boolean mayTry(Zone z) {
-        int zone = z.course.zone();
-        long since = now - z.adoptedAt;
-        boolean first = zone == terms.vantage() || livingOf(zone) == 0 || within(zone) == Phase.IN && !z.withinWasOut;
-        return first ? since >= hold(z) : z.foundWellAt != NEVER && z.course.flaps() == 0 || since >= ALONE * hold(z)
-                || z.foundWellAt != NEVER && since >= hold(z);
+        int zone = z.decision.zone();
+        long sinceAdoptedNanos = now - z.adoptedAtNanos;
+        boolean goesFirst = zone == settings.vantage() || aliveCountOf(zone) == 0 || residentPhase(zone) == Phase.IN && !z.residentsWereOut;
+        return goesFirst ? sinceAdoptedNanos >= holdNanos(z) : z.residentsReturnedAtNanos != NEVER && z.decision.flaps() == 0 || sinceAdoptedNanos >= INDEPENDENT_TRIAL_HOLDS * holdNanos(z)
+                || z.residentsReturnedAtNanos != NEVER && sinceAdoptedNanos >= holdNanos(z);
     }
 
     /** Returns the phase of a zone as decided by its own gateways. */
-    private Phase within(int zone) {
-        Course course = course(zone, zone);
+    private Phase residentPhase(int zone) {
+        ZoneDecision course = knownDecision(zone, zone);
         return course == null ? Phase.IN : course.phase();
     }
 
     /** Returns the weight of a trial: enough traffic for an assessment within part of a second, so that few requests are lost. */
-    private double tryPart() {
-        double come = 0;
-        for (Heard h : heard.values()) {
-            come += h.digest.vantage() == terms.vantage() && now - h.at < 3 * calm() ? h.digest.arrivals() : 0;
+    private double trialWeight() {
+        double vantageArrivalRate = 0;
+        for (ReceivedDigest h : receivedDigests.values()) {
+            vantageArrivalRate += h.digest.vantage() == settings.vantage() && now - h.receivedAtNanos < 3 * digestIntervalNanos() ? h.digest.arrivalRate() : 0;
         }
-        return Math.max(LEAST_TRY, Math.min(MOST_TRY, TRY_RATE / Math.max(1, come)));
+        return Math.max(MIN_TRIAL_WEIGHT, Math.min(MAX_TRIAL_WEIGHT, TRIAL_REQUESTS_PER_SECOND / Math.max(1, vantageArrivalRate)));
     }
 
     /** Returns the next step down, toward the weight of the traffic for which the other zones have no room. */
-    private Course leaving(Course c, Judgement seen, Verdict verdict, int flaps) {
-        double worth = verdict == Verdict.BAD && seen.tried() == 0 ? 0 : seen.worth();
-        double target = worth < DEAD ? 0 : worth * unbearable(c.zone());
+    private ZoneDecision nextLeaveStep(ZoneDecision current, ZoneAssessment assessment, Verdict verdict, int flaps) {
+        double inTimeRatio = verdict == Verdict.BAD && assessment.attempts() == 0 ? 0 : assessment.inTimeRatio();
+        double target = inTimeRatio < MIN_IN_TIME_RATIO ? 0 : inTimeRatio * overflowRatio(current.zone());
         // Requests to a failing zone are mostly lost, so it is left at once; traffic of a slow zone moves step by step.
-        double step = verdict == Verdict.BAD ? target : Math.max(target, c.weight() / 2);
-        boolean there = step - target < 2 * LOCAL;
-        return c.next(there ? Phase.OUT : Phase.LEAVING, there ? target : step, flaps);
+        double step = verdict == Verdict.BAD ? target : Math.max(target, current.weight() / 2);
+        boolean atTarget = step - target < 2 * RESIDUAL_WEIGHT;
+        return current.transitionTo(atTarget ? Phase.OUT : Phase.LEAVING, atTarget ? target : step, flaps);
     }
 
     /** Returns the part of a zone's traffic, 0 to 1, for which the others have no room by the reported utilisation. */
-    private double unbearable(int zone) {
-        double moved = traffic.warm(zone) * use(zone);
-        double room = 0;
+    private double overflowRatio(int zone) {
+        double movedLoad = traffic.warmCapacity(zone) * reportedUtilisation(zone);
+        double spareCapacity = 0;
         for (int z = 0; z < zones.length; z++) {
-            room += z == zone || told(z) < IN_USE ? 0 : traffic.warm(z) * Math.max(0, FILL - use(z));
+            spareCapacity += z == zone || appliedWeight(z) < MIN_IN_USE_WEIGHT ? 0 : traffic.warmCapacity(z) * Math.max(0, MAX_FILL_RATIO - reportedUtilisation(z));
         }
-        return moved <= 0 ? 0 : Math.max(0, Math.min(1, (moved - room) / moved));
+        return movedLoad <= 0 ? 0 : Math.max(0, Math.min(1, (movedLoad - spareCapacity) / movedLoad));
     }
 
     /** Returns the mean utilisation of a zone by all fresh digests, or 0 if none reports it, so that all traffic may move. */
-    private double use(int zone) {
+    private double reportedUtilisation(int zone) {
         double sum = 0;
         int count = 0;
-        for (Heard h : heard.values()) {
-            Digest.OfZone z = h.digest.of(zone);
-            if (z != null && z.use() != Digest.UNKNOWN_USE && now - h.at < 3 * calm()) {
-                sum += (double) z.use() / USE_PARTS;
+        for (ReceivedDigest h : receivedDigests.values()) {
+            Digest.ZoneSummary z = h.digest.findZone(zone);
+            if (z != null && z.scaledUtilisation() != Digest.UNKNOWN_UTILISATION && now - h.receivedAtNanos < 3 * digestIntervalNanos()) {
+                sum += (double) z.scaledUtilisation() / UTILISATION_SCALE;
                 count++;
             }
         }
@@ -635,9 +635,9 @@
 
     /** Returns whether more than half of this vantage's gateways are alive: a minority that is cut off must not decide. */
     boolean mayDecide() {
-        int known = Math.max(terms.gatewaysByZone().get(terms.vantage()),
-                (int) vantages.values().stream().filter(v -> v == terms.vantage()).count());
-        return 2 * livingOf(terms.vantage()) > known;
+        int expectedGateways = Math.max(settings.gatewaysByZone().get(settings.vantage()),
+                (int) vantageByMember.values().stream().filter(v -> v == settings.vantage()).count());
+        return 2 * aliveCountOf(settings.vantage()) > expectedGateways;
     }
 
     /**
@@ -646,29 +646,29 @@
      * answer at least half in time as seen from here, or be unknown here and sound by its own gateways. To leave a slow zone,
      * it must be sound as seen from here: if all zones are late there is too much load and no better place.
      */
-    private boolean mayLeave(int zone, Verdict why) {
-        int region = terms.regions().get(zone);
-        boolean sound = false;
+    private boolean mayLeave(int zone, Verdict verdict) {
+        int region = settings.regionByZone().get(zone);
+        boolean hasAlternative = false;
         for (int z = 0; z < zones.length; z++) {
-            if (terms.regions().get(z) != region && !isOut(z)) {
-                Judgement here = judged(z, terms.vantage());
-                Verdict within = judged(z, z).verdict();
-                boolean better = why == Verdict.SLOW ? here.verdict() == Verdict.SOUND
-                        : here.serves() || here.verdict() == Verdict.UNKNOWN && within == Verdict.SOUND;
-                sound |= within != Verdict.BAD && within != Verdict.SLOW && better;
+            if (settings.regionByZone().get(z) != region && !isEvacuatedOrOrderedOut(z)) {
+                ZoneAssessment here = assess(z, settings.vantage());
+                Verdict residentVerdict = assess(z, z).verdict();
+                boolean better = verdict == Verdict.SLOW ? here.verdict() == Verdict.SOUND
+                        : here.isServing() || here.verdict() == Verdict.UNKNOWN && residentVerdict == Verdict.SOUND;
+                hasAlternative |= residentVerdict != Verdict.BAD && residentVerdict != Verdict.SLOW && better;
             }
         }
-        return sound && regions(z -> terms.regions().get(z) != region && isOut(z)) < terms.mostOut();
+        return hasAlternative && countRegions(z -> settings.regionByZone().get(z) != region && isEvacuatedOrOrderedOut(z)) < settings.maxRegionsOut();
     }
 
     /** Returns whether a zone is left, by automatic decision or by an operator's order. */
-    private boolean isOut(int zone) {
-        return zones[zone].course.phase() != Phase.IN || ordered(zones[zone]) == Order.Action.LEAVE;
+    private boolean isEvacuatedOrOrderedOut(int zone) {
+        return zones[zone].decision.phase() != Phase.IN || orderedAction(zones[zone]) == Order.Action.LEAVE;
     }
 
     /** Returns whether another zone is sound by its own gateways, so that a vantage with few attempts there can rely on them. */
-    private boolean soundFromWithin(int zone) {
-        return zone != terms.vantage() && judged(zone, zone).verdict() == Verdict.SOUND;
+    private boolean isSoundForResidents(int zone) {
+        return zone != settings.vantage() && assess(zone, zone).verdict() == Verdict.SOUND;
     }
 
     /**
@@ -679,24 +679,24 @@
      * @param byCourse whether decisions of others to stay out count; not during a trial, or each would stay out because of the
      *     others
      */
-    private boolean othersCondemn(int zone, boolean byCourse) {
-        int against = 0;
+    private boolean isBadForOthers(int zone, boolean countDecisions) {
+        int vantagesAgainst = 0;
         for (int v = 0; v < zones.length; v++) {
-            if (v != terms.vantage()) {
-                Verdict verdict = judged(zone, v).verdict();
-                against += verdict == Verdict.BAD || byCourse && leftFrom(zone, v) ? 1 : 0;
+            if (v != settings.vantage()) {
+                Verdict verdict = assess(zone, v).verdict();
+                vantagesAgainst += verdict == Verdict.BAD || countDecisions && isOutFrom(zone, v) ? 1 : 0;
                 if (verdict == Verdict.SOUND && v != zone) {
                     return false;
                 }
             }
         }
         // The zone's own gateways have left it, and all attempts from here, by at least two gateways, failed.
-        Judgement here = judged(zone, terms.vantage());
-        return against >= 2 || byCourse && leftFrom(zone, zone) && here.voters() >= 2 && here.bad() == here.tried();
+        ZoneAssessment here = assess(zone, settings.vantage());
+        return vantagesAgainst >= 2 || countDecisions && isOutFrom(zone, zone) && here.voters() >= 2 && here.failures() == here.attempts();
     }
 
-    private boolean leftFrom(int zone, int vantage) {
-        Course course = course(zone, vantage);
+    private boolean isOutFrom(int zone, int vantage) {
+        ZoneDecision course = knownDecision(zone, vantage);
         return course != null && course.phase() == Phase.OUT;
     }
 
@@ -704,155 +704,155 @@
      * Avoids a failing zone for one hold by this gateway's own observations, if too few gateways of its vantage are alive to
      * decide.
      */
-    private void protect(int zone) {
-        if (mayDecide() || own.doubtsItself() || now < zones[zone].protectedUntil) {
+    private void avoidLocally(int zone) {
+        if (mayDecide() || ownDigest.localFaultSuspected() || now < zones[zone].avoidedUntilNanos) {
             return;
         }
-        boolean other = false;
+        boolean hasAlternative = false;
         for (int z = 0; z < zones.length; z++) {
-            other |= z != zone && now >= zones[z].protectedUntil && byOwn(z).verdict() == Verdict.SOUND;
+            hasAlternative |= z != zone && now >= zones[z].avoidedUntilNanos && assessLocally(z).verdict() == Verdict.SOUND;
         }
-        if (other && byOwn(zone).verdict() == Verdict.BAD) {
-            zones[zone].protectedUntil = now + terms.holdNanos();
-            sightings.forget(now, zone);
-            host.log("zone=" + terms.zones().get(zone) + " avoided by this gateway alone: it hears too few to decide, and saw "
-                    + byOwn(zone));
+        if (hasAlternative && assessLocally(zone).verdict() == Verdict.BAD) {
+            zones[zone].avoidedUntilNanos = now + settings.holdNanos();
+            attemptWindow.discardBefore(now, zone);
+            callbacks.log("zone=" + settings.zones().get(zone) + " avoided by this gateway alone: it hears too few to decide, and saw "
+                    + assessLocally(zone));
         }
     }
 
     // ---- effects on this gateway
 
-    private void weigh() {
+    private void updateWeights() {
         Map<String, Double> weights = new LinkedHashMap<>();
-        boolean moved = told.isEmpty();
+        boolean changed = appliedWeights.isEmpty();
         for (int z = 0; z < zones.length; z++) {
-            double weight = weight(z);
-            String name = terms.zones().get(z);
+            double weight = nextWeight(z);
+            String name = settings.zones().get(z);
             weights.put(name, weight);
-            moved = moved || Math.abs(weight - told.get(name)) > SAME || weight == 1 && told.get(name) != 1;
+            changed = changed || Math.abs(weight - appliedWeights.get(name)) > MIN_WEIGHT_CHANGE || weight == 1 && appliedWeights.get(name) != 1;
         }
-        if (moved) {
-            told = Map.copyOf(weights);
-            host.setZoneWeights(told);
+        if (changed) {
+            appliedWeights = Map.copyOf(weights);
+            callbacks.setZoneWeights(appliedWeights);
         }
-        boolean nowhere = 2 * peers.living() <= peers.roster().size();
+        boolean cutOff = 2 * peers.aliveCount() <= peers.roster().size();
         for (int z = 0; z < zones.length; z++) {
-            nowhere &= byOwn(z).verdict() != Verdict.SOUND;
+            cutOff &= assessLocally(z).verdict() != Verdict.SOUND;
         }
-        nowhere &= byOwn(terms.vantage()).verdict() == Verdict.BAD;
-        if (nowhere == toldWelcome) {
-            toldWelcome = !nowhere;
-            host.setAcceptingClients(toldWelcome);
-            host.log(nowhere ? "cut off from half of the fleet and from all sound zones: clients are sent to other gateways"
+        cutOff &= assessLocally(settings.vantage()).verdict() == Verdict.BAD;
+        if (cutOff == acceptingClients) {
+            acceptingClients = !cutOff;
+            callbacks.setAcceptingClients(acceptingClients);
+            callbacks.log(cutOff ? "cut off from half of the fleet and from all sound zones: clients are sent to other gateways"
                     : "no longer cut off: clients are accepted again");
         }
     }
 
-    private double told(int zone) {
-        return told.getOrDefault(terms.zones().get(zone), 1.0);
+    private double appliedWeight(int zone) {
+        return appliedWeights.getOrDefault(settings.zones().get(zone), 1.0);
     }
 
-    private double weight(int zone) {
+    private double nextWeight(int zone) {
         Zone z = zones[zone];
-        switch (ordered(z)) {
+        switch (orderedAction(z)) {
             case LEAVE:
-                if (now - z.orderedAt >= LEAVE_STEP) {
-                    z.ordered = z.ordered <= 2 * LOCAL ? 0 : z.ordered / 2;
-                    z.orderedAt = now;
+                if (now - z.orderSteppedAtNanos >= LEAVE_STEP_INTERVAL_NANOS) {
+                    z.orderedWeight = z.orderedWeight <= 2 * RESIDUAL_WEIGHT ? 0 : z.orderedWeight / 2;
+                    z.orderSteppedAtNanos = now;
                 }
-                return z.ordered;
+                return z.orderedWeight;
             case RETURN:
-                if (now - z.orderedAt >= RETURN_STEP) {
-                    z.ordered = Math.min(1, Math.max(FIRST_RETURN, z.ordered) * FASTER);
-                    z.orderedAt = now;
+                if (now - z.orderSteppedAtNanos >= RETURN_STEP_INTERVAL_NANOS) {
+                    z.orderedWeight = Math.min(1, Math.max(INITIAL_RETURN_WEIGHT, z.orderedWeight) * RETURN_GROWTH_FACTOR);
+                    z.orderSteppedAtNanos = now;
                 }
-                return z.ordered;
+                return z.orderedWeight;
             default:
-                return isAvoided(zone) ? Math.min(LOCAL, decided(zone)) : decided(zone);
+                return isAvoided(zone) ? Math.min(RESIDUAL_WEIGHT, decidedWeight(zone)) : decidedWeight(zone);
         }
     }
 
     /** Updates the rate that a warm server can take, from the rates of the whole fleet and this gateway's part of the traffic. */
-    private void bear() {
-        double come = 0;
-        double borne = 0;
-        int telling = 0;
-        for (Map.Entry<Integer, Heard> e : heard.entrySet()) {
-            if (now - e.getValue().at < 3 * calm() && peers.isAlive(e.getKey())) {
-                come += e.getValue().digest.arrivals();
-                borne += e.getValue().digest.served();
-                telling++;
+    private void updateWarmServerRate() {
+        double fleetArrivalRate = 0;
+        double fleetWarmServedRate = 0;
+        int reporters = 0;
+        for (Map.Entry<Integer, ReceivedDigest> e : receivedDigests.entrySet()) {
+            if (now - e.getValue().receivedAtNanos < 3 * digestIntervalNanos() && peers.isAlive(e.getKey())) {
+                fleetArrivalRate += e.getValue().digest.arrivalRate();
+                fleetWarmServedRate += e.getValue().digest.warmServedRate();
+                reporters++;
             }
         }
-        double warm = 0;
-        double use = 0;
+        double warmCapacity = 0;
+        double usedCapacity = 0;
         for (int z = 0; z < zones.length; z++) {
-            if (told(z) >= IN_USE) {
-                warm += traffic.warm(z);
-                double itsUse = use(z);
-                use += traffic.warm(z) * Math.max(LEAST_USE, itsUse == 0 ? 1 : itsUse);
+            if (appliedWeight(z) >= MIN_IN_USE_WEIGHT) {
+                warmCapacity += traffic.warmCapacity(z);
+                double utilisation = reportedUtilisation(z);
+                usedCapacity += traffic.warmCapacity(z) * Math.max(MIN_ASSUMED_UTILISATION, utilisation == 0 ? 1 : utilisation);
             }
         }
-        double bears = 0;
-        if (2 * telling > peers.living() && telling > 1 && come > 0 && warm > 0 && use > 0) {
-            double ofOne = borne / use * peers.living() / telling;
-            bears = ofOne * part(come, telling);
+        double warmServerRate = 0;
+        if (2 * reporters > peers.aliveCount() && reporters > 1 && fleetArrivalRate > 0 && warmCapacity > 0 && usedCapacity > 0) {
+            double ratePerWarmServer = fleetWarmServedRate / usedCapacity * peers.aliveCount() / reporters;
+            warmServerRate = ratePerWarmServer * trafficShare(fleetArrivalRate, reporters);
         }
-        if (Math.abs(bears - toldBears) > toldBears * SMOOTH / 3) {
-            toldBears = bears;
-            host.setWarmServerRate(bears);
+        if (Math.abs(warmServerRate - appliedWarmServerRate) > appliedWarmServerRate * RATE_SMOOTHING_FACTOR / 3) {
+            appliedWarmServerRate = warmServerRate;
+            callbacks.setWarmServerRate(warmServerRate);
         }
     }
 
     /** Returns this gateway's part of the traffic of all reporting members, at least a quarter of the mean part. */
-    double part(double come, int telling) {
-        return Math.max(arrivals, come / telling / 4) / come;
+    double trafficShare(double fleetArrivalRate, int reporters) {
+        return Math.max(arrivalRate, fleetArrivalRate / reporters / 4) / fleetArrivalRate;
     }
 
     // ---- operators
 
-    private int orders() {
+    private int ordersHash() {
         int sum = 0;
-        for (Fact fact : peers.facts(Order.KIND)) {
-            sum += Long.hashCode(draw(fact.subject(), fact.version(), 0));
+        for (Fact fact : peers.facts(Order.FACT_KIND)) {
+            sum += Long.hashCode(hash(fact.subject(), fact.version(), 0));
         }
         return (sum ^ sum >>> 16) & 0xffff;
     }
 
     /** Publishes an operator's order to the whole fleet, valid from now until the given Unix time in milliseconds. */
-    public void issueOrder(int zone, Order.Action what, long untilMillis) {
+    public void issueOrder(int zone, Order.Action action, long untilMillis) {
         Order before = zones[zone].order;
-        peers.publish(new Order(zone, what, untilMillis, Course.epoch(before == null ? 0 : before.epoch(), unixMillis), self()).fact());
+        peers.publish(new Order(zone, action, untilMillis, ZoneDecision.nextEpoch(before == null ? 0 : before.epoch(), unixMillis), self()).toFact());
     }
 
     /** Returns the state of all zones and members for operators. */
     public ZoneStatus status() {
-        List<ZoneStatus.OfZone> all = new ArrayList<>();
+        List<ZoneStatus.ZoneEntry> zoneEntries = new ArrayList<>();
         for (int z = 0; z < zones.length; z++) {
-            List<ZoneStatus.From> from = new ArrayList<>();
+            List<ZoneStatus.VantageEntry> vantageEntries = new ArrayList<>();
             for (int v = 0; v < zones.length; v++) {
-                Course known = course(z, v);
-                Course c = known == null ? Course.in(z, v) : known;
-                from.add(new ZoneStatus.From(terms.zones().get(v), c.word(), c.weight(), c.epoch(), c.by(), c.flaps(),
-                        judged(z, v).toString()));
+                ZoneDecision known = knownDecision(z, v);
+                ZoneDecision c = known == null ? ZoneDecision.initial(z, v) : known;
+                vantageEntries.add(new ZoneStatus.VantageEntry(settings.zones().get(v), c.phaseName(), c.weight(), c.epoch(), c.decider(), c.flaps(),
+                        assess(z, v).toString()));
             }
-            all.add(new ZoneStatus.OfZone(terms.zones().get(z), told(z),
-                    ordered(zones[z]), ordered(zones[z]) == Order.Action.NONE ? 0 : zones[z].order.untilMillis(), from));
+            zoneEntries.add(new ZoneStatus.ZoneEntry(settings.zones().get(z), appliedWeight(z),
+                    orderedAction(zones[z]), orderedAction(zones[z]) == Order.Action.NONE ? 0 : zones[z].order.untilMillis(), vantageEntries));
         }
-        int known = orders();
-        List<Integer> unheard = new ArrayList<>();
+        int known = ordersHash();
+        List<Integer> unconfirmed = new ArrayList<>();
         for (int member = 0; member < peers.roster().size(); member++) {
-            Heard h = heard.get(member);
-            if (!peers.isAlive(member) || h == null || h.digest.heard() != known) {
-                unheard.add(member);
+            ReceivedDigest h = receivedDigests.get(member);
+            if (!peers.isAlive(member) || h == null || h.digest.ordersHash() != known) {
+                unconfirmed.add(member);
             }
         }
-        return new ZoneStatus(peers.roster().self(), peers.living(), peers.roster().size(), peers.health(), all,
-                unheard.stream().filter(m -> m != self()).toList(), peers.figures(), unreadable);
+        return new ZoneStatus(peers.roster().self(), peers.aliveCount(), peers.roster().size(), peers.healthScore(), zoneEntries,
+                unconfirmed.stream().filter(m -> m != self()).toList(), peers.counters(), unreadableFacts);
     }
 
     /** Returns the weights applied now, by zone number. */
     public double[] weights() {
-        return Arrays.stream(zones).mapToDouble(z -> told(z.course.zone())).toArray();
+        return Arrays.stream(zones).mapToDouble(z -> appliedWeight(z.decision.zone())).toArray();
     }
 }
--- a/src/main/java/cinderhollow/peers/Bytes.java
+++ b/src/main/java/cinderhollow/peers/ByteCursor.java
@@ -3,64 +3,64 @@
 import java.util.Arrays;
 
 /** Byte array with a position, for reading and writing unsigned big-endian numbers. */
-public final class Bytes {
+public final class ByteCursor {
     private byte[] bytes;
-    private int at;
+    private int position;
 
-    private Bytes(byte[] bytes) {
+    private ByteCursor(byte[] bytes) {
         this.bytes = bytes;
     }
 
     /** Returns a buffer for writing up to this number of bytes. */
-    public static Bytes ofSize(int most) {
-        return new Bytes(new byte[most]);
+    public static ByteCursor allocate(int capacity) {
+        return new ByteCursor(new byte[capacity]);
     }
 
     /** Returns a buffer for reading these bytes; reading past the end throws {@link IndexOutOfBoundsException}. */
-    public static Bytes reading(byte[] bytes) {
-        return new Bytes(bytes);
+    public static ByteCursor wrap(byte[] bytes) {
+        return new ByteCursor(bytes);
     }
 
     /** Writes the given count of lowest-order bytes of a number, most significant first. */
-    public Bytes put(long number, int count) {
+    public ByteCursor put(long number, int count) {
         for (int shift = 8 * (count - 1); shift >= 0; shift -= 8) {
-            bytes[at++] = (byte) (number >>> shift);
+            bytes[position++] = (byte) (number >>> shift);
         }
         return this;
     }
 
     /** Writes all of these bytes. */
-    public Bytes put(byte[] more) {
-        System.arraycopy(more, 0, bytes, at, more.length);
-        at += more.length;
+    public ByteCursor put(byte[] more) {
+        System.arraycopy(more, 0, bytes, position, more.length);
+        position += more.length;
         return this;
     }
 
     /** Reads an unsigned number of this number of bytes. */
-    public long take(int count) {
+    public long readUnsigned(int count) {
         long number = 0;
         for (int i = 0; i < count; i++) {
-            number = number << 8 | bytes[at++] & 0xff;
+            number = number << 8 | bytes[position++] & 0xff;
         }
         return number;
     }
 
     /** Reads this number of bytes. */
-    public byte[] takeBytes(int count) {
-        if (count > left()) {
-            throw new IndexOutOfBoundsException("cannot read " + count + " bytes, bytes left: " + left());
+    public byte[] readBytes(int count) {
+        if (count > remaining()) {
+            throw new IndexOutOfBoundsException("cannot read " + count + " bytes, bytes left: " + remaining());
         }
-        at += count;
-        return Arrays.copyOfRange(bytes, at - count, at);
+        position += count;
+        return Arrays.copyOfRange(bytes, position - count, position);
     }
 
     /** Returns the number of bytes left to read or to write. */
-    public int left() {
-        return bytes.length - at;
+    public int remaining() {
+        return bytes.length - position;
     }
 
     /** Returns a copy of the bytes written so far. */
-    public byte[] written() {
-        return Arrays.copyOf(bytes, at);
+    public byte[] toByteArray() {
+        return Arrays.copyOf(bytes, position);
     }
 }
--- a/src/main/java/cinderhollow/peers/Seal.java
+++ b/src/main/java/cinderhollow/peers/DatagramAuthenticator.java
@@ -11,13 +11,13 @@
  * Authentication tag of eight bytes at a datagram's end: a truncated HMAC-SHA-256 (RFC 2104) keyed with the fleet's secret.
  * Without a secret it is a CRC-32C checksum, which detects only accidental changes.
  */
-final class Seal {
-    static final int BYTES = 8;
+final class DatagramAuthenticator {
+    static final int TAG_BYTES = 8;
     private static final String ALGORITHM = "HmacSHA256";
 
     private final Mac mac;
 
-    Seal(byte[] secret) {
+    DatagramAuthenticator(byte[] secret) {
         try {
             mac = secret.length == 0 ? null : Mac.getInstance(ALGORITHM);
             if (mac != null) {
@@ -29,25 +29,25 @@
     }
 
     /** Returns the bytes with their tag appended. */
-    byte[] onto(byte[] bytes) {
-        byte[] whole = Arrays.copyOf(bytes, bytes.length + BYTES);
-        System.arraycopy(of(bytes, bytes.length), 0, whole, bytes.length, BYTES);
-        return whole;
+    byte[] appendTag(byte[] bytes) {
+        byte[] tagged = Arrays.copyOf(bytes, bytes.length + TAG_BYTES);
+        System.arraycopy(computeTag(bytes, bytes.length), 0, tagged, bytes.length, TAG_BYTES);
+        return tagged;
     }
 
     /** Returns whether the last bytes are the tag of those before; compares in constant time, so that timing leaks nothing. */
-    boolean holds(byte[] whole) {
-        int length = whole.length - BYTES;
-        return MessageDigest.isEqual(of(whole, length), Arrays.copyOfRange(whole, length, whole.length));
+    boolean hasValidTag(byte[] tagged) {
+        int length = tagged.length - TAG_BYTES;
+        return MessageDigest.isEqual(computeTag(tagged, length), Arrays.copyOfRange(tagged, length, tagged.length));
     }
 
-    private byte[] of(byte[] bytes, int length) {
+    private byte[] computeTag(byte[] bytes, int length) {
         if (mac != null) {
             mac.update(bytes, 0, length);
-            return Arrays.copyOf(mac.doFinal(), BYTES);
+            return Arrays.copyOf(mac.doFinal(), TAG_BYTES);
         }
         CRC32C sum = new CRC32C();
         sum.update(bytes, 0, length);
-        return Bytes.ofSize(BYTES).put(sum.getValue(), BYTES).written();
+        return ByteCursor.allocate(TAG_BYTES).put(sum.getValue(), TAG_BYTES).toByteArray();
     }
 }
--- a/src/main/java/cinderhollow/peers/Flaw.java
+++ b/src/main/java/cinderhollow/peers/DropReason.java
@@ -3,7 +3,7 @@
 import java.util.Locale;
 
 /** Reason for which a datagram is dropped. */
-public enum Flaw {
+public enum DropReason {
     /** Shorter than the minimum or longer than the maximum size. */
     LENGTH,
     /** Other protocol version. */
@@ -24,7 +24,7 @@
     FORM;
 
     /** Returns the name used in metrics and logs: lower case with hyphens. */
-    public String word() {
+    public String label() {
         return name().toLowerCase(Locale.ROOT).replace('_', '-');
     }
 }
--- a/src/main/java/cinderhollow/peers/Roster.java
+++ b/src/main/java/cinderhollow/peers/Roster.java
@@ -14,18 +14,18 @@
  */
 public record Roster(int self, int size, String fleet, byte[] secret) {
     /** Maximum number of members; a member's number is encoded in two bytes. */
-    public static final int MOST = 10_000;
+    public static final int MAX_MEMBERS = 10_000;
 
     /** Checks the numbers and copies the secret. */
     public Roster {
-        if (size < 1 || size > MOST || self < 0 || self >= size) {
+        if (size < 1 || size > MAX_MEMBERS || self < 0 || self >= size) {
             throw new IllegalArgumentException("invalid member number " + self + " of " + size);
         }
         secret = secret.clone();
     }
 
     /** Returns a checksum of name and size: with another size, member numbers may mean other members. */
-    int mark() {
+    int fleetTag() {
         CRC32C sum = new CRC32C();
         sum.update((fleet + '/' + size).getBytes(StandardCharsets.UTF_8));
         return (int) sum.getValue();
