--- a/src/main/java/cinderhollow/daemon/Gateway.java
+++ b/src/main/java/cinderhollow/daemon/Gateway.java
@@ -23,7 +23,7 @@
 import cinderhollow.lifecycle.SendDecision;
 import cinderhollow.lifecycle.TransitionMonitor;
 import cinderhollow.ledger.Breach;
-import cinderhollow.ledger.End;
+import cinderhollow.ledger.RequestEnd;
 import cinderhollow.ledger.Figures;
 import cinderhollow.ledger.Frame;
 import cinderhollow.ledger.Ledger;
@@ -690,7 +690,7 @@
     @Override
     public void refuse(String request, long pauseNanos) {
         if (ledger != null) {
-            recordRequestEnd(request, End.REFUSED);
+            recordRequestEnd(request, RequestEnd.REFUSED);
         }
         answerRequest(request, HttpResponseStatus.SERVICE_UNAVAILABLE, "refused: trying again is harmless", pauseNanos);
     }
@@ -698,12 +698,12 @@
     @Override
     public void fail(String request) {
         if (ledger != null) {
-            recordRequestEnd(request, End.FAILED);
+            recordRequestEnd(request, RequestEnd.FAILED);
         }
         answerRequest(request, HttpResponseStatus.BAD_GATEWAY, "failed: it may have run", 0);
     }
 
-    private void recordRequestEnd(String request, End end) {
+    private void recordRequestEnd(String request, RequestEnd end) {
         OpenRequest r = openRequests.get(request);
         if (r != null) {
             r.entry.recordEnd(end);
@@ -869,7 +869,7 @@
         /** Number that is unique within this loop and run of the process. */
         private final long number = ++lastEntryNumber;
         /** Null until the request has ended. */
-        private End end;
+        private RequestEnd end;
 
         LedgerEntry(String id, int account, long openedAtNanos) {
             this.id = id;
@@ -882,7 +882,7 @@
         }
 
         /** Records the request's end. Only the first counts: an attempt may be served when the request has long ended. */
-        void recordEnd(End newEnd) {
+        void recordEnd(RequestEnd newEnd) {
             if (end == null) {
                 end = newEnd;
                 requestCounts.end(account, newEnd, id);
@@ -981,7 +981,7 @@
             boolean wanted = !reply.isConcluded();
             if (wanted) {
                 if (entry != null) {
-                    entry.recordEnd(End.SERVED);
+                    entry.recordEnd(RequestEnd.SERVED);
                 }
                 lifecycle.transitionTo(RequestState.RESPONDING);
                 reply.startStreaming(length, source);
@@ -1037,7 +1037,7 @@
             int number = recordAttemptEnd(attempt, outcome);
             if (outcome == Outcome.SERVED) {
                 if (entry != null) {
-                    entry.recordEnd(End.SERVED);
+                    entry.recordEnd(RequestEnd.SERVED);
                 }
                 markCompleted();
                 reply.respondOk(body);
@@ -1107,7 +1107,7 @@
                 lifecycle.transitionTo(RequestState.ABANDONED);
             }
             if (entry != null) {
-                entry.recordEnd(End.ABANDONED);
+                entry.recordEnd(RequestEnd.ABANDONED);
             }
             cleanUpIfOver();
             dispatch(new ClientLeft(id));
@@ -1117,7 +1117,7 @@
             log("request " + id + " was not answered by its deadline; answered by the gateway itself");
             boolean sent = !attempts.isEmpty();
             if (entry != null) {
-                entry.recordEnd(sent ? End.FAILED : End.REFUSED);
+                entry.recordEnd(sent ? RequestEnd.FAILED : RequestEnd.REFUSED);
             }
             reply.respondPlainText(sent ? HttpResponseStatus.BAD_GATEWAY : HttpResponseStatus.SERVICE_UNAVAILABLE,
                     sent ? "failed: it may have run" : "refused: trying again is harmless", 0);
--- a/src/main/java/cinderhollow/daemon/Journal.java
+++ b/src/main/java/cinderhollow/daemon/Journal.java
@@ -1,6 +1,6 @@
 package cinderhollow.daemon;
 
-import cinderhollow.ledger.End;
+import cinderhollow.ledger.RequestEnd;
 import cinderhollow.ledger.Frame;
 import cinderhollow.ledger.Ledger;
 import cinderhollow.ledger.Life;
@@ -205,7 +205,7 @@
     }
 
     /** Records that a request has ended. Called on the event loop. */
-    void recordEnded(long request, End end) {
+    void recordEnded(long request, RequestEnd end) {
         if (checkpointRequired) {
             lostOnLoop++;
             return;
--- a/src/main/java/cinderhollow/http1/DownstreamConnectionManager.java
+++ b/src/main/java/cinderhollow/http1/DownstreamConnectionManager.java
@@ -6,7 +6,7 @@
 import cinderhollow.core.RequestCounters;
 import cinderhollow.core.SocketReads;
 import cinderhollow.core.Transport;
-import cinderhollow.ledger.End;
+import cinderhollow.ledger.RequestEnd;
 import cinderhollow.ledger.Sheet;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.ByteBuf;
@@ -563,7 +563,7 @@
             counters = counts;
         }
 
-        private void recordEnd(End end) {
+        private void recordEnd(RequestEnd end) {
             ledgerCounters.end(account, end, id);
         }
 
@@ -600,7 +600,7 @@
             concluded = true;
             source = upstreamSource;
             if (account != NO_ACCOUNT) {
-                recordEnd(End.SERVED);
+                recordEnd(RequestEnd.SERVED);
             }
             DefaultHttpResponse head = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
             closeDelimited = contentLength < 0 && http10;
@@ -695,8 +695,8 @@
             concluded = true;
             if (account != NO_ACCOUNT) {
                 // Recorded by the status that is sent, not by the intended one.
-                recordEnd(status.equals(HttpResponseStatus.OK) ? End.SERVED
-                        : status.equals(HttpResponseStatus.SERVICE_UNAVAILABLE) ? End.REFUSED : End.FAILED);
+                recordEnd(status.equals(HttpResponseStatus.OK) ? RequestEnd.SERVED
+                        : status.equals(HttpResponseStatus.SERVICE_UNAVAILABLE) ? RequestEnd.REFUSED : RequestEnd.FAILED);
             }
             if (counters != null) {
                 counters.answered(status.code());
@@ -1210,7 +1210,7 @@
             if (unanswered != null && !unanswered.concluded) {
                 unanswered.concluded = true;
                 if (unanswered.account != NO_ACCOUNT) {
-                    unanswered.recordEnd(End.ABANDONED);
+                    unanswered.recordEnd(RequestEnd.ABANDONED);
                 }
                 unanswered.abandonedHandler.run();
             } else if (unanswered != null && unanswered.source != null) {
--- a/src/main/java/cinderhollow/ledger/Frame.java
+++ b/src/main/java/cinderhollow/ledger/Frame.java
@@ -73,7 +73,7 @@
     }
 
     /** Writes that a request has ended. */
-    public void ended(long request, End end) {
+    public void ended(long request, RequestEnd end) {
         kind(ENDED);
         number(request);
         number(end.ordinal());
--- a/src/main/java/cinderhollow/ledger/Ledger.java
+++ b/src/main/java/cinderhollow/ledger/Ledger.java
@@ -127,7 +127,7 @@
             Sheet sheet = sheet(Place.CORE);
             if (sheet.opened(account) != 0) {
                 StringBuilder line = new StringBuilder("ledger, " + accounts.get(account) + ": taken " + sheet.opened(account) + " =");
-                for (End end : End.values()) {
+                for (RequestEnd end : RequestEnd.values()) {
                     line.append(' ').append(Place.CORE.ends().get(end.ordinal())).append(' ')
                             .append(sheet.ended(account, end.ordinal())).append(" +");
                 }
--- a/src/main/java/cinderhollow/ledger/Life.java
+++ b/src/main/java/cinderhollow/ledger/Life.java
@@ -8,7 +8,7 @@
  *
  * @param account name of the account
  * @param taken number of requests taken
- * @param ended number of requests ended, by {@link End} in the order of its constants
+ * @param ended number of requests ended, by {@link RequestEnd} in the order of its constants
  * @param orphaned number of requests that were open when a run ended, so that their end is not known
  */
 public record Life(String account, long taken, List<Long> ended, long orphaned) {
--- a/src/main/java/cinderhollow/ledger/OpenMetrics.java
+++ b/src/main/java/cinderhollow/ledger/OpenMetrics.java
@@ -86,7 +86,7 @@
                 Long.toUnsignedString(life.taken())));
         family(name + "_ended", "gauge", "Requests of earlier lives by how they ended; orphaned are those cut off.");
         eachLife((life, loop) -> {
-            for (End end : End.values()) {
+            for (RequestEnd end : RequestEnd.values()) {
                 sample(name + "_ended", "account", life.account(), "loop", loop, "end",
                         Place.CORE.ends().get(end.ordinal()), Long.toUnsignedString(life.ended().get(end.ordinal())));
             }
--- a/src/main/java/cinderhollow/ledger/Place.java
+++ b/src/main/java/cinderhollow/ledger/Place.java
@@ -11,9 +11,9 @@
  */
 public enum Place {
     /** Requests, counted where client connections are handled. */
-    CLIENTS("requests at the clients' side", End.values()),
+    CLIENTS("requests at the clients' side", RequestEnd.values()),
     /** Requests, counted where the decisions of the decision module are carried out. */
-    CORE("requests at the core", End.values()),
+    CORE("requests at the core", RequestEnd.values()),
     /** Attempts, counted where the decisions of the decision module are carried out. */
     ATTEMPTS("attempts at the core", Outcome.values()),
     /** Attempts, counted where connections to servers are handled. */
--- a/src/main/java/cinderhollow/ledger/Recovery.java
+++ b/src/main/java/cinderhollow/ledger/Recovery.java
@@ -22,7 +22,7 @@
     private record Open(int account, String id) { }
 
     private static final int SEVEN = 7, MORE = 0x80, LAST_SHIFT = 63, MOST_ACCOUNTS = 20_000;
-    private static final int ENDS = End.values().length;
+    private static final int ENDS = RequestEnd.values().length;
 
     private final Map<Long, Open> open = new LinkedHashMap<>();
     private final Map<Integer, String> accounts = new HashMap<>();
--- a/src/main/java/cinderhollow/ledger/End.java
+++ b/src/main/java/cinderhollow/ledger/RequestEnd.java
@@ -1,7 +1,7 @@
 package cinderhollow.ledger;
 
 /** How a request that a gateway has taken ended. Each request ends exactly once. */
-public enum End {
+public enum RequestEnd {
     /** A server's answer was forwarded to the client. */
     SERVED,
     /** The final answer said that the request had no effect, so a retry is harmless. */
--- a/src/main/java/cinderhollow/ledger/Sheet.java
+++ b/src/main/java/cinderhollow/ledger/Sheet.java
@@ -35,7 +35,7 @@
     }
 
     /** Counts a request that has ended. */
-    public void end(int account, End end, String id) {
+    public void end(int account, RequestEnd end, String id) {
         end(account, end.ordinal(), id);
     }
 
--- a/src/main/java/cinderhollow/ledger/Totals.java
+++ b/src/main/java/cinderhollow/ledger/Totals.java
@@ -124,8 +124,8 @@
         rows.forEach((account, all) -> {
             Row row = all[Place.CORE.ordinal()];
             text.append(String.format(Locale.ROOT, "%-36s %10d %10d %9d %9d %9d %7d %10d%n", account, row.opened,
-                    row.ended[End.SERVED.ordinal()], row.ended[End.REFUSED.ordinal()], row.ended[End.FAILED.ordinal()],
-                    row.ended[End.ABANDONED.ordinal()], row.open, all[Place.ATTEMPTS.ordinal()].opened));
+                    row.ended[RequestEnd.SERVED.ordinal()], row.ended[RequestEnd.REFUSED.ordinal()], row.ended[RequestEnd.FAILED.ordinal()],
+                    row.ended[RequestEnd.ABANDONED.ordinal()], row.open, all[Place.ATTEMPTS.ordinal()].opened));
         });
         faults().forEach(fault -> text.append(fault).append('\n'));
         if (orphaned > 0) {
--- a/src/test/java/cinderhollow/bench/LedgerBenchmark.java
+++ b/src/test/java/cinderhollow/bench/LedgerBenchmark.java
@@ -1,6 +1,6 @@
 package cinderhollow.bench;
 
-import cinderhollow.ledger.End;
+import cinderhollow.ledger.RequestEnd;
 import cinderhollow.ledger.Frame;
 import cinderhollow.ledger.Ledger;
 import cinderhollow.ledger.Place;
@@ -42,8 +42,8 @@
         ledger.sheet(Place.CLIENTS).open(account, ID);
         ledger.sheet(Place.NODES).end(account, Outcome.SERVED, ID);
         ledger.sheet(Place.ATTEMPTS).end(account, Outcome.SERVED, ID);
-        ledger.sheet(Place.CORE).end(account, End.SERVED, ID);
-        ledger.sheet(Place.CLIENTS).end(account, End.SERVED, ID);
+        ledger.sheet(Place.CORE).end(account, RequestEnd.SERVED, ID);
+        ledger.sheet(Place.CLIENTS).end(account, RequestEnd.SERVED, ID);
         ledger.took(account, 1_000_000 + request % 1_000 * 1_000);
         return ledger.sheet(Place.CORE).opened(account);
     }
@@ -53,7 +53,7 @@
     public int journalled() {
         request++;
         frame.opened(request, 1, ID);
-        frame.ended(request, End.SERVED);
+        frame.ended(request, RequestEnd.SERVED);
         if (frame.length() >= ROOM) {
             frame.clear();
         }
--- a/src/test/java/cinderhollow/daemon/JournalMeasurement.java
+++ b/src/test/java/cinderhollow/daemon/JournalMeasurement.java
@@ -1,6 +1,6 @@
 package cinderhollow.daemon;
 
-import cinderhollow.ledger.End;
+import cinderhollow.ledger.RequestEnd;
 import cinderhollow.ledger.Frame;
 import cinderhollow.ledger.Ledger;
 import cinderhollow.ledger.Recovery;
@@ -50,7 +50,7 @@
                     request++;
                     frame.opened(request, (int) (request % 2), "0f8fad5b-d9cb-469f-a165-" + request);
                     if (request > open) {
-                        frame.ended(request - open, End.SERVED);
+                        frame.ended(request - open, RequestEnd.SERVED);
                     }
                 }
                 JournalFiles.writeFrameHeader(frame.bytes(), frame.length(), head);
--- a/src/test/java/cinderhollow/daemon/JournalTest.java
+++ b/src/test/java/cinderhollow/daemon/JournalTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cinderhollow.ledger.End;
+import cinderhollow.ledger.RequestEnd;
 import cinderhollow.ledger.Frame;
 import cinderhollow.ledger.Ledger;
 import cinderhollow.ledger.Place;
@@ -72,8 +72,8 @@
                 journal.recordOpened(number, 1, id);
             }
             for (long over : List.copyOf(open.keySet()).subList(0, end)) {
-                ledger.sheet(Place.CORE).end(1, End.SERVED, open.remove(over));
-                journal.recordEnded(over, End.SERVED);
+                ledger.sheet(Place.CORE).end(1, RequestEnd.SERVED, open.remove(over));
+                journal.recordEnded(over, RequestEnd.SERVED);
             }
         }).sync();
     }
--- a/src/test/java/cinderhollow/daemon/LedgerOnSocketsTest.java
+++ b/src/test/java/cinderhollow/daemon/LedgerOnSocketsTest.java
@@ -10,7 +10,7 @@
 
 import cinderhollow.daemon.GatewayFixture.Client;
 import cinderhollow.daemon.ScriptedHost.Script;
-import cinderhollow.ledger.End;
+import cinderhollow.ledger.RequestEnd;
 import cinderhollow.ledger.Ledger;
 import cinderhollow.ledger.Place;
 import cinderhollow.policy.Protocol.Outcome;
@@ -56,7 +56,7 @@
     private static List<Long> ends(GatewayFixture f, int account) {
         return onLoop(f, () -> {
             List<Long> ends = new ArrayList<>();
-            for (End end : End.values()) {
+            for (RequestEnd end : RequestEnd.values()) {
                 ends.add(ledger(f).sheet(Place.CLIENTS).ended(account, end.ordinal()));
             }
             return ends;
@@ -99,7 +99,7 @@
             assertAddsUp(f);
             assertEquals(List.of(1L, 0L, 1L, 0L), ends(f, SUBMIT));
             leaver.socket.close();
-            await("the client's leaving", () -> ends(f, SUBMIT).get(End.ABANDONED.ordinal()) == 1);
+            await("the client's leaving", () -> ends(f, SUBMIT).get(RequestEnd.ABANDONED.ordinal()) == 1);
             assertAddsUp(f);
             assertEquals(List.of(1L, 0L, 0L, 0L), ends(f, STATUS));
             assertEquals(3L, onLoop(f, () -> ledger(f).sheet(Place.CORE).opened(SUBMIT)));
@@ -165,7 +165,7 @@
             assertEquals("fine", client.read().body());
             second.get(PATIENCE_MILLIS, TimeUnit.MILLISECONDS);
             client.socket.close();
-            await("its leaving", () -> ends(f, STATUS).get(End.ABANDONED.ordinal()) == 1);
+            await("its leaving", () -> ends(f, STATUS).get(RequestEnd.ABANDONED.ordinal()) == 1);
             assertEquals(2L, onLoop(f, () -> ledger(f).sheet(Place.CLIENTS).opened(STATUS)));
             assertAddsUp(f);
         }
@@ -216,9 +216,9 @@
             }
             ended.get(PATIENCE_MILLIS, TimeUnit.MILLISECONDS);
             List<Long> ends = ends(f, SUBMIT);
-            assertEquals(clients, ends.get(End.SERVED.ordinal()) + ends.get(End.ABANDONED.ordinal()));
-            assertTrue(ends.get(End.SERVED.ordinal()) >= clients / 2, ends.toString());
-            assertTrue(ends.get(End.ABANDONED.ordinal()) >= clients / 4, ends.toString());
+            assertEquals(clients, ends.get(RequestEnd.SERVED.ordinal()) + ends.get(RequestEnd.ABANDONED.ordinal()));
+            assertTrue(ends.get(RequestEnd.SERVED.ordinal()) >= clients / 2, ends.toString());
+            assertTrue(ends.get(RequestEnd.ABANDONED.ordinal()) >= clients / 4, ends.toString());
             assertAddsUp(f);
         } finally {
             for (ScriptedHost host : hosts) {
@@ -233,7 +233,7 @@
         try (ScriptedHost a = new ScriptedHost(SERVES); GatewayFixture f = gateway("[ledger]\n", a)) {
             f.client().ask(submit("r", LONG_MILLIS, "x"));
             onLoop(f, () -> {
-                ledger(f).sheet(Place.CLIENTS).end(SUBMIT, End.SERVED, "r");
+                ledger(f).sheet(Place.CLIENTS).end(SUBMIT, RequestEnd.SERVED, "r");
                 return null;
             });
             await("the alarm", () -> onLoop(f, () -> ledger(f).breaches()) > 0);
--- a/src/test/java/cinderhollow/ledger/LedgerTest.java
+++ b/src/test/java/cinderhollow/ledger/LedgerTest.java
@@ -42,7 +42,7 @@
             String id = "r" + i;
             open(Place.CORE, account, id);
             open(Place.CLIENTS, account, id);
-            End end = End.values()[random.nextInt(End.values().length)];
+            RequestEnd end = RequestEnd.values()[random.nextInt(RequestEnd.values().length)];
             for (int attempt = random.nextInt(4); attempt > 0; attempt--) {
                 open(Place.ATTEMPTS, account, id);
                 open(Place.NODES, account, id);
@@ -92,7 +92,7 @@
     @EnumSource(Place.class)
     void aDoubleCloseAtAnyPlaceIsABreach(Place place) {
         play(new SplittableRandom(8), 100);
-        Enum<?> end = place == Place.CLIENTS || place == Place.CORE ? End.SERVED : Outcome.SERVED;
+        Enum<?> end = place == Place.CLIENTS || place == Place.CORE ? RequestEnd.SERVED : Outcome.SERVED;
         ledger.sheet(place).end(2, end.ordinal(), "twice");
         List<Breach> found = check();
         assertTrue(found.stream().anyMatch(breach -> breach.rule().startsWith("served: ")), found.toString());
@@ -104,21 +104,21 @@
     void placesThatDisagreeOnTheEndAreABreach() {
         open(Place.CORE, 0, "r");
         open(Place.CLIENTS, 0, "r");
-        end(Place.CORE, 0, End.REFUSED, "r");
-        end(Place.CLIENTS, 0, End.FAILED, "r");
+        end(Place.CORE, 0, RequestEnd.REFUSED, "r");
+        end(Place.CLIENTS, 0, RequestEnd.FAILED, "r");
         assertEquals(2, check().size());
     }
 
     @Test
     void aBreachIsToldOnceUntilItGrowsAndStaysUntilAcknowledged() {
-        ledger.sheet(Place.CORE).end(0, End.SERVED, "x");
+        ledger.sheet(Place.CORE).end(0, RequestEnd.SERVED, "x");
         assertEquals(2, check().size());
         assertEquals(List.of(), check());
         assertEquals(2, ledger.breaches());
         ledger.acknowledge();
         assertEquals(0, ledger.breaches());
         assertEquals(List.of(), check());
-        ledger.sheet(Place.CORE).end(0, End.SERVED, "y");
+        ledger.sheet(Place.CORE).end(0, RequestEnd.SERVED, "y");
         assertEquals(2, check().size());
         assertEquals(2, ledger.breaches());
     }
@@ -129,7 +129,7 @@
         Sheet sheet = new Sheet(Place.CORE, new Ring(1), new long[] {-3}, new long[] {-5, 0, 0, 0});
         for (int i = 0; i < 10; i++) {
             sheet.open(0, "r");
-            sheet.end(0, End.SERVED, "r");
+            sheet.end(0, RequestEnd.SERVED, "r");
         }
         assertEquals(7, sheet.opened(0));
         assertEquals(2, sheet.opened(0) - sheet.ended(0));
--- a/src/test/java/cinderhollow/ledger/OpenMetricsTest.java
+++ b/src/test/java/cinderhollow/ledger/OpenMetricsTest.java
@@ -32,8 +32,8 @@
             ledger.sheet(Place.NODES).open(account, "r" + i);
             ledger.sheet(Place.NODES).end(account, Outcome.SERVED, "r" + i);
             ledger.sheet(Place.ATTEMPTS).end(account, Outcome.SERVED, "r" + i);
-            ledger.sheet(Place.CORE).end(account, End.SERVED, "r" + i);
-            ledger.sheet(Place.CLIENTS).end(account, End.SERVED, "r" + i);
+            ledger.sheet(Place.CORE).end(account, RequestEnd.SERVED, "r" + i);
+            ledger.sheet(Place.CLIENTS).end(account, RequestEnd.SERVED, "r" + i);
             ledger.took(account, (i + 1) * 1_000_000L);
         }
         return ledger;
--- a/src/test/java/cinderhollow/ledger/RecoveryTest.java
+++ b/src/test/java/cinderhollow/ledger/RecoveryTest.java
@@ -41,7 +41,7 @@
                 accounts.put(number, account);
             } else {
                 long over = List.copyOf(open.keySet()).get(random.nextInt(open.size()));
-                End end = End.values()[random.nextInt(End.values().length)];
+                RequestEnd end = RequestEnd.values()[random.nextInt(RequestEnd.values().length)];
                 ledger.sheet(Place.CORE).end(accounts.get(over), end, open.get(over));
                 frame.ended(over, end);
                 open.remove(over);
@@ -125,7 +125,7 @@
         other.bytes()[0] = 99;
         assertThrows(IllegalArgumentException.class, () -> read(recovery, other));
         Frame end = new Frame(8);
-        end.ended(4, End.SERVED);
+        end.ended(4, RequestEnd.SERVED);
         assertThrows(IllegalArgumentException.class, () -> read(recovery, end));
         Frame unknown = new Frame(8);
         unknown.opened(1, 2, "x");
