--- a/src/main/java/cinderhollow/daemon/Gateway.java
+++ b/src/main/java/cinderhollow/daemon/Gateway.java
@@ -24,7 +24,7 @@
 import cinderhollow.lifecycle.TransitionMonitor;
 import cinderhollow.ledger.Breach;
 import cinderhollow.ledger.RequestEnd;
-import cinderhollow.ledger.Figures;
+import cinderhollow.ledger.LedgerMetrics;
 import cinderhollow.ledger.Frame;
 import cinderhollow.ledger.Ledger;
 import cinderhollow.ledger.Place;
@@ -579,7 +579,7 @@
     }
 
     @Override
-    public CompletableFuture<List<Figures>> ledgerMetrics() {
+    public CompletableFuture<List<LedgerMetrics>> ledgerMetrics() {
         return CompletableFuture.supplyAsync(() -> ledger == null ? List.of() : List.of(ledger.figures(countOpen(),
                 journal == null ? List.of() : journal.earlierTotals(), journal == null ? 0 : journal.lostEntries())), loop);
     }
--- a/src/main/java/cinderhollow/daemon/GatewayService.java
+++ b/src/main/java/cinderhollow/daemon/GatewayService.java
@@ -3,7 +3,7 @@
 import cinderhollow.evacuation.Order;
 import cinderhollow.evacuation.ZoneStatus;
 import cinderhollow.handover.Snapshot;
-import cinderhollow.ledger.Figures;
+import cinderhollow.ledger.LedgerMetrics;
 import cinderhollow.ops.Standing;
 import io.netty.util.concurrent.Future;
 import java.net.InetSocketAddress;
@@ -57,7 +57,7 @@
     CompletableFuture<Void> shutDown();
 
     /** Returns the ledger figures of each event loop; empty where no ledger is kept. */
-    CompletableFuture<List<Figures>> ledgerMetrics();
+    CompletableFuture<List<LedgerMetrics>> ledgerMetrics();
 
     /** Marks the ledger breaches found so far as seen, so that they are no longer reported as new. */
     CompletableFuture<Void> acknowledgeBreaches();
--- a/src/main/java/cinderhollow/daemon/MultiLoopGateway.java
+++ b/src/main/java/cinderhollow/daemon/MultiLoopGateway.java
@@ -5,7 +5,7 @@
 import cinderhollow.evacuation.Order;
 import cinderhollow.evacuation.ZoneStatus;
 import cinderhollow.handover.Snapshot;
-import cinderhollow.ledger.Figures;
+import cinderhollow.ledger.LedgerMetrics;
 import cinderhollow.ops.Standing;
 import io.netty.channel.EventLoop;
 import io.netty.channel.EventLoopGroup;
@@ -96,8 +96,8 @@
     }
 
     @Override
-    public CompletableFuture<List<Figures>> ledgerMetrics() {
-        List<CompletableFuture<List<Figures>>> each = gateways.stream().map(Gateway::ledgerMetrics).toList();
+    public CompletableFuture<List<LedgerMetrics>> ledgerMetrics() {
+        List<CompletableFuture<List<LedgerMetrics>>> each = gateways.stream().map(Gateway::ledgerMetrics).toList();
         return allOf(each).thenApply(none -> each.stream().flatMap(figures -> figures.join().stream()).toList());
     }
 
--- a/src/main/java/cinderhollow/ledger/Ledger.java
+++ b/src/main/java/cinderhollow/ledger/Ledger.java
@@ -66,22 +66,22 @@
      * @param earlier totals of earlier runs of the process
      * @param lost number of journal entries that never reached the disk
      */
-    public Figures figures(OpenNow open, List<Life> earlier, long lost) {
-        List<Figures.Line> lines = new ArrayList<>();
-        List<Figures.Times> taken = new ArrayList<>();
+    public LedgerMetrics figures(OpenNow open, List<Life> earlier, long lost) {
+        List<LedgerMetrics.Line> lines = new ArrayList<>();
+        List<LedgerMetrics.Times> taken = new ArrayList<>();
         for (int account = 0; account < accounts.size(); account++) {
             for (Place place : Place.values()) {
                 Sheet sheet = sheet(place);
                 if (sheet.opened(account) != 0 || sheet.ended(account) != 0) {
-                    lines.add(new Figures.Line(accounts.get(account), place, sheet.opened(account),
+                    lines.add(new LedgerMetrics.Line(accounts.get(account), place, sheet.opened(account),
                             sheet.ends(account), open.at(place, account)));
                 }
             }
             if (times[account] != null) {
-                taken.add(new Figures.Times(accounts.get(account), times[account].copy()));
+                taken.add(new LedgerMetrics.Times(accounts.get(account), times[account].copy()));
             }
         }
-        return new Figures(lines, taken, breaches, earlier, lost);
+        return new LedgerMetrics(lines, taken, breaches, earlier, lost);
     }
 
     /** Returns the number of breaches found and not acknowledged. */
--- a/src/main/java/cinderhollow/ledger/Figures.java
+++ b/src/main/java/cinderhollow/ledger/LedgerMetrics.java
@@ -12,7 +12,7 @@
  * @param earlier totals of earlier runs of the process, by account
  * @param lost number of journal entries that never reached the disk
  */
-public record Figures(List<Line> lines, List<Times> times, long breaches, List<Life> earlier, long lost) {
+public record LedgerMetrics(List<Line> lines, List<Times> times, long breaches, List<Life> earlier, long lost) {
     /**
      * Counts of one account at one place.
      *
@@ -32,7 +32,7 @@
     public record Times(String account, Histogram micros) { }
 
     /** Copies the lists. */
-    public Figures {
+    public LedgerMetrics {
         lines = List.copyOf(lines);
         times = List.copyOf(times);
         earlier = List.copyOf(earlier);
--- a/src/main/java/cinderhollow/ledger/OpenMetrics.java
+++ b/src/main/java/cinderhollow/ledger/OpenMetrics.java
@@ -17,9 +17,9 @@
     private static final Predicate<Place> OF_REQUESTS = place -> place == Place.CLIENTS || place == Place.CORE;
 
     private final StringBuilder text = new StringBuilder();
-    private final List<Figures> loops;
+    private final List<LedgerMetrics> loops;
 
-    private OpenMetrics(List<Figures> loops) {
+    private OpenMetrics(List<LedgerMetrics> loops) {
         this.loops = loops;
     }
 
@@ -29,7 +29,7 @@
      * @param loops metrics of each event loop; the index in the list is the value of the label {@code loop}
      * @param epoch identifies this run of the process, as the label {@code epoch} of {@code cinderhollow_ledger_info}
      */
-    public static String write(List<Figures> loops, String epoch) {
+    public static String write(List<LedgerMetrics> loops, String epoch) {
         OpenMetrics writing = new OpenMetrics(loops);
         writing.family("cinderhollow_ledger", "info", "This life of the process.");
         writing.sample("cinderhollow_ledger_info", "epoch", epoch, "1");
@@ -53,10 +53,10 @@
     private void things(String things, String opened, String words, Predicate<Place> places) {
         String name = "cinderhollow_" + things;
         family(name + "_" + opened, "counter", words + " " + opened + ", as counted at a place.");
-        each(places, name + "_" + opened + "_total", Figures.Line::opened);
+        each(places, name + "_" + opened + "_total", LedgerMetrics.Line::opened);
         family(name + "_ended", "counter", words + " by how they ended, as counted at a place.");
         for (int loop = 0; loop < loops.size(); loop++) {
-            for (Figures.Line line : loops.get(loop).lines()) {
+            for (LedgerMetrics.Line line : loops.get(loop).lines()) {
                 for (int end = 0; places.test(line.place()) && end < line.ended().size(); end++) {
                     sample(name + "_ended_total", "account", line.account(), "place", word(line.place()), "loop",
                             String.valueOf(loop), "end", line.place().ends().get(end),
@@ -65,12 +65,12 @@
             }
         }
         family(name + "_open", "gauge", words + " open, found by looking at a place.");
-        each(places, name + "_open", Figures.Line::open);
+        each(places, name + "_open", LedgerMetrics.Line::open);
     }
 
-    private void each(Predicate<Place> places, String name, ToLongFunction<Figures.Line> figure) {
+    private void each(Predicate<Place> places, String name, ToLongFunction<LedgerMetrics.Line> figure) {
         for (int loop = 0; loop < loops.size(); loop++) {
-            for (Figures.Line line : loops.get(loop).lines()) {
+            for (LedgerMetrics.Line line : loops.get(loop).lines()) {
                 if (places.test(line.place())) {
                     sample(name, "account", line.account(), "place", word(line.place()), "loop", String.valueOf(loop),
                             Long.toUnsignedString(figure.applyAsLong(line)));
@@ -113,7 +113,7 @@
         family(name, "histogram", "Time from a request's arrival to its end.");
         text.append("# UNIT ").append(name).append(" seconds\n");
         for (int loop = 0; loop < loops.size(); loop++) {
-            for (Figures.Times times : loops.get(loop).times()) {
+            for (LedgerMetrics.Times times : loops.get(loop).times()) {
                 Histogram micros = times.micros();
                 String number = String.valueOf(loop);
                 for (double bound : BOUNDS) {
--- a/src/test/java/cinderhollow/ledger/OpenMetricsTest.java
+++ b/src/test/java/cinderhollow/ledger/OpenMetricsTest.java
@@ -40,7 +40,7 @@
     }
 
     private static String text(Ledger... ledgers) {
-        List<Figures> figures = new ArrayList<>();
+        List<LedgerMetrics> figures = new ArrayList<>();
         for (Ledger ledger : ledgers) {
             figures.add(ledger.figures((place, account) -> 0, List.of(new Life("x", 9, List.of(1L, 2L, 3L, 1L), 2)), 4));
         }
