--- a/src/main/java/cinderhollow/daemon/Gateway.java
+++ b/src/main/java/cinderhollow/daemon/Gateway.java
@@ -25,7 +25,7 @@
 import cinderhollow.ledger.Breach;
 import cinderhollow.ledger.RequestEnd;
 import cinderhollow.ledger.LedgerMetrics;
-import cinderhollow.ledger.Frame;
+import cinderhollow.ledger.JournalFrame;
 import cinderhollow.ledger.Ledger;
 import cinderhollow.ledger.Place;
 import cinderhollow.ledger.Sheet;
@@ -613,9 +613,9 @@
         return ledger.check(countOpen());
     }
 
-    private void writeOpenRequests(Frame frame) {
+    private void writeOpenRequests(JournalFrame frame) {
         openRequests.values().stream().map(r -> r.entry).filter(entry -> entry.end == null)
-                .forEach(entry -> frame.held(entry.number, entry.account, entry.id));
+                .forEach(entry -> frame.writeOpenRequest(entry.number, entry.account, entry.id));
     }
 
     /**
--- a/src/main/java/cinderhollow/daemon/Journal.java
+++ b/src/main/java/cinderhollow/daemon/Journal.java
@@ -1,7 +1,7 @@
 package cinderhollow.daemon;
 
 import cinderhollow.ledger.RequestEnd;
-import cinderhollow.ledger.Frame;
+import cinderhollow.ledger.JournalFrame;
 import cinderhollow.ledger.Ledger;
 import cinderhollow.ledger.Life;
 import io.netty.channel.EventLoop;
@@ -68,7 +68,7 @@
     /** Source of the requests that are open on the loop, for a checkpoint frame. */
     interface OpenRequestSource {
         /** Writes each open request to the frame. */
-        void writeTo(Frame frame);
+        void writeTo(JournalFrame frame);
     }
 
     /** Frames in each queue, usual size of a frame, and size from which a frame is not reused, in bytes. */
@@ -89,14 +89,14 @@
     private final List<Life> earlierTotals;
     private final long epochMillis = System.currentTimeMillis();
     private final long epochNumber = System.nanoTime();
-    private final SpscArrayQueue<Frame> filledFrames = new SpscArrayQueue<>(MAX_QUEUED_FRAMES);
-    private final SpscArrayQueue<Frame> freeFrames = new SpscArrayQueue<>(MAX_QUEUED_FRAMES);
+    private final SpscArrayQueue<JournalFrame> filledFrames = new SpscArrayQueue<>(MAX_QUEUED_FRAMES);
+    private final SpscArrayQueue<JournalFrame> freeFrames = new SpscArrayQueue<>(MAX_QUEUED_FRAMES);
     private final CompletableFuture<Void> writerDone = new CompletableFuture<>();
     private final Thread writerThread;
     private final FileChannel lock;
 
     // Used only by the event loop.
-    private Frame currentFrame = new Frame(FRAME_CAPACITY_BYTES);
+    private JournalFrame currentFrame = new JournalFrame(FRAME_CAPACITY_BYTES);
     private boolean flushScheduled;
     /** Entries were lost: a checkpoint must be written before any further entry makes sense. */
     private boolean checkpointRequired = true;
@@ -200,7 +200,7 @@
             lostOnLoop++;
             return;
         }
-        currentFrame.opened(request, account, id);
+        currentFrame.writeOpened(request, account, id);
         scheduleWrite();
     }
 
@@ -210,7 +210,7 @@
             lostOnLoop++;
             return;
         }
-        currentFrame.ended(request, end);
+        currentFrame.writeEnded(request, end);
         scheduleWrite();
     }
 
@@ -233,10 +233,10 @@
             return;
         }
         if (filledFrames.offer(currentFrame)) {
-            Frame nextFrame = freeFrames.poll();
-            currentFrame = nextFrame == null ? new Frame(FRAME_CAPACITY_BYTES) : nextFrame;
+            JournalFrame nextFrame = freeFrames.poll();
+            currentFrame = nextFrame == null ? new JournalFrame(FRAME_CAPACITY_BYTES) : nextFrame;
         } else {
-            lostOnLoop += currentFrame.entries();
+            lostOnLoop += currentFrame.entryCount();
             currentFrame.clear();
             checkpointRequired = true;
         }
@@ -253,9 +253,9 @@
             if (filledFrames.size() < MAX_QUEUED_FRAMES / 2) {
                 writerNeedsCheckpoint = false;
                 checkpointRequired = false;
-                currentFrame.reset(ledger, earlierTotals);
+                currentFrame.writeCheckpoint(ledger, earlierTotals);
                 if (lostEntries() > 0) {
-                    currentFrame.lost(lostEntries());
+                    currentFrame.writeLostEntries(lostEntries());
                 }
                 openRequests.writeTo(currentFrame);
                 enqueueCurrentFrame();
@@ -268,7 +268,7 @@
     /** Closes the journal; the future completes once everything is on disk. Called on the event loop. */
     CompletableFuture<Void> shutDown() {
         if (!checkpointRequired) {
-            currentFrame.closed();
+            currentFrame.writeCleanEnd();
             enqueueCurrentFrame();
         }
         closing = true;
@@ -280,7 +280,7 @@
         try {
             while (true) {
                 boolean lastPass = closing;
-                Frame frame = filledFrames.poll();
+                JournalFrame frame = filledFrames.poll();
                 if (frame != null) {
                     writeFrame(frame);
                     if (frame.bytes().length < MAX_REUSED_FRAME_BYTES) {
@@ -304,10 +304,10 @@
         }
     }
 
-    private void writeFrame(Frame frame) {
+    private void writeFrame(JournalFrame frame) {
         boolean startsSegment = frame.isCheckpoint() && (output == null || segmentBytes >= config.maxSegmentBytes());
         if (output == null && (!startsSegment || System.nanoTime() < retryAtNanos)) {
-            lostInWriter += frame.entries();
+            lostInWriter += frame.entryCount();
             // Not immediately: a failing disk is tried again once a second.
             writerNeedsCheckpoint = System.nanoTime() >= retryAtNanos;
             return;
@@ -331,7 +331,7 @@
                 log.accept("ledger's journal: writing again");
             }
         } catch (IOException e) {
-            lostInWriter += frame.entries();
+            lostInWriter += frame.entryCount();
             handleWriteFailure(e);
         }
     }
@@ -340,15 +340,15 @@
         Path file = JournalFiles.segmentPath(config.directory(), config.loopNumber(), epochMillis, nextSegmentNumber);
         closeOutput();
         output = outputFactory.create(file);
-        Frame header = new Frame(FRAME_CAPACITY_BYTES);
-        header.header(epochMillis, epochNumber, nextSegmentNumber);
+        JournalFrame header = new JournalFrame(FRAME_CAPACITY_BYTES);
+        header.writeHeader(epochMillis, epochNumber, nextSegmentNumber);
         nextSegmentNumber++;
         segmentBytes = 0;
         appendFrame(header);
         segments.add(file);
     }
 
-    private void appendFrame(Frame frame) throws IOException {
+    private void appendFrame(JournalFrame frame) throws IOException {
         ByteBuffer frameHeader = ByteBuffer.allocate(JournalFiles.FRAME_HEADER_BYTES);
         JournalFiles.writeFrameHeader(frame.bytes(), frame.length(), frameHeader);
         output.write(frameHeader);
--- a/src/main/java/cinderhollow/ledger/Frame.java
+++ b/src/main/java/cinderhollow/ledger/JournalFrame.java
@@ -9,7 +9,7 @@
  * to the journal as one unit. An entry is a type byte followed by integers, encoded as unsigned LEB128 (7 value bits per
  * byte), and texts, encoded as a length in bytes and UTF-8.
  */
-public final class Frame {
+public final class JournalFrame {
     static final int VERSION = 1;
     static final String MAGIC = "kestrelpier ledger";
     static final byte HEADER = 1, RESET = 2, ACCOUNT = 3, SUM = 4, EARLIER = 5, HELD = 6, OPENED = 7, ENDED = 8, LOST = 9,
@@ -18,11 +18,11 @@
 
     private byte[] bytes;
     private int length;
-    private int entries;
+    private int entryCount;
     private boolean checkpoint;
 
     /** Creates an empty frame with this initial capacity in bytes; it grows as needed. */
-    public Frame(int room) {
+    public JournalFrame(int room) {
         bytes = new byte[room];
     }
 
@@ -37,8 +37,8 @@
     }
 
     /** Returns the number of OPENED and ENDED entries in the frame. */
-    public int entries() {
-        return entries;
+    public int entryCount() {
+        return entryCount;
     }
 
     /** Returns whether the frame contains a checkpoint, so that recovery needs nothing that was written before it. */
@@ -49,12 +49,12 @@
     /** Removes all entries, so that the frame can be reused. */
     public void clear() {
         length = 0;
-        entries = 0;
+        entryCount = 0;
         checkpoint = false;
     }
 
     /** Writes the header of a segment file: which run of the process writes it, and the segment's number within that run. */
-    public void header(long epochMillis, long epochNumber, long file) {
+    public void writeHeader(long epochMillis, long epochNumber, long file) {
         kind(HEADER);
         text(MAGIC);
         number(VERSION);
@@ -64,38 +64,38 @@
     }
 
     /** Writes that a request has begun. Its number is unique within this run of the process and this event loop. */
-    public void opened(long request, int account, String id) {
+    public void writeOpened(long request, int account, String id) {
         kind(OPENED);
         number(request);
         number(account);
         text(id);
-        entries++;
+        entryCount++;
     }
 
     /** Writes that a request has ended. */
-    public void ended(long request, RequestEnd end) {
+    public void writeEnded(long request, RequestEnd end) {
         kind(ENDED);
         number(request);
         number(end.ordinal());
-        entries++;
+        entryCount++;
     }
 
     /** Writes how many entries were lost because the disk was too slow or writing failed. */
-    public void lost(long count) {
+    public void writeLostEntries(long count) {
         kind(LOST);
         number(count);
     }
 
     /** Writes that the process ends normally. */
-    public void closed() {
+    public void writeCleanEnd() {
         kind(CLOSED);
     }
 
     /**
      * Begins a checkpoint: writes the totals of this run and of earlier runs. The caller must then add each open request with
-     * {@link #held}.
+     * {@link #writeOpenRequest}.
      */
-    public void reset(Ledger ledger, List<Life> earlier) {
+    public void writeCheckpoint(Ledger ledger, List<Life> earlier) {
         checkpoint = true;
         kind(RESET);
         Sheet sheet = ledger.sheet(Place.CORE);
@@ -120,7 +120,7 @@
     }
 
     /** Writes a request that is open at the checkpoint. */
-    public void held(long request, int account, String id) {
+    public void writeOpenRequest(long request, int account, String id) {
         kind(HELD);
         number(request);
         number(account);
--- a/src/main/java/cinderhollow/ledger/Recovery.java
+++ b/src/main/java/cinderhollow/ledger/Recovery.java
@@ -50,8 +50,8 @@
 
     private void entry(byte kind) {
         switch (kind) {
-            case Frame.HEADER -> header();
-            case Frame.RESET -> {
+            case JournalFrame.HEADER -> header();
+            case JournalFrame.RESET -> {
                 told = true;
                 open.clear();
                 accounts.clear();
@@ -59,18 +59,18 @@
                 earlier.clear();
                 lost = 0;
             }
-            case Frame.ACCOUNT -> {
+            case JournalFrame.ACCOUNT -> {
                 int number = account(MOST_ACCOUNTS);
                 accounts.put(number, text());
                 sums.put(number, new long[1 + ENDS]);
             }
-            case Frame.SUM -> {
+            case JournalFrame.SUM -> {
                 long[] sum = sum(account(MOST_ACCOUNTS));
                 for (int i = 0; i < sum.length; i++) {
                     sum[i] = number();
                 }
             }
-            case Frame.EARLIER -> {
+            case JournalFrame.EARLIER -> {
                 String name = text();
                 long taken = number();
                 List<Long> ended = new ArrayList<>();
@@ -79,24 +79,24 @@
                 }
                 earlier.put(name, new Life(name, taken, ended, number()));
             }
-            case Frame.HELD -> begin(false);
-            case Frame.OPENED -> begin(true);
-            case Frame.ENDED -> {
+            case JournalFrame.HELD -> begin(false);
+            case JournalFrame.OPENED -> begin(true);
+            case JournalFrame.ENDED -> {
                 Open over = open.remove(number());
                 long how = number();
                 require(over != null && how >= 0 && how < ENDS, "journal entry ends an unknown request or has an unknown end");
                 sum(over.account)[1 + (int) how]++;
             }
-            case Frame.LOST -> lost += number();
-            case Frame.CLOSED -> closed = true;
+            case JournalFrame.LOST -> lost += number();
+            case JournalFrame.CLOSED -> closed = true;
             default -> throw new IllegalArgumentException("unknown journal entry type " + kind);
         }
     }
 
     private void header() {
-        require(text().equals(Frame.MAGIC), "not a ledger journal");
+        require(text().equals(JournalFrame.MAGIC), "not a ledger journal");
         long version = number();
-        require(version == Frame.VERSION, "unsupported journal version " + version + ", expected " + Frame.VERSION);
+        require(version == JournalFrame.VERSION, "unsupported journal version " + version + ", expected " + JournalFrame.VERSION);
         epochMillis = number();
         epochNumber = number();
         file = number();
--- a/src/test/java/cinderhollow/bench/LedgerBenchmark.java
+++ b/src/test/java/cinderhollow/bench/LedgerBenchmark.java
@@ -1,7 +1,7 @@
 package cinderhollow.bench;
 
 import cinderhollow.ledger.RequestEnd;
-import cinderhollow.ledger.Frame;
+import cinderhollow.ledger.JournalFrame;
 import cinderhollow.ledger.Ledger;
 import cinderhollow.ledger.Place;
 import cinderhollow.policy.Protocol.Outcome;
@@ -29,7 +29,7 @@
     private static final int ROOM = 1 << 15;
 
     private final Ledger ledger = new Ledger(List.of("class status", "class submit"));
-    private final Frame frame = new Frame(2 * ROOM);
+    private final JournalFrame frame = new JournalFrame(2 * ROOM);
     private long request;
 
     /** Updates the counters, the ring and the histogram for one request. */
@@ -52,8 +52,8 @@
     @Benchmark
     public int journalled() {
         request++;
-        frame.opened(request, 1, ID);
-        frame.ended(request, RequestEnd.SERVED);
+        frame.writeOpened(request, 1, ID);
+        frame.writeEnded(request, RequestEnd.SERVED);
         if (frame.length() >= ROOM) {
             frame.clear();
         }
--- a/src/test/java/cinderhollow/daemon/JournalMeasurement.java
+++ b/src/test/java/cinderhollow/daemon/JournalMeasurement.java
@@ -1,7 +1,7 @@
 package cinderhollow.daemon;
 
 import cinderhollow.ledger.RequestEnd;
-import cinderhollow.ledger.Frame;
+import cinderhollow.ledger.JournalFrame;
 import cinderhollow.ledger.Ledger;
 import cinderhollow.ledger.Recovery;
 import java.io.IOException;
@@ -40,17 +40,17 @@
 
     private static void write(Path file, long bytes, int open) throws IOException {
         ByteBuffer head = ByteBuffer.allocate(JournalFiles.FRAME_HEADER_BYTES);
-        Frame frame = new Frame(FRAME);
+        JournalFrame frame = new JournalFrame(FRAME);
         try (Journal.Output out = Journal.FILE_OUTPUTS.create(file)) {
-            frame.header(1, 1, 0);
-            frame.reset(new Ledger(List.of("class status", "class submit")), List.of());
+            frame.writeHeader(1, 1, 0);
+            frame.writeCheckpoint(new Ledger(List.of("class status", "class submit")), List.of());
             long request = 0;
             for (long written = 0; written < bytes;) {
                 while (frame.length() < FRAME) {
                     request++;
-                    frame.opened(request, (int) (request % 2), "0f8fad5b-d9cb-469f-a165-" + request);
+                    frame.writeOpened(request, (int) (request % 2), "0f8fad5b-d9cb-469f-a165-" + request);
                     if (request > open) {
-                        frame.ended(request - open, RequestEnd.SERVED);
+                        frame.writeEnded(request - open, RequestEnd.SERVED);
                     }
                 }
                 JournalFiles.writeFrameHeader(frame.bytes(), frame.length(), head);
--- a/src/test/java/cinderhollow/daemon/JournalTest.java
+++ b/src/test/java/cinderhollow/daemon/JournalTest.java
@@ -6,7 +6,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import cinderhollow.ledger.RequestEnd;
-import cinderhollow.ledger.Frame;
+import cinderhollow.ledger.JournalFrame;
 import cinderhollow.ledger.Ledger;
 import cinderhollow.ledger.Place;
 import cinderhollow.ledger.Recovery;
@@ -58,8 +58,8 @@
                 this::tellOpen, log::add)).get();
     }
 
-    private void tellOpen(Frame frame) {
-        open.forEach((request, id) -> frame.held(request, 1, id));
+    private void tellOpen(JournalFrame frame) {
+        open.forEach((request, id) -> frame.writeOpenRequest(request, 1, id));
     }
 
     /** Records on the event loop that {@code openCount} requests begin and {@code endCount} of the open ones end. */
--- a/src/test/java/cinderhollow/ledger/RecoveryTest.java
+++ b/src/test/java/cinderhollow/ledger/RecoveryTest.java
@@ -23,40 +23,40 @@
     private final Map<Long, Integer> accounts = new LinkedHashMap<>();
     private long number;
 
-    private static Frame header(long epoch, long file) {
-        Frame frame = new Frame(8);
-        frame.header(epoch, 77, file);
+    private static JournalFrame header(long epoch, long file) {
+        JournalFrame frame = new JournalFrame(8);
+        frame.writeHeader(epoch, 77, file);
         return frame;
     }
 
     /** Begins and ends random requests, both in the ledger and in the frame. */
-    private void play(SplittableRandom random, Frame frame, int steps) {
+    private void play(SplittableRandom random, JournalFrame frame, int steps) {
         for (int i = 0; i < steps; i++) {
             if (open.isEmpty() || random.nextInt(5) < 3) {
                 int account = random.nextInt(ACCOUNTS.size());
                 String id = "id-" + ++number;
                 ledger.sheet(Place.CORE).open(account, id);
-                frame.opened(number, account, id);
+                frame.writeOpened(number, account, id);
                 open.put(number, id);
                 accounts.put(number, account);
             } else {
                 long over = List.copyOf(open.keySet()).get(random.nextInt(open.size()));
                 RequestEnd end = RequestEnd.values()[random.nextInt(RequestEnd.values().length)];
                 ledger.sheet(Place.CORE).end(accounts.get(over), end, open.get(over));
-                frame.ended(over, end);
+                frame.writeEnded(over, end);
                 open.remove(over);
             }
         }
     }
 
-    private Frame all(List<Life> earlier) {
-        Frame frame = new Frame(8);
-        frame.reset(ledger, earlier);
-        open.forEach((request, id) -> frame.held(request, accounts.get(request), id));
+    private JournalFrame all(List<Life> earlier) {
+        JournalFrame frame = new JournalFrame(8);
+        frame.writeCheckpoint(ledger, earlier);
+        open.forEach((request, id) -> frame.writeOpenRequest(request, accounts.get(request), id));
         return frame;
     }
 
-    private static void read(Recovery recovery, Frame frame) {
+    private static void read(Recovery recovery, JournalFrame frame) {
         recovery.read(frame.bytes(), frame.length());
     }
 
@@ -77,7 +77,7 @@
         read(recovery, header(1, 0));
         read(recovery, all(earlier));
         for (int round = 0; round < 200; round++) {
-            Frame frame = new Frame(8);
+            JournalFrame frame = new JournalFrame(8);
             play(random, frame, random.nextInt(40));
             read(recovery, frame);
             if (random.nextInt(20) == 0) {
@@ -104,7 +104,7 @@
             Recovery recovery = new Recovery();
             read(recovery, header(life, 0));
             read(recovery, one.all(earlier));
-            Frame frame = new Frame(8);
+            JournalFrame frame = new JournalFrame(8);
             one.play(new SplittableRandom(life), frame, 300);
             read(recovery, frame);
             taken += one.number;
@@ -120,22 +120,22 @@
     @Test
     void whatCannotBeIsSaid() {
         Recovery recovery = new Recovery();
-        Frame other = new Frame(8);
-        other.closed();
+        JournalFrame other = new JournalFrame(8);
+        other.writeCleanEnd();
         other.bytes()[0] = 99;
         assertThrows(IllegalArgumentException.class, () -> read(recovery, other));
-        Frame end = new Frame(8);
-        end.ended(4, RequestEnd.SERVED);
+        JournalFrame end = new JournalFrame(8);
+        end.writeEnded(4, RequestEnd.SERVED);
         assertThrows(IllegalArgumentException.class, () -> read(recovery, end));
-        Frame unknown = new Frame(8);
-        unknown.opened(1, 2, "x");
+        JournalFrame unknown = new JournalFrame(8);
+        unknown.writeOpened(1, 2, "x");
         assertThrows(IllegalArgumentException.class, () -> read(recovery, unknown));
-        Frame twice = all(List.of());
-        twice.opened(1, 0, "x");
-        twice.opened(1, 0, "x");
+        JournalFrame twice = all(List.of());
+        twice.writeOpened(1, 0, "x");
+        twice.writeOpened(1, 0, "x");
         assertThrows(IllegalArgumentException.class, () -> read(recovery, twice));
-        Frame version = header(1, 0);
-        int at = 2 + Frame.MAGIC.length();
+        JournalFrame version = header(1, 0);
+        int at = 2 + JournalFrame.MAGIC.length();
         version.bytes()[at] = 2;
         assertTrue(assertThrows(IllegalArgumentException.class, () -> read(recovery, version)).getMessage()
                 .contains("version 2"));
@@ -146,7 +146,7 @@
     @ValueSource(longs = {11, 12, 13})
     void noiseIsNeverAnotherFault(long seed) {
         SplittableRandom random = new SplittableRandom(seed);
-        Frame whole = all(List.of(new Life("class gone", 5, List.of(1L, 1L, 1L, 1L), 1)));
+        JournalFrame whole = all(List.of(new Life("class gone", 5, List.of(1L, 1L, 1L, 1L), 1)));
         play(random, whole, 200);
         int refused = 0;
         for (int i = 0; i < 20_000; i++) {
@@ -167,9 +167,9 @@
     void lostEntriesAndAGoodEndAreTold() {
         Recovery recovery = new Recovery();
         read(recovery, header(3, 9));
-        Frame frame = all(List.of());
-        frame.lost(12);
-        frame.closed();
+        JournalFrame frame = all(List.of());
+        frame.writeLostEntries(12);
+        frame.writeCleanEnd();
         read(recovery, frame);
         assertEquals(12, recovery.lost());
         assertEquals(9, recovery.file());
