--- a/src/main/java/cinderhollow/daemon/Gateway.java
+++ b/src/main/java/cinderhollow/daemon/Gateway.java
@@ -201,21 +201,21 @@
         countersByClass = config.opsAddress() == null ? null : new HashMap<>();
         ledger = config.ledger() == null ? null
                 : new Ledger(config.routes().stream().map(Object::toString).toList());
-        requestCounts = ledger == null ? null : ledger.sheet(Place.CORE);
-        attemptCounts = ledger == null ? null : ledger.sheet(Place.ATTEMPTS);
+        requestCounts = ledger == null ? null : ledger.counters(Place.CORE);
+        attemptCounts = ledger == null ? null : ledger.counters(Place.ATTEMPTS);
         journal = ledger == null || config.ledger().directory() == null ? null
                 : Journal.open(loop, config.ledger(), Journal.FILE_OUTPUTS, ledger, this::writeOpenRequests, log);
         int reservedDescriptors = RESERVED_DESCRIPTORS + (config.opsAddress() == null ? 0 : OPS_SOCKET_DESCRIPTORS);
         int connections = Math.max(2, config.maxDescriptors() - reservedDescriptors);
         upstreamPool = new UpstreamPool(loop, transport, clock, config.dialTimeoutNanos(), config.idleTimeoutNanos(), connections / 2,
-                ledger == null ? null : ledger.sheet(Place.NODES), ledger == null ? 0 : ledger.accounts().size());
+                ledger == null ? null : ledger.counters(Place.NODES), ledger == null ? 0 : ledger.accounts().size());
         discovery = config.discoveryAddress() == null ? null : new Discovery(loop, transport, config.discoveryAddress(),
                 config.knownEndpoints().index(), Discovery.SILENCE_TIMEOUT_MILLIS,
                 // The larger limit only with an operator's file: an endless line is detected by its length alone.
                 config.routes() == null ? Discovery.MAX_LIST_BYTES : Discovery.MAX_LARGE_FLEET_LIST_BYTES, new DiscoveryListener(), log);
         discoveryResolved = discovery == null && (config.eventLoops() == null || !config.eventLoops().follower());
         downstream = new DownstreamConnectionManager(loop, transport, clock, lag, connections / 2, new RequestListener(),
-                ledger == null ? null : ledger.sheet(Place.CLIENTS));
+                ledger == null ? null : ledger.counters(Place.CLIENTS));
         policy = new LoadBalancer(config.settings(), config.seed(), this);
         evacuation = config.peering() == null ? null : new PeerTransport(loop, config.peering(), config.settings().rules(), clock,
                 config.seed(), this::dispatch, clientsMayCome -> zoneAvailable = clientsMayCome, log);
@@ -252,7 +252,7 @@
             loop.scheduleAtFixedRate(this::checkLedger, 1, 1, TimeUnit.SECONDS);
             long logIntervalNanos = config.ledger().logIntervalNanos();
             if (logIntervalNanos > 0) {
-                loop.scheduleAtFixedRate(() -> ledger.sums(countOpen()).forEach(log), logIntervalNanos, logIntervalNanos, TimeUnit.NANOSECONDS);
+                loop.scheduleAtFixedRate(() -> ledger.formatTotals(countOpen()).forEach(log), logIntervalNanos, logIntervalNanos, TimeUnit.NANOSECONDS);
             }
         }
         EndpointList cachedList = startTimes.convertCached(config.knownEndpoints(), clock.nanos());
@@ -562,7 +562,7 @@
             }
             if (ledger != null) {
                 checkLedger();
-                ledger.sums(countOpen()).forEach(log);
+                ledger.formatTotals(countOpen()).forEach(log);
             }
             if (journal == null) {
                 shutdownDone.complete(null);
@@ -580,7 +580,7 @@
 
     @Override
     public CompletableFuture<List<LedgerMetrics>> ledgerMetrics() {
-        return CompletableFuture.supplyAsync(() -> ledger == null ? List.of() : List.of(ledger.figures(countOpen(),
+        return CompletableFuture.supplyAsync(() -> ledger == null ? List.of() : List.of(ledger.collectMetrics(countOpen(),
                 journal == null ? List.of() : journal.earlierTotals(), journal == null ? 0 : journal.lostEntries())), loop);
     }
 
@@ -610,7 +610,7 @@
 
     /** Checks the ledger and returns the breaches not seen before. Runs on the loop's thread, as a task of its own. */
     List<Breach> findNewBreaches() {
-        return ledger.check(countOpen());
+        return ledger.findNewBreaches(countOpen());
     }
 
     private void writeOpenRequests(JournalFrame frame) {
@@ -621,7 +621,7 @@
     /**
      * Counts what is open at each place of the ledger from what that place holds, in one pass for any number of accounts.
      */
-    private Ledger.OpenNow countOpen() {
+    private Ledger.OpenCounter countOpen() {
         int accounts = ledger.accounts().size();
         long[] waiting = downstream.openRequestsByAccount(accounts);
         long[] requests = new long[accounts];
@@ -889,7 +889,7 @@
                 if (journal != null) {
                     journal.recordEnded(number, newEnd);
                 }
-                ledger.took(account, clock.nanos() - openedAtNanos);
+                ledger.recordLatency(account, clock.nanos() - openedAtNanos);
             }
         }
     }
--- a/src/main/java/cinderhollow/ledger/JournalFrame.java
+++ b/src/main/java/cinderhollow/ledger/JournalFrame.java
@@ -98,7 +98,7 @@
     public void writeCheckpoint(Ledger ledger, List<Life> earlier) {
         checkpoint = true;
         kind(RESET);
-        Sheet sheet = ledger.sheet(Place.CORE);
+        Sheet sheet = ledger.counters(Place.CORE);
         for (int account = 0; account < ledger.accounts().size(); account++) {
             kind(ACCOUNT);
             number(account);
--- a/src/main/java/cinderhollow/ledger/Ledger.java
+++ b/src/main/java/cinderhollow/ledger/Ledger.java
@@ -11,7 +11,7 @@
 /**
  * Double-entry accounting of one event loop: the same requests are counted at the clients' side and at the core, and the same
  * attempts at the core and at the servers' side. Each place has its own {@link Sheet}. The number of requests or attempts open
- * at a place is found independently of these counters, by an {@link OpenNow}, and {@link #check} compares them all. Call it
+ * at a place is found independently of these counters, by an {@link OpenCounter}, and {@link #findNewBreaches} compares them all. Call it
  * between events, when no event is half processed. Used by one thread only.
  */
 public final class Ledger {
@@ -29,7 +29,7 @@
     private final Histogram[] times;
     /** Keys of the sums that the last check found broken. Each is reported once, until it holds again or its error changes. */
     private Set<String> known = new HashSet<>();
-    private long breaches;
+    private long breachCount;
 
     /** Creates an empty ledger. An account is identified by its index in this list of names. */
     public Ledger(List<String> accounts) {
@@ -47,12 +47,12 @@
     }
 
     /** Returns the counters of a place, which only that place may update. */
-    public Sheet sheet(Place place) {
+    public Sheet counters(Place place) {
         return sheets[place.ordinal()];
     }
 
     /** Records the time from arrival to end of a request of this account, in nanoseconds. */
-    public void took(int account, long nanos) {
+    public void recordLatency(int account, long nanos) {
         if (times[account] == null) {
             times[account] = new Histogram(LONGEST_MICROS, accounts.size() > FINE_ACCOUNTS ? 1 : 2);
         }
@@ -66,12 +66,12 @@
      * @param earlier totals of earlier runs of the process
      * @param lost number of journal entries that never reached the disk
      */
-    public LedgerMetrics figures(OpenNow open, List<Life> earlier, long lost) {
+    public LedgerMetrics collectMetrics(OpenCounter open, List<Life> earlier, long lost) {
         List<LedgerMetrics.Line> lines = new ArrayList<>();
         List<LedgerMetrics.Times> taken = new ArrayList<>();
         for (int account = 0; account < accounts.size(); account++) {
             for (Place place : Place.values()) {
-                Sheet sheet = sheet(place);
+                Sheet sheet = counters(place);
                 if (sheet.opened(account) != 0 || sheet.ended(account) != 0) {
                     lines.add(new LedgerMetrics.Line(accounts.get(account), place, sheet.opened(account),
                             sheet.ends(account), open.at(place, account)));
@@ -81,17 +81,17 @@
                 taken.add(new LedgerMetrics.Times(accounts.get(account), times[account].copy()));
             }
         }
-        return new LedgerMetrics(lines, taken, breaches, earlier, lost);
+        return new LedgerMetrics(lines, taken, breachCount, earlier, lost);
     }
 
     /** Returns the number of breaches found and not acknowledged. */
-    public long breaches() {
-        return breaches;
+    public long breachCount() {
+        return breachCount;
     }
 
     /** Acknowledges all breaches found so far. A sum that is still broken by the same amount is not reported again. */
     public void acknowledge() {
-        breaches = 0;
+        breachCount = 0;
     }
 
     /**
@@ -99,12 +99,12 @@
      *
      * @param open counts what is open now at a place, independently of the counters of this ledger
      */
-    public List<Breach> check(OpenNow open) {
+    public List<Breach> findNewBreaches(OpenCounter open) {
         List<Breach> found = new ArrayList<>();
         Set<String> broken = new HashSet<>();
         for (int account = 0; account < accounts.size(); account++) {
             for (Place place : Place.values()) {
-                Sheet sheet = sheet(place);
+                Sheet sheet = counters(place);
                 long opened = sheet.opened(account);
                 long sum = sheet.ended(account) + open.at(place, account);
                 if (opened != sum) {
@@ -116,15 +116,15 @@
             compare(account, Place.ATTEMPTS, Place.NODES, found, broken);
         }
         known = broken;
-        breaches += found.size();
+        breachCount += found.size();
         return found;
     }
 
     /** Returns a line for the log with the totals of each account that has had a request. */
-    public List<String> sums(OpenNow open) {
+    public List<String> formatTotals(OpenCounter open) {
         List<String> text = new ArrayList<>();
         for (int account = 0; account < accounts.size(); account++) {
-            Sheet sheet = sheet(Place.CORE);
+            Sheet sheet = counters(Place.CORE);
             if (sheet.opened(account) != 0) {
                 StringBuilder line = new StringBuilder("ledger, " + accounts.get(account) + ": taken " + sheet.opened(account) + " =");
                 for (RequestEnd end : RequestEnd.values()) {
@@ -147,8 +147,8 @@
 
     private void compare(int account, String what, Place one, Place other, ToLongFunction<Sheet> figure,
                          List<Breach> found, Set<String> broken) {
-        long here = figure.applyAsLong(sheet(one));
-        long there = figure.applyAsLong(sheet(other));
+        long here = figure.applyAsLong(counters(one));
+        long there = figure.applyAsLong(counters(other));
         if (here != there) {
             note(account, what + ": " + here + " " + one + ", " + there + " " + other,
                     what + " " + one + " " + (here - there), found, broken);
@@ -166,7 +166,7 @@
 
     /** Counts what is open at a place now. */
     @FunctionalInterface
-    public interface OpenNow {
+    public interface OpenCounter {
         /** Returns the number of requests or attempts of this account that are open at this place. */
         long at(Place place, int account);
     }
--- a/src/test/java/cinderhollow/bench/LedgerBenchmark.java
+++ b/src/test/java/cinderhollow/bench/LedgerBenchmark.java
@@ -36,16 +36,16 @@
     @Benchmark
     public long counted() {
         int account = (int) (++request % 2);
-        ledger.sheet(Place.CORE).open(account, ID);
-        ledger.sheet(Place.ATTEMPTS).open(account, ID);
-        ledger.sheet(Place.NODES).open(account, ID);
-        ledger.sheet(Place.CLIENTS).open(account, ID);
-        ledger.sheet(Place.NODES).end(account, Outcome.SERVED, ID);
-        ledger.sheet(Place.ATTEMPTS).end(account, Outcome.SERVED, ID);
-        ledger.sheet(Place.CORE).end(account, RequestEnd.SERVED, ID);
-        ledger.sheet(Place.CLIENTS).end(account, RequestEnd.SERVED, ID);
-        ledger.took(account, 1_000_000 + request % 1_000 * 1_000);
-        return ledger.sheet(Place.CORE).opened(account);
+        ledger.counters(Place.CORE).open(account, ID);
+        ledger.counters(Place.ATTEMPTS).open(account, ID);
+        ledger.counters(Place.NODES).open(account, ID);
+        ledger.counters(Place.CLIENTS).open(account, ID);
+        ledger.counters(Place.NODES).end(account, Outcome.SERVED, ID);
+        ledger.counters(Place.ATTEMPTS).end(account, Outcome.SERVED, ID);
+        ledger.counters(Place.CORE).end(account, RequestEnd.SERVED, ID);
+        ledger.counters(Place.CLIENTS).end(account, RequestEnd.SERVED, ID);
+        ledger.recordLatency(account, 1_000_000 + request % 1_000 * 1_000);
+        return ledger.counters(Place.CORE).opened(account);
     }
 
     /** Writes the two journal entries of one request. */
--- a/src/test/java/cinderhollow/daemon/JournalTest.java
+++ b/src/test/java/cinderhollow/daemon/JournalTest.java
@@ -67,12 +67,12 @@
         loop.submit(() -> {
             for (int i = 0; i < begin; i++) {
                 String id = "id-" + ++number;
-                ledger.sheet(Place.CORE).open(1, id);
+                ledger.counters(Place.CORE).open(1, id);
                 open.put(number, id);
                 journal.recordOpened(number, 1, id);
             }
             for (long over : List.copyOf(open.keySet()).subList(0, end)) {
-                ledger.sheet(Place.CORE).end(1, RequestEnd.SERVED, open.remove(over));
+                ledger.counters(Place.CORE).end(1, RequestEnd.SERVED, open.remove(over));
                 journal.recordEnded(over, RequestEnd.SERVED);
             }
         }).sync();
--- a/src/test/java/cinderhollow/ledger/LedgerTest.java
+++ b/src/test/java/cinderhollow/ledger/LedgerTest.java
@@ -21,17 +21,17 @@
     private final long[][] open = new long[Place.values().length][ACCOUNTS];
 
     private void open(Place place, int account, String id) {
-        ledger.sheet(place).open(account, id);
+        ledger.counters(place).open(account, id);
         open[place.ordinal()][account]++;
     }
 
     private void end(Place place, int account, Enum<?> end, String id) {
-        ledger.sheet(place).end(account, end.ordinal(), id);
+        ledger.counters(place).end(account, end.ordinal(), id);
         open[place.ordinal()][account]--;
     }
 
     private List<Breach> check() {
-        return ledger.check((place, account) -> open[place.ordinal()][account]);
+        return ledger.findNewBreaches((place, account) -> open[place.ordinal()][account]);
     }
 
     /** Opens and ends requests with up to three attempts each, in random order and with random ends. */
@@ -69,7 +69,7 @@
     @ValueSource(longs = {1, 2, 3, 4, 5})
     void theSumsHoldAtEveryMomentOfARandomDay(long seed) {
         play(new SplittableRandom(seed), 2_000);
-        assertEquals(0, ledger.breaches());
+        assertEquals(0, ledger.breachCount());
         assertEquals(0, Arrays.stream(open).flatMapToLong(Arrays::stream).sum());
     }
 
@@ -93,7 +93,7 @@
     void aDoubleCloseAtAnyPlaceIsABreach(Place place) {
         play(new SplittableRandom(8), 100);
         Enum<?> end = place == Place.CLIENTS || place == Place.CORE ? RequestEnd.SERVED : Outcome.SERVED;
-        ledger.sheet(place).end(2, end.ordinal(), "twice");
+        ledger.counters(place).end(2, end.ordinal(), "twice");
         List<Breach> found = check();
         assertTrue(found.stream().anyMatch(breach -> breach.rule().startsWith("served: ")), found.toString());
         found.forEach(breach -> assertEquals("GET /status/{account}/days", breach.account()));
@@ -111,16 +111,16 @@
 
     @Test
     void aBreachIsToldOnceUntilItGrowsAndStaysUntilAcknowledged() {
-        ledger.sheet(Place.CORE).end(0, RequestEnd.SERVED, "x");
+        ledger.counters(Place.CORE).end(0, RequestEnd.SERVED, "x");
         assertEquals(2, check().size());
         assertEquals(List.of(), check());
-        assertEquals(2, ledger.breaches());
+        assertEquals(2, ledger.breachCount());
         ledger.acknowledge();
-        assertEquals(0, ledger.breaches());
+        assertEquals(0, ledger.breachCount());
         assertEquals(List.of(), check());
-        ledger.sheet(Place.CORE).end(0, RequestEnd.SERVED, "y");
+        ledger.counters(Place.CORE).end(0, RequestEnd.SERVED, "y");
         assertEquals(2, check().size());
-        assertEquals(2, ledger.breaches());
+        assertEquals(2, ledger.breachCount());
     }
 
     /** Guards against false breaches when a 64-bit counter wraps around. */
@@ -140,7 +140,7 @@
         play(new SplittableRandom(9), 50);
         open(Place.CORE, 0, "r");
         open(Place.CLIENTS, 0, "r");
-        List<String> sums = ledger.sums((place, account) -> open[place.ordinal()][account]);
+        List<String> sums = ledger.formatTotals((place, account) -> open[place.ordinal()][account]);
         assertEquals(3, sums.size());
         assertTrue(sums.get(0).matches("ledger, class status: taken \\d+ = served \\d+ \\+ refused \\d+ \\+ failed \\d+ "
                 + "\\+ abandoned \\d+ \\+ open 1"), sums.get(0));
--- a/src/test/java/cinderhollow/ledger/OpenMetricsTest.java
+++ b/src/test/java/cinderhollow/ledger/OpenMetricsTest.java
@@ -26,15 +26,15 @@
         Ledger ledger = new Ledger(accounts);
         for (int i = 0; i < requests; i++) {
             int account = i % accounts.size();
-            ledger.sheet(Place.CORE).open(account, "r" + i);
-            ledger.sheet(Place.CLIENTS).open(account, "r" + i);
-            ledger.sheet(Place.ATTEMPTS).open(account, "r" + i);
-            ledger.sheet(Place.NODES).open(account, "r" + i);
-            ledger.sheet(Place.NODES).end(account, Outcome.SERVED, "r" + i);
-            ledger.sheet(Place.ATTEMPTS).end(account, Outcome.SERVED, "r" + i);
-            ledger.sheet(Place.CORE).end(account, RequestEnd.SERVED, "r" + i);
-            ledger.sheet(Place.CLIENTS).end(account, RequestEnd.SERVED, "r" + i);
-            ledger.took(account, (i + 1) * 1_000_000L);
+            ledger.counters(Place.CORE).open(account, "r" + i);
+            ledger.counters(Place.CLIENTS).open(account, "r" + i);
+            ledger.counters(Place.ATTEMPTS).open(account, "r" + i);
+            ledger.counters(Place.NODES).open(account, "r" + i);
+            ledger.counters(Place.NODES).end(account, Outcome.SERVED, "r" + i);
+            ledger.counters(Place.ATTEMPTS).end(account, Outcome.SERVED, "r" + i);
+            ledger.counters(Place.CORE).end(account, RequestEnd.SERVED, "r" + i);
+            ledger.counters(Place.CLIENTS).end(account, RequestEnd.SERVED, "r" + i);
+            ledger.recordLatency(account, (i + 1) * 1_000_000L);
         }
         return ledger;
     }
@@ -42,7 +42,7 @@
     private static String text(Ledger... ledgers) {
         List<LedgerMetrics> figures = new ArrayList<>();
         for (Ledger ledger : ledgers) {
-            figures.add(ledger.figures((place, account) -> 0, List.of(new Life("x", 9, List.of(1L, 2L, 3L, 1L), 2)), 4));
+            figures.add(ledger.collectMetrics((place, account) -> 0, List.of(new Life("x", 9, List.of(1L, 2L, 3L, 1L), 2)), 4));
         }
         return OpenMetrics.write(figures, "1-a");
     }
@@ -125,7 +125,7 @@
     @Test
     void whatDoesNotAddUpShowsInTheTotals() {
         Ledger broken = ledger(List.of("x", "y"), 10);
-        broken.sheet(Place.NODES).end(1, Outcome.RESET, "twice");
+        broken.counters(Place.NODES).end(1, Outcome.RESET, "twice");
         Totals totals = new Totals();
         totals.add(text(ledger(List.of("x", "y"), 10)));
         totals.add(text(broken));
