--- a/src/main/java/cinderhollow/daemon/EarlierRuns.java
+++ b/src/main/java/cinderhollow/daemon/EarlierRuns.java
@@ -1,7 +1,7 @@
 package cinderhollow.daemon;
 
 import cinderhollow.daemon.JournalFiles.Segment;
-import cinderhollow.ledger.Life;
+import cinderhollow.ledger.EarlierRunTotals;
 import cinderhollow.ledger.Recovery;
 import java.io.IOException;
 import java.nio.file.Files;
@@ -19,22 +19,22 @@
  * @param logLines lines for the log
  * @param segmentsRead segments covered by this, which may be deleted once it has been written to a new segment
  */
-record EarlierRuns(List<Life> totals, List<Recovery.Orphan> orphans, List<String> logLines, List<Path> segmentsRead) {
+record EarlierRuns(List<EarlierRunTotals> totals, List<Recovery.Orphan> orphans, List<String> logLines, List<Path> segmentsRead) {
     /** Name of the file that lists the orphans: a list longer than a screen is of no use in a log. */
     static final String ORPHANS_FILE = "orphans.txt";
     private static final int MAX_ORPHANS_LOGGED = 20;
 
     /** Reads what the loops of these numbers have left. A file that cannot be read is logged and does not fail the start. */
     static EarlierRuns read(Path directory, List<Integer> loops) throws IOException {
-        Map<String, Life> totals = new TreeMap<>();
+        Map<String, EarlierRunTotals> totals = new TreeMap<>();
         List<Recovery.Orphan> orphans = new ArrayList<>();
         List<String> logLines = new ArrayList<>();
         List<Path> readFiles = new ArrayList<>();
         for (int loop : loops) {
             Recovery latest = readLatest(JournalFiles.listSegments(directory, loop), logLines, readFiles);
             if (latest != null) {
-                for (Life life : latest.lives()) {
-                    totals.merge(life.account(), life, Life::plus);
+                for (EarlierRunTotals life : latest.lives()) {
+                    totals.merge(life.account(), life, EarlierRunTotals::plus);
                 }
                 orphans.addAll(latest.orphans());
                 if (latest.lost() > 0) {
--- a/src/main/java/cinderhollow/daemon/Journal.java
+++ b/src/main/java/cinderhollow/daemon/Journal.java
@@ -3,7 +3,7 @@
 import cinderhollow.ledger.RequestEnd;
 import cinderhollow.ledger.JournalFrame;
 import cinderhollow.ledger.Ledger;
-import cinderhollow.ledger.Life;
+import cinderhollow.ledger.EarlierRunTotals;
 import io.netty.channel.EventLoop;
 import java.io.Closeable;
 import java.io.IOException;
@@ -86,7 +86,7 @@
     private final Ledger ledger;
     private final OpenRequestSource openRequests;
     private final Consumer<String> log;
-    private final List<Life> earlierTotals;
+    private final List<EarlierRunTotals> earlierTotals;
     private final long epochMillis = System.currentTimeMillis();
     private final long epochNumber = System.nanoTime();
     private final SpscArrayQueue<JournalFrame> filledFrames = new SpscArrayQueue<>(MAX_QUEUED_FRAMES);
@@ -185,7 +185,7 @@
     }
 
     /** Returns the sums of earlier runs by account. */
-    List<Life> earlierTotals() {
+    List<EarlierRunTotals> earlierTotals() {
         return earlierTotals;
     }
 
--- a/src/main/java/cinderhollow/ledger/Life.java
+++ b/src/main/java/cinderhollow/ledger/EarlierRunTotals.java
@@ -11,23 +11,23 @@
  * @param ended number of requests ended, by {@link RequestEnd} in the order of its constants
  * @param orphaned number of requests that were open when a run ended, so that their end is not known
  */
-public record Life(String account, long taken, List<Long> ended, long orphaned) {
+public record EarlierRunTotals(String account, long taken, List<Long> ended, long orphaned) {
     /** Copies the list. */
-    public Life {
+    public EarlierRunTotals {
         ended = List.copyOf(ended);
     }
 
     /** Returns whether the number of requests taken equals those ended plus those orphaned. */
-    public boolean addsUp() {
+    public boolean isBalanced() {
         return taken == ended.stream().mapToLong(Long::longValue).sum() + orphaned;
     }
 
     /** Returns the sum of these totals and others of the same account. */
-    public Life plus(Life other) {
+    public EarlierRunTotals plus(EarlierRunTotals other) {
         List<Long> sums = new ArrayList<>();
         for (int end = 0; end < ended.size(); end++) {
             sums.add(ended.get(end) + other.ended.get(end));
         }
-        return new Life(account, taken + other.taken, sums, orphaned + other.orphaned);
+        return new EarlierRunTotals(account, taken + other.taken, sums, orphaned + other.orphaned);
     }
 }
--- a/src/main/java/cinderhollow/ledger/JournalFrame.java
+++ b/src/main/java/cinderhollow/ledger/JournalFrame.java
@@ -95,7 +95,7 @@
      * Begins a checkpoint: writes the totals of this run and of earlier runs. The caller must then add each open request with
      * {@link #writeOpenRequest}.
      */
-    public void writeCheckpoint(Ledger ledger, List<Life> earlier) {
+    public void writeCheckpoint(Ledger ledger, List<EarlierRunTotals> earlier) {
         checkpoint = true;
         kind(RESET);
         Sheet sheet = ledger.counters(Place.CORE);
@@ -110,7 +110,7 @@
                 sheet.ends(account).forEach(this::number);
             }
         }
-        for (Life life : earlier) {
+        for (EarlierRunTotals life : earlier) {
             kind(EARLIER);
             text(life.account());
             number(life.taken());
--- a/src/main/java/cinderhollow/ledger/Ledger.java
+++ b/src/main/java/cinderhollow/ledger/Ledger.java
@@ -66,7 +66,7 @@
      * @param earlier totals of earlier runs of the process
      * @param lost number of journal entries that never reached the disk
      */
-    public LedgerMetrics collectMetrics(OpenCounter open, List<Life> earlier, long lost) {
+    public LedgerMetrics collectMetrics(OpenCounter open, List<EarlierRunTotals> earlier, long lost) {
         List<LedgerMetrics.Line> lines = new ArrayList<>();
         List<LedgerMetrics.Times> taken = new ArrayList<>();
         for (int account = 0; account < accounts.size(); account++) {
--- a/src/main/java/cinderhollow/ledger/LedgerMetrics.java
+++ b/src/main/java/cinderhollow/ledger/LedgerMetrics.java
@@ -12,7 +12,7 @@
  * @param earlier totals of earlier runs of the process, by account
  * @param lost number of journal entries that never reached the disk
  */
-public record LedgerMetrics(List<Line> lines, List<Times> times, long breaches, List<Life> earlier, long lost) {
+public record LedgerMetrics(List<Line> lines, List<Times> times, long breaches, List<EarlierRunTotals> earlier, long lost) {
     /**
      * Counts of one account at one place.
      *
--- a/src/main/java/cinderhollow/ledger/OpenMetrics.java
+++ b/src/main/java/cinderhollow/ledger/OpenMetrics.java
@@ -100,9 +100,9 @@
         }
     }
 
-    private void eachLife(BiConsumer<Life, String> told) {
+    private void eachLife(BiConsumer<EarlierRunTotals, String> told) {
         for (int loop = 0; loop < loops.size(); loop++) {
-            for (Life life : loops.get(loop).earlier()) {
+            for (EarlierRunTotals life : loops.get(loop).earlier()) {
                 told.accept(life, String.valueOf(loop));
             }
         }
--- a/src/main/java/cinderhollow/ledger/Recovery.java
+++ b/src/main/java/cinderhollow/ledger/Recovery.java
@@ -27,7 +27,7 @@
     private final Map<Long, Open> open = new LinkedHashMap<>();
     private final Map<Integer, String> accounts = new HashMap<>();
     private final Map<Integer, long[]> sums = new HashMap<>();
-    private final Map<String, Life> earlier = new TreeMap<>();
+    private final Map<String, EarlierRunTotals> earlier = new TreeMap<>();
     private long epochMillis;
     private long epochNumber;
     private long file = -1;
@@ -77,7 +77,7 @@
                 for (int i = 0; i < ENDS; i++) {
                     ended.add(number());
                 }
-                earlier.put(name, new Life(name, taken, ended, number()));
+                earlier.put(name, new EarlierRunTotals(name, taken, ended, number()));
             }
             case JournalFrame.HELD -> begin(false);
             case JournalFrame.OPENED -> begin(true);
@@ -190,8 +190,8 @@
     }
 
     /** Returns the totals of all runs including this one, by account, with open requests counted as orphaned. */
-    public Collection<Life> lives() {
-        Map<String, Life> all = new TreeMap<>(earlier);
+    public Collection<EarlierRunTotals> lives() {
+        Map<String, EarlierRunTotals> all = new TreeMap<>(earlier);
         sums.forEach((account, sum) -> {
             List<Long> ended = new ArrayList<>();
             for (int i = 1; i < sum.length; i++) {
@@ -199,7 +199,7 @@
             }
             long orphaned = open.values().stream().filter(o -> o.account == account).count();
             if (sum[0] != 0) {
-                all.merge(accounts.get(account), new Life(accounts.get(account), sum[0], ended, orphaned), Life::plus);
+                all.merge(accounts.get(account), new EarlierRunTotals(accounts.get(account), sum[0], ended, orphaned), EarlierRunTotals::plus);
             }
         });
         return List.copyOf(all.values());
--- a/src/test/java/cinderhollow/daemon/JournalFaultsTest.java
+++ b/src/test/java/cinderhollow/daemon/JournalFaultsTest.java
@@ -6,7 +6,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import cinderhollow.daemon.GatewayFixture.Client;
-import cinderhollow.ledger.Life;
+import cinderhollow.ledger.EarlierRunTotals;
 import cinderhollow.testing.Await;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -53,8 +53,8 @@
             gateway.signal("TERM");
             assertTrue(gateway.endsWithin(LONG_MILLIS), gateway.log());
             EarlierRuns lives = EarlierRuns.read(ledger, List.of(0));
-            assertEquals(asked[0], lives.totals().stream().mapToLong(Life::taken).sum(), gateway.log());
-            assertTrue(lives.totals().stream().allMatch(Life::addsUp), lives::toString);
+            assertEquals(asked[0], lives.totals().stream().mapToLong(EarlierRunTotals::taken).sum(), gateway.log());
+            assertTrue(lives.totals().stream().allMatch(EarlierRunTotals::isBalanced), lives::toString);
         }
     }
 
--- a/src/test/java/cinderhollow/daemon/JournalTest.java
+++ b/src/test/java/cinderhollow/daemon/JournalTest.java
@@ -119,7 +119,7 @@
         assertEquals(200, Files.readAllLines(copy.resolve(EarlierRuns.ORPHANS_FILE)).size());
         assertEquals(500, lives.totals().get(0).taken());
         assertEquals(200, lives.totals().get(0).orphaned());
-        assertTrue(lives.totals().get(0).addsUp());
+        assertTrue(lives.totals().get(0).isBalanced());
         assertTrue(lives.logLines().get(0).startsWith("200 requests were open when the last run ended"), lives.logLines().toString());
     }
 
@@ -171,14 +171,14 @@
             Recovery torn = new Recovery();
             String wrong = JournalFiles.read(file, torn);
             assertTrue(wrong == null || wrong.contains("an incomplete frame"), wrong);
-            torn.lives().forEach(life -> assertTrue(life.addsUp()));
+            torn.lives().forEach(life -> assertTrue(life.isBalanced()));
             byte[] flipped = whole.clone();
             int bit = random.nextInt(8 * whole.length);
             flipped[bit / 8] ^= (byte) (1 << bit % 8);
             Files.write(file, flipped);
             Recovery doubted = new Recovery();
             assertNotNull(JournalFiles.read(file, doubted), "bit " + bit);
-            doubted.lives().forEach(life -> assertTrue(life.addsUp()));
+            doubted.lives().forEach(life -> assertTrue(life.isBalanced()));
         }
     }
 
@@ -255,7 +255,7 @@
         });
         awaitKnown();
         assertEquals(1, log.stream().filter(line -> line.contains("No space left on device")).count());
-        assertTrue(EarlierRuns.read(folder, List.of(0)).totals().get(0).addsUp());
+        assertTrue(EarlierRuns.read(folder, List.of(0)).totals().get(0).isBalanced());
     }
 
     /** While a latch blocks the disk, the event loop runs on and memory is bounded; lost entries are made up for afterwards. */
--- a/src/test/java/cinderhollow/ledger/OpenMetricsTest.java
+++ b/src/test/java/cinderhollow/ledger/OpenMetricsTest.java
@@ -42,7 +42,7 @@
     private static String text(Ledger... ledgers) {
         List<LedgerMetrics> figures = new ArrayList<>();
         for (Ledger ledger : ledgers) {
-            figures.add(ledger.collectMetrics((place, account) -> 0, List.of(new Life("x", 9, List.of(1L, 2L, 3L, 1L), 2)), 4));
+            figures.add(ledger.collectMetrics((place, account) -> 0, List.of(new EarlierRunTotals("x", 9, List.of(1L, 2L, 3L, 1L), 2)), 4));
         }
         return OpenMetrics.write(figures, "1-a");
     }
--- a/src/test/java/cinderhollow/ledger/RecoveryTest.java
+++ b/src/test/java/cinderhollow/ledger/RecoveryTest.java
@@ -49,7 +49,7 @@
         }
     }
 
-    private JournalFrame all(List<Life> earlier) {
+    private JournalFrame all(List<EarlierRunTotals> earlier) {
         JournalFrame frame = new JournalFrame(8);
         frame.writeCheckpoint(ledger, earlier);
         open.forEach((request, id) -> frame.writeOpenRequest(request, accounts.get(request), id));
@@ -60,19 +60,19 @@
         recovery.read(frame.bytes(), frame.length());
     }
 
-    private void assertKnows(Recovery recovery, List<Life> earlier) {
+    private void assertKnows(Recovery recovery, List<EarlierRunTotals> earlier) {
         assertEquals(List.copyOf(open.values()), recovery.orphans().stream().map(Recovery.Orphan::id).toList());
-        long before = earlier.stream().mapToLong(Life::taken).sum();
-        assertEquals(before + number, recovery.lives().stream().mapToLong(Life::taken).sum());
-        recovery.lives().forEach(life -> assertTrue(life.addsUp(), life.toString()));
+        long before = earlier.stream().mapToLong(EarlierRunTotals::taken).sum();
+        assertEquals(before + number, recovery.lives().stream().mapToLong(EarlierRunTotals::taken).sum());
+        recovery.lives().forEach(life -> assertTrue(life.isBalanced(), life.toString()));
     }
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5})
     void whatIsReadBackIsWhatWasWritten(long seed) {
         SplittableRandom random = new SplittableRandom(seed);
-        List<Life> earlier = List.of(new Life("class gone", 5, List.of(1L, 1L, 1L, 1L), 1),
-                new Life("class submit", 3, List.of(3L, 0L, 0L, 0L), 0));
+        List<EarlierRunTotals> earlier = List.of(new EarlierRunTotals("class gone", 5, List.of(1L, 1L, 1L, 1L), 1),
+                new EarlierRunTotals("class submit", 3, List.of(3L, 0L, 0L, 0L), 0));
         Recovery recovery = new Recovery();
         read(recovery, header(1, 0));
         read(recovery, all(earlier));
@@ -96,7 +96,7 @@
     /** The process is killed several times in a row; guards against losing or double-counting requests of an earlier run. */
     @Test
     void sumsOverLivesAddUp() {
-        List<Life> earlier = List.of();
+        List<EarlierRunTotals> earlier = List.of();
         long taken = 0;
         long orphaned = 0;
         for (int life = 0; life < 5; life++) {
@@ -111,10 +111,10 @@
             orphaned += one.open.size();
             earlier = List.copyOf(recovery.lives());
         }
-        assertEquals(taken, earlier.stream().mapToLong(Life::taken).sum());
-        assertEquals(orphaned, earlier.stream().mapToLong(Life::orphaned).sum());
+        assertEquals(taken, earlier.stream().mapToLong(EarlierRunTotals::taken).sum());
+        assertEquals(orphaned, earlier.stream().mapToLong(EarlierRunTotals::orphaned).sum());
         assertTrue(orphaned > 0);
-        earlier.forEach(life -> assertTrue(life.addsUp()));
+        earlier.forEach(life -> assertTrue(life.isBalanced()));
     }
 
     @Test
@@ -146,7 +146,7 @@
     @ValueSource(longs = {11, 12, 13})
     void noiseIsNeverAnotherFault(long seed) {
         SplittableRandom random = new SplittableRandom(seed);
-        JournalFrame whole = all(List.of(new Life("class gone", 5, List.of(1L, 1L, 1L, 1L), 1)));
+        JournalFrame whole = all(List.of(new EarlierRunTotals("class gone", 5, List.of(1L, 1L, 1L, 1L), 1)));
         play(random, whole, 200);
         int refused = 0;
         for (int i = 0; i < 20_000; i++) {
