--- a/src/main/java/cinderhollow/daemon/Gateway.java
+++ b/src/main/java/cinderhollow/daemon/Gateway.java
@@ -27,7 +27,7 @@
 import cinderhollow.ledger.LedgerMetrics;
 import cinderhollow.ledger.JournalFrame;
 import cinderhollow.ledger.Ledger;
-import cinderhollow.ledger.Place;
+import cinderhollow.ledger.LedgerPlace;
 import cinderhollow.ledger.Sheet;
 import cinderhollow.membership.Discovery;
 import cinderhollow.membership.EndpointList.Endpoint;
@@ -201,21 +201,21 @@
         countersByClass = config.opsAddress() == null ? null : new HashMap<>();
         ledger = config.ledger() == null ? null
                 : new Ledger(config.routes().stream().map(Object::toString).toList());
-        requestCounts = ledger == null ? null : ledger.counters(Place.CORE);
-        attemptCounts = ledger == null ? null : ledger.counters(Place.ATTEMPTS);
+        requestCounts = ledger == null ? null : ledger.counters(LedgerPlace.CORE);
+        attemptCounts = ledger == null ? null : ledger.counters(LedgerPlace.ATTEMPTS);
         journal = ledger == null || config.ledger().directory() == null ? null
                 : Journal.open(loop, config.ledger(), Journal.FILE_OUTPUTS, ledger, this::writeOpenRequests, log);
         int reservedDescriptors = RESERVED_DESCRIPTORS + (config.opsAddress() == null ? 0 : OPS_SOCKET_DESCRIPTORS);
         int connections = Math.max(2, config.maxDescriptors() - reservedDescriptors);
         upstreamPool = new UpstreamPool(loop, transport, clock, config.dialTimeoutNanos(), config.idleTimeoutNanos(), connections / 2,
-                ledger == null ? null : ledger.counters(Place.NODES), ledger == null ? 0 : ledger.accounts().size());
+                ledger == null ? null : ledger.counters(LedgerPlace.NODES), ledger == null ? 0 : ledger.accounts().size());
         discovery = config.discoveryAddress() == null ? null : new Discovery(loop, transport, config.discoveryAddress(),
                 config.knownEndpoints().index(), Discovery.SILENCE_TIMEOUT_MILLIS,
                 // The larger limit only with an operator's file: an endless line is detected by its length alone.
                 config.routes() == null ? Discovery.MAX_LIST_BYTES : Discovery.MAX_LARGE_FLEET_LIST_BYTES, new DiscoveryListener(), log);
         discoveryResolved = discovery == null && (config.eventLoops() == null || !config.eventLoops().follower());
         downstream = new DownstreamConnectionManager(loop, transport, clock, lag, connections / 2, new RequestListener(),
-                ledger == null ? null : ledger.counters(Place.CLIENTS));
+                ledger == null ? null : ledger.counters(LedgerPlace.CLIENTS));
         policy = new LoadBalancer(config.settings(), config.seed(), this);
         evacuation = config.peering() == null ? null : new PeerTransport(loop, config.peering(), config.settings().rules(), clock,
                 config.seed(), this::dispatch, clientsMayCome -> zoneAvailable = clientsMayCome, log);
--- a/src/main/java/cinderhollow/ledger/JournalFrame.java
+++ b/src/main/java/cinderhollow/ledger/JournalFrame.java
@@ -98,7 +98,7 @@
     public void writeCheckpoint(Ledger ledger, List<EarlierRunTotals> earlier) {
         checkpoint = true;
         kind(RESET);
-        Sheet sheet = ledger.counters(Place.CORE);
+        Sheet sheet = ledger.counters(LedgerPlace.CORE);
         for (int account = 0; account < ledger.accounts().size(); account++) {
             kind(ACCOUNT);
             number(account);
--- a/src/main/java/cinderhollow/ledger/Ledger.java
+++ b/src/main/java/cinderhollow/ledger/Ledger.java
@@ -23,7 +23,7 @@
     private static final int FINE_ACCOUNTS = 100;
 
     private final List<String> accounts;
-    private final Sheet[] sheets = new Sheet[Place.values().length];
+    private final Sheet[] sheets = new Sheet[LedgerPlace.values().length];
     private final Ring ring;
     /** Latency histograms by account; null until the first latency of the account is recorded. */
     private final Histogram[] times;
@@ -36,7 +36,7 @@
         this.accounts = List.copyOf(accounts);
         ring = new Ring(accounts.size());
         times = new Histogram[accounts.size()];
-        for (Place place : Place.values()) {
+        for (LedgerPlace place : LedgerPlace.values()) {
             sheets[place.ordinal()] = new Sheet(place, accounts.size(), ring);
         }
     }
@@ -47,7 +47,7 @@
     }
 
     /** Returns the counters of a place, which only that place may update. */
-    public Sheet counters(Place place) {
+    public Sheet counters(LedgerPlace place) {
         return sheets[place.ordinal()];
     }
 
@@ -70,7 +70,7 @@
         List<LedgerMetrics.Line> lines = new ArrayList<>();
         List<LedgerMetrics.Times> taken = new ArrayList<>();
         for (int account = 0; account < accounts.size(); account++) {
-            for (Place place : Place.values()) {
+            for (LedgerPlace place : LedgerPlace.values()) {
                 Sheet sheet = counters(place);
                 if (sheet.opened(account) != 0 || sheet.ended(account) != 0) {
                     lines.add(new LedgerMetrics.Line(accounts.get(account), place, sheet.opened(account),
@@ -103,7 +103,7 @@
         List<Breach> found = new ArrayList<>();
         Set<String> broken = new HashSet<>();
         for (int account = 0; account < accounts.size(); account++) {
-            for (Place place : Place.values()) {
+            for (LedgerPlace place : LedgerPlace.values()) {
                 Sheet sheet = counters(place);
                 long opened = sheet.opened(account);
                 long sum = sheet.ended(account) + open.at(place, account);
@@ -112,8 +112,8 @@
                             place + " " + (opened - sum), found, broken);
                 }
             }
-            compare(account, Place.CLIENTS, Place.CORE, found, broken);
-            compare(account, Place.ATTEMPTS, Place.NODES, found, broken);
+            compare(account, LedgerPlace.CLIENTS, LedgerPlace.CORE, found, broken);
+            compare(account, LedgerPlace.ATTEMPTS, LedgerPlace.NODES, found, broken);
         }
         known = broken;
         breachCount += found.size();
@@ -124,20 +124,20 @@
     public List<String> formatTotals(OpenCounter open) {
         List<String> text = new ArrayList<>();
         for (int account = 0; account < accounts.size(); account++) {
-            Sheet sheet = counters(Place.CORE);
+            Sheet sheet = counters(LedgerPlace.CORE);
             if (sheet.opened(account) != 0) {
                 StringBuilder line = new StringBuilder("ledger, " + accounts.get(account) + ": taken " + sheet.opened(account) + " =");
                 for (RequestEnd end : RequestEnd.values()) {
-                    line.append(' ').append(Place.CORE.ends().get(end.ordinal())).append(' ')
+                    line.append(' ').append(LedgerPlace.CORE.ends().get(end.ordinal())).append(' ')
                             .append(sheet.ended(account, end.ordinal())).append(" +");
                 }
-                text.add(line.append(" open ").append(open.at(Place.CORE, account)).toString());
+                text.add(line.append(" open ").append(open.at(LedgerPlace.CORE, account)).toString());
             }
         }
         return text;
     }
 
-    private void compare(int account, Place one, Place other, List<Breach> found, Set<String> broken) {
+    private void compare(int account, LedgerPlace one, LedgerPlace other, List<Breach> found, Set<String> broken) {
         compare(account, "opened", one, other, sheet -> sheet.opened(account), found, broken);
         for (int end = 0; end < one.ends().size(); end++) {
             int number = end;
@@ -145,7 +145,7 @@
         }
     }
 
-    private void compare(int account, String what, Place one, Place other, ToLongFunction<Sheet> figure,
+    private void compare(int account, String what, LedgerPlace one, LedgerPlace other, ToLongFunction<Sheet> figure,
                          List<Breach> found, Set<String> broken) {
         long here = figure.applyAsLong(counters(one));
         long there = figure.applyAsLong(counters(other));
@@ -168,6 +168,6 @@
     @FunctionalInterface
     public interface OpenCounter {
         /** Returns the number of requests or attempts of this account that are open at this place. */
-        long at(Place place, int account);
+        long at(LedgerPlace place, int account);
     }
 }
--- a/src/main/java/cinderhollow/ledger/LedgerMetrics.java
+++ b/src/main/java/cinderhollow/ledger/LedgerMetrics.java
@@ -21,7 +21,7 @@
      * @param ended number ended so far, by the ends of the place in their order
      * @param open number open now, as found by looking at the place
      */
-    public record Line(String account, Place place, long opened, List<Long> ended, long open) {
+    public record Line(String account, LedgerPlace place, long opened, List<Long> ended, long open) {
         /** Copies the list. */
         public Line {
             ended = List.copyOf(ended);
--- a/src/main/java/cinderhollow/ledger/Place.java
+++ b/src/main/java/cinderhollow/ledger/LedgerPlace.java
@@ -9,7 +9,7 @@
  * Place in the gateway at which requests or attempts are counted. Each place has its own counters and updates them
  * independently of the other places, so that comparing them shows a missed or duplicate update.
  */
-public enum Place {
+public enum LedgerPlace {
     /** Requests, counted where client connections are handled. */
     CLIENTS("requests at the clients' side", RequestEnd.values()),
     /** Requests, counted where the decisions of the decision module are carried out. */
@@ -22,7 +22,7 @@
     private final String words;
     private final List<String> ends;
 
-    Place(String words, Enum<?>[] ends) {
+    LedgerPlace(String words, Enum<?>[] ends) {
         this.words = words;
         this.ends = Arrays.stream(ends).map(end -> end.name().toLowerCase(Locale.ROOT).replace('_', ' ')).toList();
     }
--- a/src/main/java/cinderhollow/ledger/OpenMetrics.java
+++ b/src/main/java/cinderhollow/ledger/OpenMetrics.java
@@ -14,7 +14,7 @@
     public static final String CONTENT_TYPE = "application/openmetrics-text; version=1.0.0; charset=utf-8";
     private static final List<Double> BOUNDS = List.of(0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5,
             5.0, 10.0);
-    private static final Predicate<Place> OF_REQUESTS = place -> place == Place.CLIENTS || place == Place.CORE;
+    private static final Predicate<LedgerPlace> OF_REQUESTS = place -> place == LedgerPlace.CLIENTS || place == LedgerPlace.CORE;
 
     private final StringBuilder text = new StringBuilder();
     private final List<LedgerMetrics> loops;
@@ -46,11 +46,11 @@
     }
 
     /** Returns the value of the label {@code place}. */
-    static String word(Place place) {
+    static String word(LedgerPlace place) {
         return place.name().toLowerCase(Locale.ROOT);
     }
 
-    private void things(String things, String opened, String words, Predicate<Place> places) {
+    private void things(String things, String opened, String words, Predicate<LedgerPlace> places) {
         String name = "cinderhollow_" + things;
         family(name + "_" + opened, "counter", words + " " + opened + ", as counted at a place.");
         each(places, name + "_" + opened + "_total", LedgerMetrics.Line::opened);
@@ -68,7 +68,7 @@
         each(places, name + "_open", LedgerMetrics.Line::open);
     }
 
-    private void each(Predicate<Place> places, String name, ToLongFunction<LedgerMetrics.Line> figure) {
+    private void each(Predicate<LedgerPlace> places, String name, ToLongFunction<LedgerMetrics.Line> figure) {
         for (int loop = 0; loop < loops.size(); loop++) {
             for (LedgerMetrics.Line line : loops.get(loop).lines()) {
                 if (places.test(line.place())) {
@@ -88,7 +88,7 @@
         eachLife((life, loop) -> {
             for (RequestEnd end : RequestEnd.values()) {
                 sample(name + "_ended", "account", life.account(), "loop", loop, "end",
-                        Place.CORE.ends().get(end.ordinal()), Long.toUnsignedString(life.ended().get(end.ordinal())));
+                        LedgerPlace.CORE.ends().get(end.ordinal()), Long.toUnsignedString(life.ended().get(end.ordinal())));
             }
             sample(name + "_ended", "account", life.account(), "loop", loop, "end", "orphaned",
                     Long.toUnsignedString(life.orphaned()));
--- a/src/main/java/cinderhollow/ledger/Ring.java
+++ b/src/main/java/cinderhollow/ledger/Ring.java
@@ -12,18 +12,18 @@
     private static final int LENGTH = 32;
 
     private final String[] ids;
-    private final Place[] places;
+    private final LedgerPlace[] places;
     private final int[] whats;
     private final long[] counts;
 
     Ring(int accounts) {
         ids = new String[accounts * LENGTH];
-        places = new Place[accounts * LENGTH];
+        places = new LedgerPlace[accounts * LENGTH];
         whats = new int[accounts * LENGTH];
         counts = new long[accounts];
     }
 
-    void add(int account, Place place, int what, String id) {
+    void add(int account, LedgerPlace place, int what, String id) {
         int at = account * LENGTH + (int) (counts[account]++ & LENGTH - 1);
         ids[at] = id;
         places[at] = place;
--- a/src/main/java/cinderhollow/ledger/Sheet.java
+++ b/src/main/java/cinderhollow/ledger/Sheet.java
@@ -9,18 +9,18 @@
  * have 64 bits and may wrap around; sums and differences remain correct modulo 2^64.
  */
 public final class Sheet {
-    private final Place place;
+    private final LedgerPlace place;
     private final int ends;
     private final long[] opened;
     private final long[] ended;
     private final Ring ring;
 
-    Sheet(Place place, int accounts, Ring ring) {
+    Sheet(LedgerPlace place, int accounts, Ring ring) {
         this(place, ring, new long[accounts], new long[accounts * place.ends().size()]);
     }
 
     /** Creates counters with these initial values, {@code openedCounts} by account, {@code endedCounts} by account and end. */
-    Sheet(Place place, Ring ring, long[] opened, long[] ended) {
+    Sheet(LedgerPlace place, Ring ring, long[] opened, long[] ended) {
         this.place = place;
         this.ring = ring;
         this.opened = opened;
--- a/src/main/java/cinderhollow/ledger/Totals.java
+++ b/src/main/java/cinderhollow/ledger/Totals.java
@@ -16,12 +16,12 @@
 
     /** Totals of one account at one place, over all gateways added. */
     private static final class Row {
-        private final Place place;
+        private final LedgerPlace place;
         private final long[] ended;
         private long opened;
         private long open;
 
-        Row(Place place) {
+        Row(LedgerPlace place) {
             this.place = place;
             ended = new long[place.ends().size()];
         }
@@ -78,9 +78,9 @@
             earlierOpen -= Long.parseUnsignedLong(figure);
             orphaned += labels.get("end").equals("orphaned") ? Long.parseUnsignedLong(figure) : 0;
         } else if (labels.containsKey("place")) {
-            Place place = Place.valueOf(labels.get("place").toUpperCase(Locale.ROOT));
+            LedgerPlace place = LedgerPlace.valueOf(labels.get("place").toUpperCase(Locale.ROOT));
             Row[] all = rows.computeIfAbsent(labels.get("account"),
-                    account -> Arrays.stream(Place.values()).map(Row::new).toArray(Row[]::new));
+                    account -> Arrays.stream(LedgerPlace.values()).map(Row::new).toArray(Row[]::new));
             Row row = all[place.ordinal()];
             long value = Long.parseUnsignedLong(figure);
             if (name.endsWith("_open")) {
@@ -106,8 +106,8 @@
                     faults.add(account + ": " + row.place + " don't add up");
                 }
             }
-            if (!all[Place.CLIENTS.ordinal()].equal(all[Place.CORE.ordinal()])
-                    || !all[Place.ATTEMPTS.ordinal()].equal(all[Place.NODES.ordinal()])) {
+            if (!all[LedgerPlace.CLIENTS.ordinal()].equal(all[LedgerPlace.CORE.ordinal()])
+                    || !all[LedgerPlace.ATTEMPTS.ordinal()].equal(all[LedgerPlace.NODES.ordinal()])) {
                 faults.add(account + ": two places don't agree");
             }
         });
@@ -122,10 +122,10 @@
         StringBuilder text = new StringBuilder(String.format(Locale.ROOT, "%-36s %10s %10s %9s %9s %9s %7s %10s%n", "account",
                 "taken", "served", "refused", "failed", "abandoned", "open", "attempts"));
         rows.forEach((account, all) -> {
-            Row row = all[Place.CORE.ordinal()];
+            Row row = all[LedgerPlace.CORE.ordinal()];
             text.append(String.format(Locale.ROOT, "%-36s %10d %10d %9d %9d %9d %7d %10d%n", account, row.opened,
                     row.ended[RequestEnd.SERVED.ordinal()], row.ended[RequestEnd.REFUSED.ordinal()], row.ended[RequestEnd.FAILED.ordinal()],
-                    row.ended[RequestEnd.ABANDONED.ordinal()], row.open, all[Place.ATTEMPTS.ordinal()].opened));
+                    row.ended[RequestEnd.ABANDONED.ordinal()], row.open, all[LedgerPlace.ATTEMPTS.ordinal()].opened));
         });
         faults().forEach(fault -> text.append(fault).append('\n'));
         if (orphaned > 0) {
--- a/src/test/java/cinderhollow/bench/LedgerBenchmark.java
+++ b/src/test/java/cinderhollow/bench/LedgerBenchmark.java
@@ -3,7 +3,7 @@
 import cinderhollow.ledger.RequestEnd;
 import cinderhollow.ledger.JournalFrame;
 import cinderhollow.ledger.Ledger;
-import cinderhollow.ledger.Place;
+import cinderhollow.ledger.LedgerPlace;
 import cinderhollow.policy.Protocol.Outcome;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
@@ -36,16 +36,16 @@
     @Benchmark
     public long counted() {
         int account = (int) (++request % 2);
-        ledger.counters(Place.CORE).open(account, ID);
-        ledger.counters(Place.ATTEMPTS).open(account, ID);
-        ledger.counters(Place.NODES).open(account, ID);
-        ledger.counters(Place.CLIENTS).open(account, ID);
-        ledger.counters(Place.NODES).end(account, Outcome.SERVED, ID);
-        ledger.counters(Place.ATTEMPTS).end(account, Outcome.SERVED, ID);
-        ledger.counters(Place.CORE).end(account, RequestEnd.SERVED, ID);
-        ledger.counters(Place.CLIENTS).end(account, RequestEnd.SERVED, ID);
+        ledger.counters(LedgerPlace.CORE).open(account, ID);
+        ledger.counters(LedgerPlace.ATTEMPTS).open(account, ID);
+        ledger.counters(LedgerPlace.NODES).open(account, ID);
+        ledger.counters(LedgerPlace.CLIENTS).open(account, ID);
+        ledger.counters(LedgerPlace.NODES).end(account, Outcome.SERVED, ID);
+        ledger.counters(LedgerPlace.ATTEMPTS).end(account, Outcome.SERVED, ID);
+        ledger.counters(LedgerPlace.CORE).end(account, RequestEnd.SERVED, ID);
+        ledger.counters(LedgerPlace.CLIENTS).end(account, RequestEnd.SERVED, ID);
         ledger.recordLatency(account, 1_000_000 + request % 1_000 * 1_000);
-        return ledger.counters(Place.CORE).opened(account);
+        return ledger.counters(LedgerPlace.CORE).opened(account);
     }
 
     /** Writes the two journal entries of one request. */
--- a/src/test/java/cinderhollow/daemon/AdminTest.java
+++ b/src/test/java/cinderhollow/daemon/AdminTest.java
@@ -8,7 +8,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import cinderhollow.ledger.RequestEnd;
-import cinderhollow.ledger.Place;
+import cinderhollow.ledger.LedgerPlace;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.net.Socket;
@@ -64,7 +64,7 @@
             f.client().ask(status("r", LONG_MILLIS));
             Gateway gateway = (Gateway) f.gateway;
             f.loops().get(0).submit(() -> {
-                gateway.ledger().counters(Place.CORE).end(0, RequestEnd.SERVED, "twice");
+                gateway.ledger().counters(LedgerPlace.CORE).end(0, RequestEnd.SERVED, "twice");
                 gateway.findNewBreaches();
             }).sync();
             List<String> address = List.of(text(admin));
--- a/src/test/java/cinderhollow/ledger/LedgerTest.java
+++ b/src/test/java/cinderhollow/ledger/LedgerTest.java
@@ -18,14 +18,14 @@
     private static final int ACCOUNTS = 3;
 
     private final Ledger ledger = new Ledger(List.of("class status", "class submit", "GET /status/{account}/days"));
-    private final long[][] open = new long[Place.values().length][ACCOUNTS];
+    private final long[][] open = new long[LedgerPlace.values().length][ACCOUNTS];
 
-    private void open(Place place, int account, String id) {
+    private void open(LedgerPlace place, int account, String id) {
         ledger.counters(place).open(account, id);
         open[place.ordinal()][account]++;
     }
 
-    private void end(Place place, int account, Enum<?> end, String id) {
+    private void end(LedgerPlace place, int account, Enum<?> end, String id) {
         ledger.counters(place).end(account, end.ordinal(), id);
         open[place.ordinal()][account]--;
     }
@@ -40,21 +40,21 @@
         for (int i = 0; i < requests; i++) {
             int account = random.nextInt(ACCOUNTS);
             String id = "r" + i;
-            open(Place.CORE, account, id);
-            open(Place.CLIENTS, account, id);
+            open(LedgerPlace.CORE, account, id);
+            open(LedgerPlace.CLIENTS, account, id);
             RequestEnd end = RequestEnd.values()[random.nextInt(RequestEnd.values().length)];
             for (int attempt = random.nextInt(4); attempt > 0; attempt--) {
-                open(Place.ATTEMPTS, account, id);
-                open(Place.NODES, account, id);
+                open(LedgerPlace.ATTEMPTS, account, id);
+                open(LedgerPlace.NODES, account, id);
                 Outcome outcome = Outcome.values()[random.nextInt(Outcome.values().length)];
                 due.add(() -> {
-                    end(Place.NODES, account, outcome, id);
-                    end(Place.ATTEMPTS, account, outcome, id);
+                    end(LedgerPlace.NODES, account, outcome, id);
+                    end(LedgerPlace.ATTEMPTS, account, outcome, id);
                 });
             }
             due.add(() -> {
-                end(Place.CORE, account, end, id);
-                end(Place.CLIENTS, account, end, id);
+                end(LedgerPlace.CORE, account, end, id);
+                end(LedgerPlace.CLIENTS, account, end, id);
             });
             while (!due.isEmpty() && random.nextInt(3) != 0) {
                 due.remove(random.nextInt(due.size())).run();
@@ -75,8 +75,8 @@
 
     /** Guards against a missing end that is not found, or is reported for the wrong account, place or entries. */
     @ParameterizedTest
-    @EnumSource(Place.class)
-    void aLostCloseAtAnyPlaceIsABreachOfItsAccountAlone(Place place) {
+    @EnumSource(LedgerPlace.class)
+    void aLostCloseAtAnyPlaceIsABreachOfItsAccountAlone(LedgerPlace place) {
         play(new SplittableRandom(7), 100);
         open(place, 1, "lost");
         open[place.ordinal()][1]--;
@@ -89,10 +89,10 @@
     }
 
     @ParameterizedTest
-    @EnumSource(Place.class)
-    void aDoubleCloseAtAnyPlaceIsABreach(Place place) {
+    @EnumSource(LedgerPlace.class)
+    void aDoubleCloseAtAnyPlaceIsABreach(LedgerPlace place) {
         play(new SplittableRandom(8), 100);
-        Enum<?> end = place == Place.CLIENTS || place == Place.CORE ? RequestEnd.SERVED : Outcome.SERVED;
+        Enum<?> end = place == LedgerPlace.CLIENTS || place == LedgerPlace.CORE ? RequestEnd.SERVED : Outcome.SERVED;
         ledger.counters(place).end(2, end.ordinal(), "twice");
         List<Breach> found = check();
         assertTrue(found.stream().anyMatch(breach -> breach.rule().startsWith("served: ")), found.toString());
@@ -102,23 +102,23 @@
     /** Guards against an end that differs between places: the client got another answer than the core decided. */
     @Test
     void placesThatDisagreeOnTheEndAreABreach() {
-        open(Place.CORE, 0, "r");
-        open(Place.CLIENTS, 0, "r");
-        end(Place.CORE, 0, RequestEnd.REFUSED, "r");
-        end(Place.CLIENTS, 0, RequestEnd.FAILED, "r");
+        open(LedgerPlace.CORE, 0, "r");
+        open(LedgerPlace.CLIENTS, 0, "r");
+        end(LedgerPlace.CORE, 0, RequestEnd.REFUSED, "r");
+        end(LedgerPlace.CLIENTS, 0, RequestEnd.FAILED, "r");
         assertEquals(2, check().size());
     }
 
     @Test
     void aBreachIsToldOnceUntilItGrowsAndStaysUntilAcknowledged() {
-        ledger.counters(Place.CORE).end(0, RequestEnd.SERVED, "x");
+        ledger.counters(LedgerPlace.CORE).end(0, RequestEnd.SERVED, "x");
         assertEquals(2, check().size());
         assertEquals(List.of(), check());
         assertEquals(2, ledger.breachCount());
         ledger.acknowledge();
         assertEquals(0, ledger.breachCount());
         assertEquals(List.of(), check());
-        ledger.counters(Place.CORE).end(0, RequestEnd.SERVED, "y");
+        ledger.counters(LedgerPlace.CORE).end(0, RequestEnd.SERVED, "y");
         assertEquals(2, check().size());
         assertEquals(2, ledger.breachCount());
     }
@@ -126,7 +126,7 @@
     /** Guards against false breaches when a 64-bit counter wraps around. */
     @Test
     void countersThatWrapStillAddUp() {
-        Sheet sheet = new Sheet(Place.CORE, new Ring(1), new long[] {-3}, new long[] {-5, 0, 0, 0});
+        Sheet sheet = new Sheet(LedgerPlace.CORE, new Ring(1), new long[] {-3}, new long[] {-5, 0, 0, 0});
         for (int i = 0; i < 10; i++) {
             sheet.open(0, "r");
             sheet.end(0, RequestEnd.SERVED, "r");
@@ -138,8 +138,8 @@
     @Test
     void theSumsAreReadable() {
         play(new SplittableRandom(9), 50);
-        open(Place.CORE, 0, "r");
-        open(Place.CLIENTS, 0, "r");
+        open(LedgerPlace.CORE, 0, "r");
+        open(LedgerPlace.CLIENTS, 0, "r");
         List<String> sums = ledger.formatTotals((place, account) -> open[place.ordinal()][account]);
         assertEquals(3, sums.size());
         assertTrue(sums.get(0).matches("ledger, class status: taken \\d+ = served \\d+ \\+ refused \\d+ \\+ failed \\d+ "
