--- a/src/main/java/cinderhollow/daemon/EarlierRuns.java
+++ b/src/main/java/cinderhollow/daemon/EarlierRuns.java
@@ -2,7 +2,7 @@
 
 import cinderhollow.daemon.JournalFiles.Segment;
 import cinderhollow.ledger.EarlierRunTotals;
-import cinderhollow.ledger.Recovery;
+import cinderhollow.ledger.JournalRecovery;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -19,7 +19,7 @@
  * @param logLines lines for the log
  * @param segmentsRead segments covered by this, which may be deleted once it has been written to a new segment
  */
-record EarlierRuns(List<EarlierRunTotals> totals, List<Recovery.Orphan> orphans, List<String> logLines, List<Path> segmentsRead) {
+record EarlierRuns(List<EarlierRunTotals> totals, List<JournalRecovery.Orphan> orphans, List<String> logLines, List<Path> segmentsRead) {
     /** Name of the file that lists the orphans: a list longer than a screen is of no use in a log. */
     static final String ORPHANS_FILE = "orphans.txt";
     private static final int MAX_ORPHANS_LOGGED = 20;
@@ -27,18 +27,18 @@
     /** Reads what the loops of these numbers have left. A file that cannot be read is logged and does not fail the start. */
     static EarlierRuns read(Path directory, List<Integer> loops) throws IOException {
         Map<String, EarlierRunTotals> totals = new TreeMap<>();
-        List<Recovery.Orphan> orphans = new ArrayList<>();
+        List<JournalRecovery.Orphan> orphans = new ArrayList<>();
         List<String> logLines = new ArrayList<>();
         List<Path> readFiles = new ArrayList<>();
         for (int loop : loops) {
-            Recovery latest = readLatest(JournalFiles.listSegments(directory, loop), logLines, readFiles);
+            JournalRecovery latest = readLatest(JournalFiles.listSegments(directory, loop), logLines, readFiles);
             if (latest != null) {
-                for (EarlierRunTotals life : latest.lives()) {
+                for (EarlierRunTotals life : latest.totalsIncludingThisRun()) {
                     totals.merge(life.account(), life, EarlierRunTotals::plus);
                 }
                 orphans.addAll(latest.orphans());
-                if (latest.lost() > 0) {
-                    logLines.add("the last run could not write " + latest.lost() + " entries to disk, and wrote a checkpoint later");
+                if (latest.lostEntries() > 0) {
+                    logLines.add("the last run could not write " + latest.lostEntries() + " entries to disk, and wrote a checkpoint later");
                 }
             }
         }
@@ -52,11 +52,11 @@
     }
 
     /** Reads the newest segment with a checkpoint, which covers all earlier ones. Returns null where there is none. */
-    private static Recovery readLatest(List<Segment> segments, List<String> logLines, List<Path> readFiles) {
-        Recovery found = null;
+    private static JournalRecovery readLatest(List<Segment> segments, List<String> logLines, List<Path> readFiles) {
+        JournalRecovery found = null;
         for (Segment segment : segments) {
             if (found == null) {
-                Recovery recovery = new Recovery();
+                JournalRecovery recovery = new JournalRecovery();
                 String problem;
                 try {
                     problem = JournalFiles.read(segment.path(), recovery);
@@ -66,10 +66,10 @@
                 if (problem != null) {
                     logLines.add(segment.path().getFileName() + ": " + problem);
                 }
-                if (recovery.file() < 0) {
+                if (recovery.segmentNumber() < 0) {
                     continue; // kept: another version may be able to read it
                 }
-                found = recovery.isWhole() ? recovery : null;
+                found = recovery.hasCheckpoint() ? recovery : null;
             }
             readFiles.add(segment.path());
         }
--- a/src/main/java/cinderhollow/daemon/JournalFiles.java
+++ b/src/main/java/cinderhollow/daemon/JournalFiles.java
@@ -1,6 +1,6 @@
 package cinderhollow.daemon;
 
-import cinderhollow.ledger.Recovery;
+import cinderhollow.ledger.JournalRecovery;
 import java.io.BufferedInputStream;
 import java.io.DataInputStream;
 import java.io.EOFException;
@@ -72,7 +72,7 @@
      *
      * @return what was wrong, or null
      */
-    static String read(Path file, Recovery recovery) throws IOException {
+    static String read(Path file, JournalRecovery recovery) throws IOException {
         byte[] frame = new byte[BUFFER_BYTES];
         CRC32C checksum = new CRC32C();
         long validBytes = 0;
@@ -102,7 +102,7 @@
                     return "wrong checksum at byte " + validBytes + "; the rest is ignored";
                 }
                 try {
-                    recovery.read(frame, length);
+                    recovery.readFrame(frame, length);
                 } catch (IllegalArgumentException e) {
                     return e.getMessage() + " at byte " + validBytes + "; the rest is ignored";
                 }
--- a/src/main/java/cinderhollow/ledger/Recovery.java
+++ b/src/main/java/cinderhollow/ledger/JournalRecovery.java
@@ -14,7 +14,7 @@
  * at the same time, not with the length of the journal. An invalid entry causes an {@link IllegalArgumentException}; the
  * entries before it stay applied.
  */
-public final class Recovery {
+public final class JournalRecovery {
     /** A request that was open when the journal ended, so that its end is not known. */
     public record Orphan(String account, String id) { }
 
@@ -30,8 +30,8 @@
     private final Map<String, EarlierRunTotals> earlier = new TreeMap<>();
     private long epochMillis;
     private long epochNumber;
-    private long file = -1;
-    private long lost;
+    private long segmentNumber = -1;
+    private long lostEntries;
     private boolean told;
     private boolean closed;
     private byte[] bytes;
@@ -39,7 +39,7 @@
     private int end;
 
     /** Reads the entries in the first {@code length} bytes of a frame. */
-    public void read(byte[] frame, int length) {
+    public void readFrame(byte[] frame, int length) {
         bytes = frame;
         at = 0;
         end = length;
@@ -57,7 +57,7 @@
                 accounts.clear();
                 sums.clear();
                 earlier.clear();
-                lost = 0;
+                lostEntries = 0;
             }
             case JournalFrame.ACCOUNT -> {
                 int number = account(MOST_ACCOUNTS);
@@ -87,7 +87,7 @@
                 require(over != null && how >= 0 && how < ENDS, "journal entry ends an unknown request or has an unknown end");
                 sum(over.account)[1 + (int) how]++;
             }
-            case JournalFrame.LOST -> lost += number();
+            case JournalFrame.LOST -> lostEntries += number();
             case JournalFrame.CLOSED -> closed = true;
             default -> throw new IllegalArgumentException("unknown journal entry type " + kind);
         }
@@ -99,7 +99,7 @@
         require(version == JournalFrame.VERSION, "unsupported journal version " + version + ", expected " + JournalFrame.VERSION);
         epochMillis = number();
         epochNumber = number();
-        file = number();
+        segmentNumber = number();
         told = false;
         closed = false;
     }
@@ -152,7 +152,7 @@
     }
 
     /** Returns whether a checkpoint has been read since the last segment header; without one the totals are not known. */
-    public boolean isWhole() {
+    public boolean hasCheckpoint() {
         return told;
     }
 
@@ -172,16 +172,16 @@
     }
 
     /** Returns the number of the segment read last, from 0 within its run, or -1 before the first header. */
-    public long file() {
-        return file;
+    public long segmentNumber() {
+        return segmentNumber;
     }
 
     /**
      * Returns how many entries of the run were never written. If it is not 0, requests that are read as open may have ended,
      * and more requests may have been open.
      */
-    public long lost() {
-        return lost;
+    public long lostEntries() {
+        return lostEntries;
     }
 
     /** Returns the requests that were open at the end of the journal, in the order in which they began. */
@@ -190,7 +190,7 @@
     }
 
     /** Returns the totals of all runs including this one, by account, with open requests counted as orphaned. */
-    public Collection<EarlierRunTotals> lives() {
+    public Collection<EarlierRunTotals> totalsIncludingThisRun() {
         Map<String, EarlierRunTotals> all = new TreeMap<>(earlier);
         sums.forEach((account, sum) -> {
             List<Long> ended = new ArrayList<>();
--- a/src/test/java/cinderhollow/daemon/JournalMeasurement.java
+++ b/src/test/java/cinderhollow/daemon/JournalMeasurement.java
@@ -3,7 +3,7 @@
 import cinderhollow.ledger.RequestEnd;
 import cinderhollow.ledger.JournalFrame;
 import cinderhollow.ledger.Ledger;
-import cinderhollow.ledger.Recovery;
+import cinderhollow.ledger.JournalRecovery;
 import java.io.IOException;
 import java.nio.ByteBuffer;
 import java.nio.file.Files;
@@ -26,7 +26,7 @@
             Runtime runtime = Runtime.getRuntime();
             long before = runtime.totalMemory() - runtime.freeMemory();
             long begin = System.nanoTime();
-            Recovery recovery = new Recovery();
+            JournalRecovery recovery = new JournalRecovery();
             String wrong = JournalFiles.read(file, recovery);
             double seconds = (System.nanoTime() - begin) / 1e9;
             System.gc();
--- a/src/test/java/cinderhollow/daemon/JournalTest.java
+++ b/src/test/java/cinderhollow/daemon/JournalTest.java
@@ -9,7 +9,7 @@
 import cinderhollow.ledger.JournalFrame;
 import cinderhollow.ledger.Ledger;
 import cinderhollow.ledger.LedgerPlace;
-import cinderhollow.ledger.Recovery;
+import cinderhollow.ledger.JournalRecovery;
 import cinderhollow.testing.Await;
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
@@ -168,17 +168,17 @@
         for (int i = 0; i < 500; i++) {
             int cut = random.nextInt(1, whole.length);
             Files.write(file, Arrays.copyOf(whole, cut));
-            Recovery torn = new Recovery();
+            JournalRecovery torn = new JournalRecovery();
             String wrong = JournalFiles.read(file, torn);
             assertTrue(wrong == null || wrong.contains("an incomplete frame"), wrong);
-            torn.lives().forEach(life -> assertTrue(life.isBalanced()));
+            torn.totalsIncludingThisRun().forEach(life -> assertTrue(life.isBalanced()));
             byte[] flipped = whole.clone();
             int bit = random.nextInt(8 * whole.length);
             flipped[bit / 8] ^= (byte) (1 << bit % 8);
             Files.write(file, flipped);
-            Recovery doubted = new Recovery();
+            JournalRecovery doubted = new JournalRecovery();
             assertNotNull(JournalFiles.read(file, doubted), "bit " + bit);
-            doubted.lives().forEach(life -> assertTrue(life.isBalanced()));
+            doubted.totalsIncludingThisRun().forEach(life -> assertTrue(life.isBalanced()));
         }
     }
 
--- a/src/test/java/cinderhollow/ledger/RecoveryTest.java
+++ b/src/test/java/cinderhollow/ledger/RecoveryTest.java
@@ -56,15 +56,15 @@
         return frame;
     }
 
-    private static void read(Recovery recovery, JournalFrame frame) {
-        recovery.read(frame.bytes(), frame.length());
+    private static void read(JournalRecovery recovery, JournalFrame frame) {
+        recovery.readFrame(frame.bytes(), frame.length());
     }
 
-    private void assertKnows(Recovery recovery, List<EarlierRunTotals> earlier) {
-        assertEquals(List.copyOf(open.values()), recovery.orphans().stream().map(Recovery.Orphan::id).toList());
+    private void assertKnows(JournalRecovery recovery, List<EarlierRunTotals> earlier) {
+        assertEquals(List.copyOf(open.values()), recovery.orphans().stream().map(JournalRecovery.Orphan::id).toList());
         long before = earlier.stream().mapToLong(EarlierRunTotals::taken).sum();
-        assertEquals(before + number, recovery.lives().stream().mapToLong(EarlierRunTotals::taken).sum());
-        recovery.lives().forEach(life -> assertTrue(life.isBalanced(), life.toString()));
+        assertEquals(before + number, recovery.totalsIncludingThisRun().stream().mapToLong(EarlierRunTotals::taken).sum());
+        recovery.totalsIncludingThisRun().forEach(life -> assertTrue(life.isBalanced(), life.toString()));
     }
 
     @ParameterizedTest
@@ -73,7 +73,7 @@
         SplittableRandom random = new SplittableRandom(seed);
         List<EarlierRunTotals> earlier = List.of(new EarlierRunTotals("class gone", 5, List.of(1L, 1L, 1L, 1L), 1),
                 new EarlierRunTotals("class submit", 3, List.of(3L, 0L, 0L, 0L), 0));
-        Recovery recovery = new Recovery();
+        JournalRecovery recovery = new JournalRecovery();
         read(recovery, header(1, 0));
         read(recovery, all(earlier));
         for (int round = 0; round < 200; round++) {
@@ -81,7 +81,7 @@
             play(random, frame, random.nextInt(40));
             read(recovery, frame);
             if (random.nextInt(20) == 0) {
-                Recovery anew = new Recovery();
+                JournalRecovery anew = new JournalRecovery();
                 read(anew, header(1, 1));
                 read(anew, all(earlier));
                 assertKnows(anew, earlier);
@@ -89,7 +89,7 @@
             }
             assertKnows(recovery, earlier);
         }
-        assertTrue(recovery.isWhole() && !recovery.isClosed());
+        assertTrue(recovery.hasCheckpoint() && !recovery.isClosed());
         assertEquals(1, recovery.epochMillis());
     }
 
@@ -101,7 +101,7 @@
         long orphaned = 0;
         for (int life = 0; life < 5; life++) {
             RecoveryTest one = new RecoveryTest();
-            Recovery recovery = new Recovery();
+            JournalRecovery recovery = new JournalRecovery();
             read(recovery, header(life, 0));
             read(recovery, one.all(earlier));
             JournalFrame frame = new JournalFrame(8);
@@ -109,7 +109,7 @@
             read(recovery, frame);
             taken += one.number;
             orphaned += one.open.size();
-            earlier = List.copyOf(recovery.lives());
+            earlier = List.copyOf(recovery.totalsIncludingThisRun());
         }
         assertEquals(taken, earlier.stream().mapToLong(EarlierRunTotals::taken).sum());
         assertEquals(orphaned, earlier.stream().mapToLong(EarlierRunTotals::orphaned).sum());
@@ -119,7 +119,7 @@
 
     @Test
     void whatCannotBeIsSaid() {
-        Recovery recovery = new Recovery();
+        JournalRecovery recovery = new JournalRecovery();
         JournalFrame other = new JournalFrame(8);
         other.writeCleanEnd();
         other.bytes()[0] = 99;
@@ -155,7 +155,7 @@
                 bytes[random.nextInt(bytes.length)] ^= (byte) (1 << random.nextInt(8));
             }
             try {
-                new Recovery().read(bytes, bytes.length);
+                new JournalRecovery().readFrame(bytes, bytes.length);
             } catch (IllegalArgumentException e) {
                 refused++;
             }
@@ -165,15 +165,15 @@
 
     @Test
     void lostEntriesAndAGoodEndAreTold() {
-        Recovery recovery = new Recovery();
+        JournalRecovery recovery = new JournalRecovery();
         read(recovery, header(3, 9));
         JournalFrame frame = all(List.of());
         frame.writeLostEntries(12);
         frame.writeCleanEnd();
         read(recovery, frame);
-        assertEquals(12, recovery.lost());
-        assertEquals(9, recovery.file());
+        assertEquals(12, recovery.lostEntries());
+        assertEquals(9, recovery.segmentNumber());
         assertTrue(recovery.isClosed());
-        assertEquals(new ArrayList<>(), new ArrayList<>(recovery.lives()));
+        assertEquals(new ArrayList<>(), new ArrayList<>(recovery.totalsIncludingThisRun()));
     }
 }
