--- a/src/main/java/cinderhollow/daemon/Gateway.java
+++ b/src/main/java/cinderhollow/daemon/Gateway.java
@@ -28,7 +28,7 @@
 import cinderhollow.ledger.JournalFrame;
 import cinderhollow.ledger.Ledger;
 import cinderhollow.ledger.LedgerPlace;
-import cinderhollow.ledger.Sheet;
+import cinderhollow.ledger.LedgerCounters;
 import cinderhollow.membership.Discovery;
 import cinderhollow.membership.EndpointList.Endpoint;
 import cinderhollow.membership.EndpointList;
@@ -146,8 +146,8 @@
     /** Null where the ledger is not kept across restarts. */
     private final Journal journal;
     private long lastEntryNumber;
-    private final Sheet requestCounts;
-    private final Sheet attemptCounts;
+    private final LedgerCounters requestCounts;
+    private final LedgerCounters attemptCounts;
     private final Map<String, RequestClass> classes = new HashMap<>();
     /** Request counters by class name, including classes that a reload removed; null where there is no operators' socket. */
     private final Map<String, RequestCounters> countersByClass;
@@ -875,7 +875,7 @@
             this.id = id;
             this.account = account;
             this.openedAtNanos = openedAtNanos;
-            requestCounts.open(account, id);
+            requestCounts.recordOpened(account, id);
             if (journal != null) {
                 journal.recordOpened(number, account, id);
             }
@@ -885,7 +885,7 @@
         void recordEnd(RequestEnd newEnd) {
             if (end == null) {
                 end = newEnd;
-                requestCounts.end(account, newEnd, id);
+                requestCounts.recordEnded(account, newEnd, id);
                 if (journal != null) {
                     journal.recordEnded(number, newEnd);
                 }
@@ -940,7 +940,7 @@
         void send(String server, long timeoutNanos, long withinNanos) {
             attemptsInFlight++;
             if (entry != null) {
-                attemptCounts.open(entry.account, id);
+                attemptCounts.recordOpened(entry.account, id);
             }
             if (zoneTraffic != null) {
                 zoneTraffic.onAttemptSent(clock.nanos(), server);
@@ -1017,7 +1017,7 @@
         private int recordAttemptEnd(UpstreamPool.Attempt attempt, Outcome outcome) {
             attemptsInFlight--;
             if (entry != null) {
-                attemptCounts.end(entry.account, outcome, id);
+                attemptCounts.recordEnded(entry.account, outcome, id);
             }
             if (listChanges != null && listChanges.hasSubset()) {
                 recordSubsetOutcome(outcome);
--- a/src/main/java/cinderhollow/http1/DownstreamConnectionManager.java
+++ b/src/main/java/cinderhollow/http1/DownstreamConnectionManager.java
@@ -7,7 +7,7 @@
 import cinderhollow.core.SocketReads;
 import cinderhollow.core.Transport;
 import cinderhollow.ledger.RequestEnd;
-import cinderhollow.ledger.Sheet;
+import cinderhollow.ledger.LedgerCounters;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
@@ -152,7 +152,7 @@
     private final EventLoopLag lag;
     private final Listener listener;
     /** Ledger counters for requests; null if no ledger is kept. */
-    private final Sheet ledgerCounters;
+    private final LedgerCounters ledgerCounters;
     private final int maxConnections;
     private final Set<Connection> connections = new LinkedHashSet<>();
     /** Connections that have had a request and have none open, the longest idle first. */
@@ -209,7 +209,7 @@
      * @param sheet ledger counters for requests, or null
      */
     public DownstreamConnectionManager(EventLoop loop, Transport transport, GatewayClock clock, EventLoopLag lag, int maxConnections,
-                        Listener listener, Sheet ledgerCounters) {
+                        Listener listener, LedgerCounters ledgerCounters) {
         this.lag = lag;
         this.ledgerCounters = ledgerCounters;
         this.loop = loop;
@@ -564,7 +564,7 @@
         }
 
         private void recordEnd(RequestEnd end) {
-            ledgerCounters.end(account, end, id);
+            ledgerCounters.recordEnded(account, end, id);
         }
 
         /**
@@ -1025,7 +1025,7 @@
                         assembler.sendPendingContinue();
                     }
                     if (reply.account != NO_ACCOUNT) {
-                        ledgerCounters.open(reply.account, reply.id);
+                        ledgerCounters.recordOpened(reply.account, reply.id);
                     }
                 }
             } catch (BadRequest e) {
--- a/src/main/java/cinderhollow/http1/UpstreamPool.java
+++ b/src/main/java/cinderhollow/http1/UpstreamPool.java
@@ -4,7 +4,7 @@
 import cinderhollow.core.GatewayClock;
 import cinderhollow.core.LagAwareTimers;
 import cinderhollow.core.Transport;
-import cinderhollow.ledger.Sheet;
+import cinderhollow.ledger.LedgerCounters;
 import cinderhollow.lifecycle.AttemptLifecycle;
 import cinderhollow.lifecycle.AttemptState;
 import cinderhollow.lifecycle.SendDecision;
@@ -118,7 +118,7 @@
     private final LagAwareTimers timers;
     private final int maxConnections;
     /** Ledger counters for attempts; null if no ledger is kept. */
-    private final Sheet ledgerCounters;
+    private final LedgerCounters ledgerCounters;
     /** Number of attempts in flight, by account. */
     private final long[] openAttempts;
     private long idleTimeoutNanos;
@@ -143,7 +143,7 @@
      * @param accounts number of ledger accounts
      */
     public UpstreamPool(EventLoop loop, Transport transport, GatewayClock clock, long dialTimeoutNanos, long serverIdleTimeoutNanos,
-             int maxConnections, Sheet ledgerCounters, int accounts) {
+             int maxConnections, LedgerCounters ledgerCounters, int accounts) {
         this.ledgerCounters = ledgerCounters;
         openAttempts = new long[accounts];
         this.loop = loop;
@@ -696,7 +696,7 @@
             lifecycle = new AttemptLifecycle(listener.id(), listener.monitor());
             if (ledgerCounters != null) {
                 openAttempts[listener.account()]++;
-                ledgerCounters.open(listener.account(), listener.id());
+                ledgerCounters.recordOpened(listener.account(), listener.id());
             }
         }
 
@@ -821,7 +821,7 @@
             outcome = finalOutcome;
             if (ledgerCounters != null) {
                 openAttempts[listener.account()]--;
-                ledgerCounters.end(listener.account(), finalOutcome, listener.id());
+                ledgerCounters.recordEnded(listener.account(), finalOutcome, listener.id());
             }
             if (timer != null) {
                 timer.cancel(false);
--- a/src/main/java/cinderhollow/ledger/JournalFrame.java
+++ b/src/main/java/cinderhollow/ledger/JournalFrame.java
@@ -98,15 +98,15 @@
     public void writeCheckpoint(Ledger ledger, List<EarlierRunTotals> earlier) {
         checkpoint = true;
         kind(RESET);
-        Sheet sheet = ledger.counters(LedgerPlace.CORE);
+        LedgerCounters sheet = ledger.counters(LedgerPlace.CORE);
         for (int account = 0; account < ledger.accounts().size(); account++) {
             kind(ACCOUNT);
             number(account);
             text(ledger.accounts().get(account));
-            if (sheet.opened(account) != 0) {
+            if (sheet.openedCount(account) != 0) {
                 kind(SUM);
                 number(account);
-                number(sheet.opened(account));
+                number(sheet.openedCount(account));
                 sheet.ends(account).forEach(this::number);
             }
         }
--- a/src/main/java/cinderhollow/ledger/Ledger.java
+++ b/src/main/java/cinderhollow/ledger/Ledger.java
@@ -10,7 +10,7 @@
 
 /**
  * Double-entry accounting of one event loop: the same requests are counted at the clients' side and at the core, and the same
- * attempts at the core and at the servers' side. Each place has its own {@link Sheet}. The number of requests or attempts open
+ * attempts at the core and at the servers' side. Each place has its own {@link LedgerCounters}. The number of requests or attempts open
  * at a place is found independently of these counters, by an {@link OpenCounter}, and {@link #findNewBreaches} compares them all. Call it
  * between events, when no event is half processed. Used by one thread only.
  */
@@ -23,7 +23,7 @@
     private static final int FINE_ACCOUNTS = 100;
 
     private final List<String> accounts;
-    private final Sheet[] sheets = new Sheet[LedgerPlace.values().length];
+    private final LedgerCounters[] sheets = new LedgerCounters[LedgerPlace.values().length];
     private final Ring ring;
     /** Latency histograms by account; null until the first latency of the account is recorded. */
     private final Histogram[] times;
@@ -37,7 +37,7 @@
         ring = new Ring(accounts.size());
         times = new Histogram[accounts.size()];
         for (LedgerPlace place : LedgerPlace.values()) {
-            sheets[place.ordinal()] = new Sheet(place, accounts.size(), ring);
+            sheets[place.ordinal()] = new LedgerCounters(place, accounts.size(), ring);
         }
     }
 
@@ -47,7 +47,7 @@
     }
 
     /** Returns the counters of a place, which only that place may update. */
-    public Sheet counters(LedgerPlace place) {
+    public LedgerCounters counters(LedgerPlace place) {
         return sheets[place.ordinal()];
     }
 
@@ -71,9 +71,9 @@
         List<LedgerMetrics.Times> taken = new ArrayList<>();
         for (int account = 0; account < accounts.size(); account++) {
             for (LedgerPlace place : LedgerPlace.values()) {
-                Sheet sheet = counters(place);
-                if (sheet.opened(account) != 0 || sheet.ended(account) != 0) {
-                    lines.add(new LedgerMetrics.Line(accounts.get(account), place, sheet.opened(account),
+                LedgerCounters sheet = counters(place);
+                if (sheet.openedCount(account) != 0 || sheet.endedCount(account) != 0) {
+                    lines.add(new LedgerMetrics.Line(accounts.get(account), place, sheet.openedCount(account),
                             sheet.ends(account), open.at(place, account)));
                 }
             }
@@ -104,9 +104,9 @@
         Set<String> broken = new HashSet<>();
         for (int account = 0; account < accounts.size(); account++) {
             for (LedgerPlace place : LedgerPlace.values()) {
-                Sheet sheet = counters(place);
-                long opened = sheet.opened(account);
-                long sum = sheet.ended(account) + open.at(place, account);
+                LedgerCounters sheet = counters(place);
+                long opened = sheet.openedCount(account);
+                long sum = sheet.endedCount(account) + open.at(place, account);
                 if (opened != sum) {
                     note(account, place + ": " + opened + " opened, but " + sum + " ended or open",
                             place + " " + (opened - sum), found, broken);
@@ -124,12 +124,12 @@
     public List<String> formatTotals(OpenCounter open) {
         List<String> text = new ArrayList<>();
         for (int account = 0; account < accounts.size(); account++) {
-            Sheet sheet = counters(LedgerPlace.CORE);
-            if (sheet.opened(account) != 0) {
-                StringBuilder line = new StringBuilder("ledger, " + accounts.get(account) + ": taken " + sheet.opened(account) + " =");
+            LedgerCounters sheet = counters(LedgerPlace.CORE);
+            if (sheet.openedCount(account) != 0) {
+                StringBuilder line = new StringBuilder("ledger, " + accounts.get(account) + ": taken " + sheet.openedCount(account) + " =");
                 for (RequestEnd end : RequestEnd.values()) {
                     line.append(' ').append(LedgerPlace.CORE.ends().get(end.ordinal())).append(' ')
-                            .append(sheet.ended(account, end.ordinal())).append(" +");
+                            .append(sheet.endedCount(account, end.ordinal())).append(" +");
                 }
                 text.add(line.append(" open ").append(open.at(LedgerPlace.CORE, account)).toString());
             }
@@ -138,14 +138,14 @@
     }
 
     private void compare(int account, LedgerPlace one, LedgerPlace other, List<Breach> found, Set<String> broken) {
-        compare(account, "opened", one, other, sheet -> sheet.opened(account), found, broken);
+        compare(account, "opened", one, other, sheet -> sheet.openedCount(account), found, broken);
         for (int end = 0; end < one.ends().size(); end++) {
             int number = end;
-            compare(account, one.ends().get(end), one, other, sheet -> sheet.ended(account, number), found, broken);
+            compare(account, one.ends().get(end), one, other, sheet -> sheet.endedCount(account, number), found, broken);
         }
     }
 
-    private void compare(int account, String what, LedgerPlace one, LedgerPlace other, ToLongFunction<Sheet> figure,
+    private void compare(int account, String what, LedgerPlace one, LedgerPlace other, ToLongFunction<LedgerCounters> figure,
                          List<Breach> found, Set<String> broken) {
         long here = figure.applyAsLong(counters(one));
         long there = figure.applyAsLong(counters(other));
--- a/src/test/java/cinderhollow/bench/LedgerBenchmark.java
+++ b/src/test/java/cinderhollow/bench/LedgerBenchmark.java
@@ -36,16 +36,16 @@
     @Benchmark
     public long counted() {
         int account = (int) (++request % 2);
-        ledger.counters(LedgerPlace.CORE).open(account, ID);
-        ledger.counters(LedgerPlace.ATTEMPTS).open(account, ID);
-        ledger.counters(LedgerPlace.NODES).open(account, ID);
-        ledger.counters(LedgerPlace.CLIENTS).open(account, ID);
-        ledger.counters(LedgerPlace.NODES).end(account, Outcome.SERVED, ID);
-        ledger.counters(LedgerPlace.ATTEMPTS).end(account, Outcome.SERVED, ID);
-        ledger.counters(LedgerPlace.CORE).end(account, RequestEnd.SERVED, ID);
-        ledger.counters(LedgerPlace.CLIENTS).end(account, RequestEnd.SERVED, ID);
+        ledger.counters(LedgerPlace.CORE).recordOpened(account, ID);
+        ledger.counters(LedgerPlace.ATTEMPTS).recordOpened(account, ID);
+        ledger.counters(LedgerPlace.NODES).recordOpened(account, ID);
+        ledger.counters(LedgerPlace.CLIENTS).recordOpened(account, ID);
+        ledger.counters(LedgerPlace.NODES).recordEnded(account, Outcome.SERVED, ID);
+        ledger.counters(LedgerPlace.ATTEMPTS).recordEnded(account, Outcome.SERVED, ID);
+        ledger.counters(LedgerPlace.CORE).recordEnded(account, RequestEnd.SERVED, ID);
+        ledger.counters(LedgerPlace.CLIENTS).recordEnded(account, RequestEnd.SERVED, ID);
         ledger.recordLatency(account, 1_000_000 + request % 1_000 * 1_000);
-        return ledger.counters(LedgerPlace.CORE).opened(account);
+        return ledger.counters(LedgerPlace.CORE).openedCount(account);
     }
 
     /** Writes the two journal entries of one request. */
--- a/src/test/java/cinderhollow/daemon/AdminTest.java
+++ b/src/test/java/cinderhollow/daemon/AdminTest.java
@@ -64,7 +64,7 @@
             f.client().ask(status("r", LONG_MILLIS));
             Gateway gateway = (Gateway) f.gateway;
             f.loops().get(0).submit(() -> {
-                gateway.ledger().counters(LedgerPlace.CORE).end(0, RequestEnd.SERVED, "twice");
+                gateway.ledger().counters(LedgerPlace.CORE).recordEnded(0, RequestEnd.SERVED, "twice");
                 gateway.findNewBreaches();
             }).sync();
             List<String> address = List.of(text(admin));
--- a/src/test/java/cinderhollow/daemon/JournalTest.java
+++ b/src/test/java/cinderhollow/daemon/JournalTest.java
@@ -67,12 +67,12 @@
         loop.submit(() -> {
             for (int i = 0; i < begin; i++) {
                 String id = "id-" + ++number;
-                ledger.counters(LedgerPlace.CORE).open(1, id);
+                ledger.counters(LedgerPlace.CORE).recordOpened(1, id);
                 open.put(number, id);
                 journal.recordOpened(number, 1, id);
             }
             for (long over : List.copyOf(open.keySet()).subList(0, end)) {
-                ledger.counters(LedgerPlace.CORE).end(1, RequestEnd.SERVED, open.remove(over));
+                ledger.counters(LedgerPlace.CORE).recordEnded(1, RequestEnd.SERVED, open.remove(over));
                 journal.recordEnded(over, RequestEnd.SERVED);
             }
         }).sync();
--- a/src/test/java/cinderhollow/daemon/LedgerOnSocketsTest.java
+++ b/src/test/java/cinderhollow/daemon/LedgerOnSocketsTest.java
@@ -57,14 +57,14 @@
         return onLoop(f, () -> {
             List<Long> ends = new ArrayList<>();
             for (RequestEnd end : RequestEnd.values()) {
-                ends.add(ledger(f).counters(LedgerPlace.CLIENTS).ended(account, end.ordinal()));
+                ends.add(ledger(f).counters(LedgerPlace.CLIENTS).endedCount(account, end.ordinal()));
             }
             return ends;
         });
     }
 
     private static long attempts(GatewayFixture f, int account, Outcome outcome) {
-        return onLoop(f, () -> ledger(f).counters(LedgerPlace.NODES).ended(account, outcome.ordinal()));
+        return onLoop(f, () -> ledger(f).counters(LedgerPlace.NODES).endedCount(account, outcome.ordinal()));
     }
 
     /** Asserts that all sums balance now, and that no breach was found before. */
@@ -102,7 +102,7 @@
             await("the client's leaving", () -> ends(f, SUBMIT).get(RequestEnd.ABANDONED.ordinal()) == 1);
             assertAddsUp(f);
             assertEquals(List.of(1L, 0L, 0L, 0L), ends(f, STATUS));
-            assertEquals(3L, onLoop(f, () -> ledger(f).counters(LedgerPlace.CORE).opened(SUBMIT)));
+            assertEquals(3L, onLoop(f, () -> ledger(f).counters(LedgerPlace.CORE).openedCount(SUBMIT)));
         }
     }
 
@@ -139,7 +139,7 @@
                 GatewayFixture f = gateway("[ledger]\n[class.status.second_copy]\nafter = \"20ms\"\n"
                         + "budget = { share = 1.0 }\n", a, b)) {
             assertEquals("fine", f.client().ask(status("r", LONG_MILLIS)).body());
-            await("both attempts' ends", () -> onLoop(f, () -> ledger(f).counters(LedgerPlace.NODES).ended(STATUS)) == 2);
+            await("both attempts' ends", () -> onLoop(f, () -> ledger(f).counters(LedgerPlace.NODES).endedCount(STATUS)) == 2);
             assertEquals(List.of(1L, 0L, 0L, 0L), ends(f, STATUS));
             assertAddsUp(f);
         }
@@ -166,7 +166,7 @@
             second.get(PATIENCE_MILLIS, TimeUnit.MILLISECONDS);
             client.socket.close();
             await("its leaving", () -> ends(f, STATUS).get(RequestEnd.ABANDONED.ordinal()) == 1);
-            assertEquals(2L, onLoop(f, () -> ledger(f).counters(LedgerPlace.CLIENTS).opened(STATUS)));
+            assertEquals(2L, onLoop(f, () -> ledger(f).counters(LedgerPlace.CLIENTS).openedCount(STATUS)));
             assertAddsUp(f);
         }
     }
@@ -233,7 +233,7 @@
         try (ScriptedHost a = new ScriptedHost(SERVES); GatewayFixture f = gateway("[ledger]\n", a)) {
             f.client().ask(submit("r", LONG_MILLIS, "x"));
             onLoop(f, () -> {
-                ledger(f).counters(LedgerPlace.CLIENTS).end(SUBMIT, RequestEnd.SERVED, "r");
+                ledger(f).counters(LedgerPlace.CLIENTS).recordEnded(SUBMIT, RequestEnd.SERVED, "r");
                 return null;
             });
             await("the alarm", () -> onLoop(f, () -> ledger(f).breachCount()) > 0);
--- a/src/test/java/cinderhollow/ledger/LedgerTest.java
+++ b/src/test/java/cinderhollow/ledger/LedgerTest.java
@@ -21,12 +21,12 @@
     private final long[][] open = new long[LedgerPlace.values().length][ACCOUNTS];
 
     private void open(LedgerPlace place, int account, String id) {
-        ledger.counters(place).open(account, id);
+        ledger.counters(place).recordOpened(account, id);
         open[place.ordinal()][account]++;
     }
 
     private void end(LedgerPlace place, int account, Enum<?> end, String id) {
-        ledger.counters(place).end(account, end.ordinal(), id);
+        ledger.counters(place).recordEnded(account, end.ordinal(), id);
         open[place.ordinal()][account]--;
     }
 
@@ -93,7 +93,7 @@
     void aDoubleCloseAtAnyPlaceIsABreach(LedgerPlace place) {
         play(new SplittableRandom(8), 100);
         Enum<?> end = place == LedgerPlace.CLIENTS || place == LedgerPlace.CORE ? RequestEnd.SERVED : Outcome.SERVED;
-        ledger.counters(place).end(2, end.ordinal(), "twice");
+        ledger.counters(place).recordEnded(2, end.ordinal(), "twice");
         List<Breach> found = check();
         assertTrue(found.stream().anyMatch(breach -> breach.rule().startsWith("served: ")), found.toString());
         found.forEach(breach -> assertEquals("GET /status/{account}/days", breach.account()));
@@ -111,14 +111,14 @@
 
     @Test
     void aBreachIsToldOnceUntilItGrowsAndStaysUntilAcknowledged() {
-        ledger.counters(LedgerPlace.CORE).end(0, RequestEnd.SERVED, "x");
+        ledger.counters(LedgerPlace.CORE).recordEnded(0, RequestEnd.SERVED, "x");
         assertEquals(2, check().size());
         assertEquals(List.of(), check());
         assertEquals(2, ledger.breachCount());
         ledger.acknowledge();
         assertEquals(0, ledger.breachCount());
         assertEquals(List.of(), check());
-        ledger.counters(LedgerPlace.CORE).end(0, RequestEnd.SERVED, "y");
+        ledger.counters(LedgerPlace.CORE).recordEnded(0, RequestEnd.SERVED, "y");
         assertEquals(2, check().size());
         assertEquals(2, ledger.breachCount());
     }
@@ -126,13 +126,13 @@
     /** Guards against false breaches when a 64-bit counter wraps around. */
     @Test
     void countersThatWrapStillAddUp() {
-        Sheet sheet = new Sheet(LedgerPlace.CORE, new Ring(1), new long[] {-3}, new long[] {-5, 0, 0, 0});
+        LedgerCounters sheet = new LedgerCounters(LedgerPlace.CORE, new Ring(1), new long[] {-3}, new long[] {-5, 0, 0, 0});
         for (int i = 0; i < 10; i++) {
-            sheet.open(0, "r");
-            sheet.end(0, RequestEnd.SERVED, "r");
+            sheet.recordOpened(0, "r");
+            sheet.recordEnded(0, RequestEnd.SERVED, "r");
         }
-        assertEquals(7, sheet.opened(0));
-        assertEquals(2, sheet.opened(0) - sheet.ended(0));
+        assertEquals(7, sheet.openedCount(0));
+        assertEquals(2, sheet.openedCount(0) - sheet.endedCount(0));
     }
 
     @Test
--- a/src/test/java/cinderhollow/ledger/OpenMetricsTest.java
+++ b/src/test/java/cinderhollow/ledger/OpenMetricsTest.java
@@ -26,14 +26,14 @@
         Ledger ledger = new Ledger(accounts);
         for (int i = 0; i < requests; i++) {
             int account = i % accounts.size();
-            ledger.counters(LedgerPlace.CORE).open(account, "r" + i);
-            ledger.counters(LedgerPlace.CLIENTS).open(account, "r" + i);
-            ledger.counters(LedgerPlace.ATTEMPTS).open(account, "r" + i);
-            ledger.counters(LedgerPlace.NODES).open(account, "r" + i);
-            ledger.counters(LedgerPlace.NODES).end(account, Outcome.SERVED, "r" + i);
-            ledger.counters(LedgerPlace.ATTEMPTS).end(account, Outcome.SERVED, "r" + i);
-            ledger.counters(LedgerPlace.CORE).end(account, RequestEnd.SERVED, "r" + i);
-            ledger.counters(LedgerPlace.CLIENTS).end(account, RequestEnd.SERVED, "r" + i);
+            ledger.counters(LedgerPlace.CORE).recordOpened(account, "r" + i);
+            ledger.counters(LedgerPlace.CLIENTS).recordOpened(account, "r" + i);
+            ledger.counters(LedgerPlace.ATTEMPTS).recordOpened(account, "r" + i);
+            ledger.counters(LedgerPlace.NODES).recordOpened(account, "r" + i);
+            ledger.counters(LedgerPlace.NODES).recordEnded(account, Outcome.SERVED, "r" + i);
+            ledger.counters(LedgerPlace.ATTEMPTS).recordEnded(account, Outcome.SERVED, "r" + i);
+            ledger.counters(LedgerPlace.CORE).recordEnded(account, RequestEnd.SERVED, "r" + i);
+            ledger.counters(LedgerPlace.CLIENTS).recordEnded(account, RequestEnd.SERVED, "r" + i);
             ledger.recordLatency(account, (i + 1) * 1_000_000L);
         }
         return ledger;
@@ -125,7 +125,7 @@
     @Test
     void whatDoesNotAddUpShowsInTheTotals() {
         Ledger broken = ledger(List.of("x", "y"), 10);
-        broken.counters(LedgerPlace.NODES).end(1, Outcome.RESET, "twice");
+        broken.counters(LedgerPlace.NODES).recordEnded(1, Outcome.RESET, "twice");
         Totals totals = new Totals();
         totals.add(text(ledger(List.of("x", "y"), 10)));
         totals.add(text(broken));
--- a/src/test/java/cinderhollow/ledger/RecoveryTest.java
+++ b/src/test/java/cinderhollow/ledger/RecoveryTest.java
@@ -35,14 +35,14 @@
             if (open.isEmpty() || random.nextInt(5) < 3) {
                 int account = random.nextInt(ACCOUNTS.size());
                 String id = "id-" + ++number;
-                ledger.counters(LedgerPlace.CORE).open(account, id);
+                ledger.counters(LedgerPlace.CORE).recordOpened(account, id);
                 frame.writeOpened(number, account, id);
                 open.put(number, id);
                 accounts.put(number, account);
             } else {
                 long over = List.copyOf(open.keySet()).get(random.nextInt(open.size()));
                 RequestEnd end = RequestEnd.values()[random.nextInt(RequestEnd.values().length)];
-                ledger.counters(LedgerPlace.CORE).end(accounts.get(over), end, open.get(over));
+                ledger.counters(LedgerPlace.CORE).recordEnded(accounts.get(over), end, open.get(over));
                 frame.writeEnded(over, end);
                 open.remove(over);
             }
