--- a/src/main/java/cinderhollow/cli/LedgerCommand.java
+++ b/src/main/java/cinderhollow/cli/LedgerCommand.java
@@ -1,7 +1,7 @@
 package cinderhollow.cli;
 
 import cinderhollow.daemon.AdminClient;
-import cinderhollow.ledger.Totals;
+import cinderhollow.ledger.LedgerTotals;
 import java.io.IOException;
 import java.util.List;
 import java.util.concurrent.Callable;
@@ -43,7 +43,7 @@
     @Override
     public Integer call() throws IOException, InterruptedException {
         List<String> addresses = whom.fleet == null ? List.of(whom.admin) : whom.fleet;
-        Totals totals = show(addresses);
+        LedgerTotals totals = show(addresses);
         while (watch) {
             TimeUnit.SECONDS.sleep(1);
             totals = show(addresses);
@@ -51,12 +51,12 @@
         if (acknowledge) {
             AdminClient.acknowledgeBreaches(addresses);
         }
-        return totals.addUp() ? 0 : BROKEN;
+        return totals.isBalanced() ? 0 : BROKEN;
     }
 
-    private Totals show(List<String> addresses) throws IOException {
-        Totals totals = AdminClient.ledgerTotals(addresses);
-        Commands.print(spec, totals.table());
+    private LedgerTotals show(List<String> addresses) throws IOException {
+        LedgerTotals totals = AdminClient.ledgerTotals(addresses);
+        Commands.print(spec, totals.formatTable());
         return totals;
     }
 }
--- a/src/main/java/cinderhollow/daemon/AdminClient.java
+++ b/src/main/java/cinderhollow/daemon/AdminClient.java
@@ -1,6 +1,6 @@
 package cinderhollow.daemon;
 
-import cinderhollow.ledger.Totals;
+import cinderhollow.ledger.LedgerTotals;
 import cinderhollow.membership.EndpointList;
 import java.io.IOException;
 import java.net.SocketAddress;
@@ -32,10 +32,10 @@
     }
 
     /** Returns the sums of the ledgers of the gateways at these addresses. */
-    public static Totals ledgerTotals(List<String> addresses) throws IOException {
-        Totals totals = new Totals();
+    public static LedgerTotals ledgerTotals(List<String> addresses) throws IOException {
+        LedgerTotals totals = new LedgerTotals();
         for (String address : addresses) {
-            totals.add(metrics(address));
+            totals.addInstance(metrics(address));
         }
         return totals;
     }
--- a/src/main/java/cinderhollow/ledger/Totals.java
+++ b/src/main/java/cinderhollow/ledger/LedgerTotals.java
@@ -10,7 +10,7 @@
 import java.util.regex.Pattern;
 
 /** Adds up the ledgers of several gateways from their metrics texts, and checks the sums independently of the gateways. */
-public final class Totals {
+public final class LedgerTotals {
     private static final Pattern SAMPLE = Pattern.compile("([a-z_]+)\\{(.*)} ([0-9.eE+-]+|NaN)");
     private static final Pattern LABEL = Pattern.compile("([a-z]+)=\"((?:[^\"\\\\]|\\\\.)*)\"");
 
@@ -47,7 +47,7 @@
      *
      * @throws IllegalArgumentException if the text is truncated or is not the metrics text of a gateway
      */
-    public void add(String text) {
+    public void addInstance(String text) {
         if (!text.endsWith("# EOF\n")) {
             throw new IllegalArgumentException("metrics text is truncated or not in OpenMetrics format");
         }
@@ -94,7 +94,7 @@
     }
 
     /** Returns whether all sums hold, the places agree, and no gateway reports an unacknowledged breach. */
-    public boolean addUp() {
+    public boolean isBalanced() {
         return breaches == 0 && faults().isEmpty();
     }
 
@@ -118,7 +118,7 @@
     }
 
     /** Returns a table for operators, with the overall result in its last line. */
-    public String table() {
+    public String formatTable() {
         StringBuilder text = new StringBuilder(String.format(Locale.ROOT, "%-36s %10s %10s %9s %9s %9s %7s %10s%n", "account",
                 "taken", "served", "refused", "failed", "abandoned", "open", "attempts"));
         rows.forEach((account, all) -> {
@@ -132,6 +132,6 @@
             text.append(orphaned).append(" requests of earlier lives were cut off and may have run\n");
         }
         return text.append(instances).append(instances == 1 ? " instance, " : " instances, ").append(breaches)
-                .append(" breaches not acknowledged: ").append(addUp() ? "all adds up" : "IT DOES NOT ADD UP").toString();
+                .append(" breaches not acknowledged: ").append(isBalanced() ? "all adds up" : "IT DOES NOT ADD UP").toString();
     }
 }
--- a/src/test/java/cinderhollow/daemon/AdminTest.java
+++ b/src/test/java/cinderhollow/daemon/AdminTest.java
@@ -51,7 +51,7 @@
             for (int i = 0; i < 10; i++) {
                 f.client().ask(status("r" + i, LONG_MILLIS));
             }
-            String shown = AdminClient.ledgerTotals(List.of(text(admin))).table();
+            String shown = AdminClient.ledgerTotals(List.of(text(admin))).formatTable();
             assertTrue(shown.contains(" 10 "), shown);
             assertTrue(shown.endsWith("all adds up"), shown);
             assertEquals(2, f.gateway.ledgerMetrics().join().size());
@@ -68,9 +68,9 @@
                 gateway.findNewBreaches();
             }).sync();
             List<String> address = List.of(text(admin));
-            assertTrue(AdminClient.ledgerTotals(address).table().contains(" 2 breaches"));
+            assertTrue(AdminClient.ledgerTotals(address).formatTable().contains(" 2 breaches"));
             AdminClient.acknowledgeBreaches(address);
-            String shown = AdminClient.ledgerTotals(address).table();
+            String shown = AdminClient.ledgerTotals(address).formatTable();
             assertTrue(shown.contains(" 0 breaches"), shown);
             assertTrue(shown.endsWith("IT DOES NOT ADD UP"), shown);
         }
@@ -172,9 +172,9 @@
         try (ScriptedHost a = host(); GatewayFixture f = gateway("", a); Admin admin = onAnyPort(f)) {
             f.client().ask(status("r", LONG_MILLIS));
             var ended = f.gateway.shutDown();
-            assertTrue(AdminClient.ledgerTotals(List.of(text(admin))).table().endsWith("all adds up"));
+            assertTrue(AdminClient.ledgerTotals(List.of(text(admin))).formatTable().endsWith("all adds up"));
             await("the end", ended::isDone);
-            assertTrue(AdminClient.ledgerTotals(List.of(text(admin))).table().endsWith("all adds up"));
+            assertTrue(AdminClient.ledgerTotals(List.of(text(admin))).formatTable().endsWith("all adds up"));
         }
     }
 }
--- a/src/test/java/cinderhollow/ledger/OpenMetricsTest.java
+++ b/src/test/java/cinderhollow/ledger/OpenMetricsTest.java
@@ -112,13 +112,13 @@
     @Test
     void instancesAddUpAndNamesComeBackAsTheyWere() {
         String name = "GET /a \"b\" \\ c\nd";
-        Totals totals = new Totals();
-        totals.add(text(ledger(List.of(name), 40)));
-        totals.add(text(ledger(List.of(name), 2), ledger(List.of(name), 3)));
-        assertTrue(totals.addUp());
-        assertTrue(totals.table().contains(name));
-        assertTrue(totals.table().contains(" 45 "), totals.table());
-        assertTrue(totals.table().endsWith("2 instances, 0 breaches not acknowledged: all adds up"));
+        LedgerTotals totals = new LedgerTotals();
+        totals.addInstance(text(ledger(List.of(name), 40)));
+        totals.addInstance(text(ledger(List.of(name), 2), ledger(List.of(name), 3)));
+        assertTrue(totals.isBalanced());
+        assertTrue(totals.formatTable().contains(name));
+        assertTrue(totals.formatTable().contains(" 45 "), totals.formatTable());
+        assertTrue(totals.formatTable().endsWith("2 instances, 0 breaches not acknowledged: all adds up"));
     }
 
     /** Guards against trusting the breach count of a gateway: the totals find an imbalance that the gateway does not report. */
@@ -126,13 +126,13 @@
     void whatDoesNotAddUpShowsInTheTotals() {
         Ledger broken = ledger(List.of("x", "y"), 10);
         broken.counters(LedgerPlace.NODES).recordEnded(1, Outcome.RESET, "twice");
-        Totals totals = new Totals();
-        totals.add(text(ledger(List.of("x", "y"), 10)));
-        totals.add(text(broken));
-        assertFalse(totals.addUp());
-        assertTrue(totals.table().contains("y: attempts at the nodes' side don't add up"), totals.table());
-        assertFalse(totals.table().contains("x: "));
-        assertThrows(IllegalArgumentException.class, () -> totals.add("# TYPE x gauge\nx 1\n"));
+        LedgerTotals totals = new LedgerTotals();
+        totals.addInstance(text(ledger(List.of("x", "y"), 10)));
+        totals.addInstance(text(broken));
+        assertFalse(totals.isBalanced());
+        assertTrue(totals.formatTable().contains("y: attempts at the nodes' side don't add up"), totals.formatTable());
+        assertFalse(totals.formatTable().contains("x: "));
+        assertThrows(IllegalArgumentException.class, () -> totals.addInstance("# TYPE x gauge\nx 1\n"));
     }
 
     /** The number of accounts is bounded by the configuration, not by what clients send; 10,000 of them are written. */
