--- a/src/main/java/cinderhollow/daemon/OpsSocketLauncher.java
+++ b/src/main/java/cinderhollow/daemon/OpsSocketLauncher.java
@@ -1,6 +1,6 @@
 package cinderhollow.daemon;
 
-import cinderhollow.ops.Desk;
+import cinderhollow.ops.GatewayControl;
 import cinderhollow.ops.Door;
 import cinderhollow.ops.Standing;
 import io.netty.channel.EventLoopGroup;
@@ -16,19 +16,19 @@
      * an {@link IllegalArgumentException}, which fails the start.
      */
     static Runnable open(EventLoopGroup group, SocketAddress address, GatewayService gateway) {
-        Door opsSocket = new Door(group.next(), new Desk() {
+        Door opsSocket = new Door(group.next(), new GatewayControl() {
             @Override
-            public CompletableFuture<Boolean> serves() {
+            public CompletableFuture<Boolean> isServing() {
                 return gateway.isServing();
             }
 
             @Override
-            public CompletableFuture<Standing> standing() {
+            public CompletableFuture<Standing> stats() {
                 return gateway.stats();
             }
 
             @Override
-            public CompletableFuture<Void> standby(boolean empty) {
+            public CompletableFuture<Void> setStandby(boolean empty) {
                 return gateway.setStandby(empty);
             }
         }, Gateway.OPS_SOCKET_DESCRIPTORS - 1);
--- a/src/main/java/cinderhollow/ops/Door.java
+++ b/src/main/java/cinderhollow/ops/Door.java
@@ -32,7 +32,7 @@
     private static final long SILENT_MILLIS = 10_000, LINGER_MILLIS = 500;
 
     private final EventLoop loop;
-    private final Desk desk;
+    private final GatewayControl desk;
     private final int mostCallers;
     /** Connections that have not sent a complete command, oldest first. */
     private final Set<Caller> silent = new LinkedHashSet<>();
@@ -40,7 +40,7 @@
     private Channel listener;
 
     /** Creates a socket that sends commands to this gateway and allows this number of connections at a time. */
-    public Door(EventLoop loop, Desk desk, int mostCallers) {
+    public Door(EventLoop loop, GatewayControl desk, int mostCallers) {
         this.mostCallers = mostCallers;
         this.loop = loop;
         this.desk = desk;
@@ -71,10 +71,10 @@
 
     private CompletableFuture<String> answer(String call) {
         return switch (call) {
-            case "status" -> desk.serves().thenApply(serves -> serves ? "200 serving\n" : "400 not serving\n");
-            case "stats" -> desk.standing().thenApply(standing -> standing.json() + "\nEOF\n");
-            case "standby" -> desk.standby(true).thenApply(done -> "200 standby\n");
-            case "active" -> desk.standby(false).thenApply(done -> "200 active\n");
+            case "status" -> desk.isServing().thenApply(serves -> serves ? "200 serving\n" : "400 not serving\n");
+            case "stats" -> desk.stats().thenApply(standing -> standing.json() + "\nEOF\n");
+            case "standby" -> desk.setStandby(true).thenApply(done -> "200 standby\n");
+            case "active" -> desk.setStandby(false).thenApply(done -> "200 active\n");
             default -> CompletableFuture.completedFuture("400 unknown call: one of status, stats, standby, active\n");
         };
     }
--- a/src/main/java/cinderhollow/ops/Desk.java
+++ b/src/main/java/cinderhollow/ops/GatewayControl.java
@@ -6,13 +6,13 @@
  * Commands that the operators' socket sends to a gateway. The methods may be called from any thread; each result reflects the
  * state of the gateway at one moment.
  */
-public interface Desk {
+public interface GatewayControl {
     /** Returns whether this process takes client requests. */
-    CompletableFuture<Boolean> serves();
+    CompletableFuture<Boolean> isServing();
 
     /** Returns the current figures of the gateway. */
-    CompletableFuture<Standing> standing();
+    CompletableFuture<Standing> stats();
 
     /** Turns standby on, which makes clients leave this gateway, or off, so that it takes clients again. */
-    CompletableFuture<Void> standby(boolean empty);
+    CompletableFuture<Void> setStandby(boolean empty);
 }
--- a/src/test/java/cinderhollow/ops/DoorTest.java
+++ b/src/test/java/cinderhollow/ops/DoorTest.java
@@ -31,20 +31,20 @@
 
     @BeforeEach
     void open() throws Exception {
-        Door door = new Door(group.next(), new Desk() {
+        Door door = new Door(group.next(), new GatewayControl() {
             @Override
-            public CompletableFuture<Boolean> serves() {
+            public CompletableFuture<Boolean> isServing() {
                 return CompletableFuture.completedFuture(serving);
             }
 
             @Override
-            public CompletableFuture<Standing> standing() {
+            public CompletableFuture<Standing> stats() {
                 return CompletableFuture.supplyAsync(() -> new Standing(
                         Map.of("sub\"mit", new RequestCounters.Counts(1, 2, 3, 4)), 5, 6, 7, 8, 9), group.next());
             }
 
             @Override
-            public CompletableFuture<Void> standby(boolean empty) {
+            public CompletableFuture<Void> setStandby(boolean empty) {
                 standbys.add(empty);
                 return CompletableFuture.completedFuture(null);
             }
