--- a/src/main/java/cinderhollow/daemon/OpsSocketLauncher.java
+++ b/src/main/java/cinderhollow/daemon/OpsSocketLauncher.java
@@ -1,7 +1,7 @@
 package cinderhollow.daemon;
 
 import cinderhollow.ops.GatewayControl;
-import cinderhollow.ops.Door;
+import cinderhollow.ops.OpsSocket;
 import cinderhollow.ops.Standing;
 import io.netty.channel.EventLoopGroup;
 import java.net.SocketAddress;
@@ -16,7 +16,7 @@
      * an {@link IllegalArgumentException}, which fails the start.
      */
     static Runnable open(EventLoopGroup group, SocketAddress address, GatewayService gateway) {
-        Door opsSocket = new Door(group.next(), new GatewayControl() {
+        OpsSocket opsSocket = new OpsSocket(group.next(), new GatewayControl() {
             @Override
             public CompletableFuture<Boolean> isServing() {
                 return gateway.isServing();
--- a/src/main/java/cinderhollow/ops/Door.java
+++ b/src/main/java/cinderhollow/ops/OpsSocket.java
@@ -23,7 +23,7 @@
 /**
  * The operators' socket: a connection carries one command line and one reply, and is then closed. Runs on one event loop.
  */
-public final class Door {
+public final class OpsSocket {
     private static final int LONGEST_LINE = 256;
     /**
      * A connection without a complete command is closed after 10 s, which is ample, since commands come from programs. After a
@@ -40,7 +40,7 @@
     private Channel listener;
 
     /** Creates a socket that sends commands to this gateway and allows this number of connections at a time. */
-    public Door(EventLoop loop, GatewayControl desk, int mostCallers) {
+    public OpsSocket(EventLoop loop, GatewayControl desk, int mostCallers) {
         this.mostCallers = mostCallers;
         this.loop = loop;
         this.desk = desk;
--- a/src/test/java/cinderhollow/ops/DoorTest.java
+++ b/src/test/java/cinderhollow/ops/DoorTest.java
@@ -31,7 +31,7 @@
 
     @BeforeEach
     void open() throws Exception {
-        Door door = new Door(group.next(), new GatewayControl() {
+        OpsSocket door = new OpsSocket(group.next(), new GatewayControl() {
             @Override
             public CompletableFuture<Boolean> isServing() {
                 return CompletableFuture.completedFuture(serving);
