--- a/src/main/java/cinderhollow/daemon/Gateway.java
+++ b/src/main/java/cinderhollow/daemon/Gateway.java
@@ -35,7 +35,7 @@
 import cinderhollow.membership.EndpointListDiffer;
 import cinderhollow.membership.StartTimes;
 import cinderhollow.membership.Subset;
-import cinderhollow.ops.Standing;
+import cinderhollow.ops.GatewayStats;
 import cinderhollow.policy.LoadBalancer;
 import cinderhollow.policy.Protocol.Actions;
 import cinderhollow.policy.Protocol.RequestHeadArrived;
@@ -389,14 +389,14 @@
     }
 
     @Override
-    public CompletableFuture<Standing> stats() {
+    public CompletableFuture<GatewayStats> stats() {
         return CompletableFuture.supplyAsync(() -> {
             Map<String, RequestCounters.Counts> counts = new HashMap<>();
             if (countersByClass != null) {
                 classes.keySet().forEach(this::countersFor);
                 countersByClass.forEach((name, counters) -> counts.put(name, counters.counts()));
             }
-            return new Standing(counts, openRequests.values().stream().filter(r -> !r.reply.isFinished()).count() + downstream.pipelinedRequestCount(),
+            return new GatewayStats(counts, openRequests.values().stream().filter(r -> !r.reply.isFinished()).count() + downstream.pipelinedRequestCount(),
                     upstreamPool.serverCount(), upstreamPool.serverCount() - policy.usableServerCount(), reloadsAccepted, reloadsRejected);
         }, loop);
     }
--- a/src/main/java/cinderhollow/daemon/GatewayService.java
+++ b/src/main/java/cinderhollow/daemon/GatewayService.java
@@ -4,7 +4,7 @@
 import cinderhollow.evacuation.ZoneStatus;
 import cinderhollow.handover.Snapshot;
 import cinderhollow.ledger.LedgerMetrics;
-import cinderhollow.ops.Standing;
+import cinderhollow.ops.GatewayStats;
 import io.netty.util.concurrent.Future;
 import java.net.InetSocketAddress;
 import java.util.List;
@@ -36,7 +36,7 @@
     CompletableFuture<Boolean> isServing();
 
     /** Returns the statistics for the operators' socket, all taken at one instant. */
-    CompletableFuture<Standing> stats();
+    CompletableFuture<GatewayStats> stats();
 
     /** Turns standby on (clients are sent to other gateways) or off; nothing else changes. */
     CompletableFuture<Void> setStandby(boolean enabled);
--- a/src/main/java/cinderhollow/daemon/MultiLoopGateway.java
+++ b/src/main/java/cinderhollow/daemon/MultiLoopGateway.java
@@ -6,7 +6,7 @@
 import cinderhollow.evacuation.ZoneStatus;
 import cinderhollow.handover.Snapshot;
 import cinderhollow.ledger.LedgerMetrics;
-import cinderhollow.ops.Standing;
+import cinderhollow.ops.GatewayStats;
 import io.netty.channel.EventLoop;
 import io.netty.channel.EventLoopGroup;
 import java.net.InetSocketAddress;
@@ -109,9 +109,9 @@
     }
 
     @Override
-    public CompletableFuture<Standing> stats() {
-        List<CompletableFuture<Standing>> each = gateways.stream().map(Gateway::stats).toList();
-        return allOf(each).thenApply(none -> each.stream().map(CompletableFuture::join).reduce(Standing::plus).orElseThrow());
+    public CompletableFuture<GatewayStats> stats() {
+        List<CompletableFuture<GatewayStats>> each = gateways.stream().map(Gateway::stats).toList();
+        return allOf(each).thenApply(none -> each.stream().map(CompletableFuture::join).reduce(GatewayStats::plus).orElseThrow());
     }
 
     @Override
--- a/src/main/java/cinderhollow/daemon/OpsSocketLauncher.java
+++ b/src/main/java/cinderhollow/daemon/OpsSocketLauncher.java
@@ -2,7 +2,7 @@
 
 import cinderhollow.ops.GatewayControl;
 import cinderhollow.ops.OpsSocket;
-import cinderhollow.ops.Standing;
+import cinderhollow.ops.GatewayStats;
 import io.netty.channel.EventLoopGroup;
 import java.net.SocketAddress;
 import java.util.concurrent.CompletableFuture;
@@ -23,7 +23,7 @@
             }
 
             @Override
-            public CompletableFuture<Standing> stats() {
+            public CompletableFuture<GatewayStats> stats() {
                 return gateway.stats();
             }
 
--- a/src/main/java/cinderhollow/ops/GatewayControl.java
+++ b/src/main/java/cinderhollow/ops/GatewayControl.java
@@ -11,7 +11,7 @@
     CompletableFuture<Boolean> isServing();
 
     /** Returns the current figures of the gateway. */
-    CompletableFuture<Standing> stats();
+    CompletableFuture<GatewayStats> stats();
 
     /** Turns standby on, which makes clients leave this gateway, or off, so that it takes clients again. */
     CompletableFuture<Void> setStandby(boolean empty);
--- a/src/test/java/cinderhollow/daemon/GatewayFixture.java
+++ b/src/test/java/cinderhollow/daemon/GatewayFixture.java
@@ -173,7 +173,7 @@
 
     /** Returns the number of requests that the gateway has accepted and not ended. */
     long open() {
-        return gateway.stats().join().open();
+        return gateway.stats().join().openRequests();
     }
 
     static String entry(String name, ScriptedHost host, String status, long sinceMillis) {
--- a/src/test/java/cinderhollow/daemon/LargeBodiesTest.java
+++ b/src/test/java/cinderhollow/daemon/LargeBodiesTest.java
@@ -96,8 +96,8 @@
                 assertEquals(body, ask(client, submit("a" + n, LONG_MILLIS, body)).body());
                 assertEquals(body, ask(client, chunkedSubmit("b" + n++, body)).body());
             }
-            assertEquals(new Counts(6, 0, 0, 6), f.gateway.stats().get().operations().get("submit"));
-            assertEquals(0, f.gateway.stats().get().open());
+            assertEquals(new Counts(6, 0, 0, 6), f.gateway.stats().get().countsByClass().get("submit"));
+            assertEquals(0, f.gateway.stats().get().openRequests());
         }
     }
 
@@ -159,7 +159,7 @@
             assertTrue(came.startsWith("HTTP/1.1 200 ") && came.length() < 200_000 && !came.endsWith("0\r\n\r\n"));
             assertEquals(1, host.requests.size());
             await("the count", () -> counts(f).equals(new Counts(0, 0, 1, 1)));
-            assertEquals(0, f.gateway.stats().get().open());
+            assertEquals(0, f.gateway.stats().get().openRequests());
         }
     }
 
@@ -187,7 +187,7 @@
     }
 
     private static Counts counts(GatewayFixture f) {
-        return f.gateway.stats().join().operations().get("status");
+        return f.gateway.stats().join().countsByClass().get("status");
     }
 
     /** One server is down; a request of which nothing has been sent to it can still be sent to the other server. */
@@ -239,7 +239,7 @@
             assertTrue(client.read().firstLine().contains(" 400 "));
             await("the host's end of it", () -> host.connections.get(0).isClosed());
             assertEquals(0, host.requests.size());
-            assertEquals(0, f.gateway.stats().get().open());
+            assertEquals(0, f.gateway.stats().get().openRequests());
         }
     }
 
@@ -258,7 +258,7 @@
             await("the answer's begin", () -> written.get() > 0);
             ScriptedHost.reset(reads.socket);
             await("its end", () -> host.connections.get(1).isClosed());
-            await("nothing open", () -> f.gateway.stats().join().open() == 0);
+            await("nothing open", () -> f.gateway.stats().join().openRequests() == 0);
         }
     }
 
@@ -317,7 +317,7 @@
             String upload = submit("o2", LONG_MILLIS, body);
             writes.write(upload.substring(0, 200_000));
             // No other request runs, so the open one is this upload; before its head is read, its class could be removed.
-            await("the upload", () -> f.gateway.stats().join().open() == 1);
+            await("the upload", () -> f.gateway.stats().join().openRequests() == 1);
             Client reads = f.client();
             reads.write(status("o1", LONG_MILLIS));
             int first = reads.socket.getInputStream().read();
@@ -334,7 +334,7 @@
             assertEquals('H', first);
             String rest = new String(reads.socket.getInputStream().readNBytes(LARGE), StandardCharsets.UTF_8);
             assertTrue(rest.contains("\r\n\r\n" + body.substring(0, LARGE - 1_000)));
-            assertEquals(1, f.gateway.stats().get().operations().get("submit").fulfilled());
+            assertEquals(1, f.gateway.stats().get().countsByClass().get("submit").fulfilled());
         }
     }
 
@@ -347,7 +347,7 @@
             assertTrue(client.read().firstLine().contains(" 408 "));
             await("the host's end of it", () -> host.connections.stream().allMatch(Socket::isClosed));
             assertEquals(0, host.requests.size());
-            assertEquals(new Counts(0, 0, 1, 0), f.gateway.stats().get().operations().get("submit"));
+            assertEquals(new Counts(0, 0, 1, 0), f.gateway.stats().get().countsByClass().get("submit"));
         }
     }
 
--- a/src/test/java/cinderhollow/daemon/LeavingTest.java
+++ b/src/test/java/cinderhollow/daemon/LeavingTest.java
@@ -128,7 +128,7 @@
             client.write(submit("r", LONG_MILLIS, "x").replace("Host: x", "Host: x\r\nIdempotency-Key: k"));
             await("the first attempt", () -> first.requests.size() == 1);
             line(watches.get(0), list(2, false, List.of(entry("late", late, "up", 0))));
-            await("the second host", () -> f.gateway.stats().join().listed() == 2);
+            await("the second host", () -> f.gateway.stats().join().endpoints() == 2);
             breaks.countDown();
             long begin = System.nanoTime();
             await("the end of the window", () -> System.nanoTime() - begin > TimeUnit.MILLISECONDS.toNanos(3_100));
--- a/src/test/java/cinderhollow/daemon/ReloadTest.java
+++ b/src/test/java/cinderhollow/daemon/ReloadTest.java
@@ -150,8 +150,8 @@
             }
             assertEquals("fine", f.client().ask(submit("r1", LONG_MILLIS, "x").replace("/submit", "/submit19")).body());
             assertTrue(f.client().ask(submit("r2", LONG_MILLIS, "x")).firstLine().contains(" 404 "));
-            assertEquals(10, f.gateway.stats().get().accepted());
-            assertEquals(10, f.gateway.stats().get().invalid());
+            assertEquals(10, f.gateway.stats().get().reloadsAccepted());
+            assertEquals(10, f.gateway.stats().get().reloadsRejected());
             assertEquals(1, old.connections.size(), "discovery, where it was, was asked no second time");
         }
     }
--- a/src/test/java/cinderhollow/daemon/RetuningTest.java
+++ b/src/test/java/cinderhollow/daemon/RetuningTest.java
@@ -12,7 +12,7 @@
 import cinderhollow.core.Json;
 import cinderhollow.core.RequestCounters.Counts;
 import cinderhollow.daemon.GatewayFixture.Client;
-import cinderhollow.ops.Standing;
+import cinderhollow.ops.GatewayStats;
 import java.io.IOException;
 import java.net.Socket;
 import java.nio.file.Files;
@@ -98,15 +98,15 @@
                 environment(text);
                 reload.run();
             }
-            Standing now = standing(f);
-            assertEquals(0, now.accepted());
-            assertEquals(bad.size(), now.invalid());
+            GatewayStats now = standing(f);
+            assertEquals(0, now.reloadsAccepted());
+            assertEquals(bad.size(), now.reloadsRejected());
             assertEquals("fine", f.client().ask(status("r1", LONG_MILLIS)).body());
             assertEquals("fine", f.client().ask(submit("r2", LONG_MILLIS, "x")).body());
         }
     }
 
-    private static Standing standing(GatewayFixture f) throws Exception {
+    private static GatewayStats standing(GatewayFixture f) throws Exception {
         return f.gateway.stats().get(PATIENCE_MILLIS, TimeUnit.MILLISECONDS);
     }
 
@@ -133,14 +133,14 @@
             assertTrue(f.client().ask(submit("a3", LONG_MILLIS, "x")).firstLine().contains(" 404 "));
             ScriptedHost.reply("200 OK", "of old").answer(asked, null);
             assertEquals("of old", open.read().body());
-            Standing now = standing(f);
-            assertEquals(new Counts(1, 0, 0, 1), now.operations().get("submit"), "a dropped class keeps its counts");
-            assertEquals(new Counts(1, 0, 0, 1), now.operations().get("audit"));
-            assertEquals(1, now.accepted());
+            GatewayStats now = standing(f);
+            assertEquals(new Counts(1, 0, 0, 1), now.countsByClass().get("submit"), "a dropped class keeps its counts");
+            assertEquals(new Counts(1, 0, 0, 1), now.countsByClass().get("audit"));
+            assertEquals(1, now.reloadsAccepted());
             environment(file());
             reload.run();
             assertEquals("fine", f.client().ask(submit("a4", LONG_MILLIS, "x")).body());
-            assertEquals(new Counts(2, 0, 0, 2), standing(f).operations().get("submit"));
+            assertEquals(new Counts(2, 0, 0, 2), standing(f).countsByClass().get("submit"));
         }
     }
 }
--- a/src/test/java/cinderhollow/daemon/StandbyTest.java
+++ b/src/test/java/cinderhollow/daemon/StandbyTest.java
@@ -12,7 +12,7 @@
 import cinderhollow.core.RequestCounters.Counts;
 import cinderhollow.daemon.GatewayFixture.Client;
 import cinderhollow.daemon.ScriptedHost.Message;
-import cinderhollow.ops.Standing;
+import cinderhollow.ops.GatewayStats;
 import java.net.Socket;
 import java.util.Map;
 import java.util.concurrent.CompletableFuture;
@@ -21,7 +21,7 @@
 
 /** Standby and return to active: connections of clients are closed and accepted again; and the counts that operators read. */
 class StandbyTest {
-    private static Standing standing(GatewayFixture f) throws Exception {
+    private static GatewayStats standing(GatewayFixture f) throws Exception {
         return f.gateway.stats().get(PATIENCE_MILLIS, TimeUnit.MILLISECONDS);
     }
 
@@ -94,13 +94,13 @@
             assertTrue(f.get("/ready").firstLine().contains(" 503 "), "active does not cancel a shutdown");
             assertEquals(false, f.gateway.isServing().get(PATIENCE_MILLIS, TimeUnit.MILLISECONDS));
             ended.get(PATIENCE_MILLIS, TimeUnit.MILLISECONDS);
-            assertEquals(1, standing(f).operations().get("status").fulfilled(), "counts are readable to the end");
+            assertEquals(1, standing(f).countsByClass().get("status").fulfilled(), "counts are readable to the end");
         }
     }
 
     private static long open(GatewayFixture f) {
         try {
-            return standing(f).open();
+            return standing(f).openRequests();
         } catch (Exception e) {
             throw new AssertionError(e);
         }
@@ -119,7 +119,7 @@
             }
         }); GatewayFixture f = GatewayFixture.asked(host)) {
             assertEquals(Map.of("status", new Counts(0, 0, 0, 0), "submit", new Counts(0, 0, 0, 0)),
-                    standing(f).operations());
+                    standing(f).countsByClass());
             Client client = f.client();
             client.ask(status("ok1", LONG_MILLIS));
             client.ask(status("ok2", LONG_MILLIS));
@@ -132,20 +132,20 @@
             await("the write's end", () -> counts(f, "submit").relayed() == 2);
             assertEquals(new Counts(2, 0, 0, 2), counts(f, "status"));
             assertEquals(new Counts(0, 0, 2, 2), counts(f, "submit"), "an error, and one without an id");
-            Standing now = standing(f);
-            assertEquals(1, now.open());
-            assertEquals(1, now.listed());
-            assertEquals(0, now.avoided());
+            GatewayStats now = standing(f);
+            assertEquals(1, now.openRequests());
+            assertEquals(1, now.endpoints());
+            assertEquals(0, now.outOfRotation());
             ScriptedHost.reply("200 OK", "late").answer(asked, null);
             waits.read();
             assertEquals(new Counts(1, 0, 2, 2), counts(f, "submit"));
-            assertEquals(0, standing(f).open());
+            assertEquals(0, standing(f).openRequests());
         }
     }
 
     private static Counts counts(GatewayFixture f, String requestClass) {
         try {
-            return standing(f).operations().get(requestClass);
+            return standing(f).countsByClass().get(requestClass);
         } catch (Exception e) {
             throw new AssertionError(e);
         }
--- a/src/test/java/cinderhollow/ops/DoorTest.java
+++ b/src/test/java/cinderhollow/ops/DoorTest.java
@@ -38,8 +38,8 @@
             }
 
             @Override
-            public CompletableFuture<Standing> stats() {
-                return CompletableFuture.supplyAsync(() -> new Standing(
+            public CompletableFuture<GatewayStats> stats() {
+                return CompletableFuture.supplyAsync(() -> new GatewayStats(
                         Map.of("sub\"mit", new RequestCounters.Counts(1, 2, 3, 4)), 5, 6, 7, 8, 9), group.next());
             }
 
