--- a/src/main/java/cinderhollow/daemon/Gateway.java
+++ b/src/main/java/cinderhollow/daemon/Gateway.java
@@ -407,15 +407,15 @@
                 .map(Gateway::toEndpointEntry).toList(), standby), loop);
     }
 
-    private static Snapshot.Host toEndpointEntry(Endpoint e) {
+    private static Snapshot.EndpointEntry toEndpointEntry(Endpoint e) {
         InetSocketAddress address = (InetSocketAddress) e.address();
         ServerInfo info = e.info();
-        return new Snapshot.Host(info.id(), address.getHostString() + ":" + address.getPort(), info.zone(), info.machineType(),
+        return new Snapshot.EndpointEntry(info.id(), address.getHostString() + ":" + address.getPort(), info.zone(), info.machineType(),
                 info.cell(), info.readiness() != Readiness.READY, info.capacityHint(),
                 TimeUnit.NANOSECONDS.toMillis(info.startedAtNanos()));
     }
 
-    private static Endpoint toEndpoint(Snapshot.Host h) {
+    private static Endpoint toEndpoint(Snapshot.EndpointEntry h) {
         return new Endpoint(new ServerInfo(h.name(), h.zone(), h.type(), h.group(),
                 h.draining() ? Readiness.DRAINING : Readiness.READY, h.weight(), GatewayClock.ofUnixMillis(h.sinceMillis())),
                 EndpointList.parseAddress(h.address()));
@@ -428,10 +428,10 @@
     @Override
     public CompletableFuture<Void> restore(Snapshot snapshot) {
         return CompletableFuture.runAsync(() -> {
-            if (!discoveryResolved && listChanges == null && !snapshot.hosts().isEmpty()) {
-                applyList(ListKind.CACHED, new EndpointList(snapshot.index(), true, snapshot.hosts().stream().map(Gateway::toEndpoint).toList()));
+            if (!discoveryResolved && listChanges == null && !snapshot.endpoints().isEmpty()) {
+                applyList(ListKind.CACHED, new EndpointList(snapshot.listIndex(), true, snapshot.endpoints().stream().map(Gateway::toEndpoint).toList()));
             }
-            dispatch(new LearnedStateReceived(snapshot.memory()));
+            dispatch(new LearnedStateReceived(snapshot.learnedState()));
             if (snapshot.standby()) {
                 standby = true;
                 downstream.setStandby(true);
--- a/src/main/java/cinderhollow/daemon/Handover.java
+++ b/src/main/java/cinderhollow/daemon/Handover.java
@@ -167,12 +167,12 @@
         protected void decode(ChannelHandlerContext ctx, ByteBuf in, List<Object> out) {
             if (headerLine == null) {
                 int lineEnd = in.bytesBefore((byte) '\n');
-                if (lineEnd < 0 && in.readableBytes() <= Snapshot.LONGEST_LINE) {
+                if (lineEnd < 0 && in.readableBytes() <= Snapshot.MAX_HEADER_BYTES) {
                     return;
                 }
                 headerLine = in.readCharSequence(lineEnd < 0 ? 0 : lineEnd + 1, StandardCharsets.US_ASCII).toString();
             }
-            int length = Snapshot.length(headerLine);
+            int length = Snapshot.bodyLength(headerLine);
             if (in.readableBytes() >= length && !snapshot.isDone()) {
                 byte[] body = new byte[length];
                 in.readBytes(body);
--- a/src/main/java/cinderhollow/handover/Snapshot.java
+++ b/src/main/java/cinderhollow/handover/Snapshot.java
@@ -14,26 +14,26 @@
  * State that a gateway hands over to its successor. Encoded as a header line, with a magic word, the version, the length of the
  * body in bytes and its CRC-32 in hexadecimal, and a body in JSON.
  *
- * @param memory what the decision module has learned
- * @param index discovery's index of the endpoint list
- * @param hosts the endpoint list, as received from discovery
+ * @param learnedState what the decision module has learned
+ * @param listIndex discovery's index of the endpoint list
+ * @param endpoints the endpoint list, as received from discovery
  * @param standby whether the gateway is in standby
  */
-public record Snapshot(LearnedState memory, long index, List<Host> hosts, boolean standby) {
+public record Snapshot(LearnedState learnedState, long listIndex, List<EndpointEntry> endpoints, boolean standby) {
     /** Maximum length of the body; a longer one is rejected, so that a peer that is no gateway cannot exhaust memory. */
     public static final int MOST_BYTES = 1 << 20;
     /** Maximum length of the header line in bytes. */
-    public static final int LONGEST_LINE = 64;
+    public static final int MAX_HEADER_BYTES = 64;
     static final int VERSION = 1;
     private static final String WORD = "kestrelpier-handover";
 
     /** An entry of the endpoint list, with the fields of discovery. */
-    public record Host(String name, String address, String zone, String type, int group, boolean draining, double weight,
+    public record EndpointEntry(String name, String address, String zone, String type, int group, boolean draining, double weight,
                        long sinceMillis) { }
 
     /** Copies the endpoint list. */
     public Snapshot {
-        hosts = List.copyOf(hosts);
+        endpoints = List.copyOf(endpoints);
     }
 
     /**
@@ -44,15 +44,15 @@
     public byte[] encode() {
         Map<String, Object> fields = new LinkedHashMap<>();
         fields.put("standby", standby);
-        fields.put("index", index);
-        fields.put("hosts", hosts.stream().map(Snapshot::fields).toList());
-        fields.put("pressure", memory.pressure());
-        fields.put("lateness", memory.latencyToBudgetRatio());
-        fields.put("warm_rate", memory.requestRatePerServer());
-        fields.put("servers", memory.servers().stream().map(s -> Map.of("id", s.id(), "started", s.startedAtNanos(),
+        fields.put("index", listIndex);
+        fields.put("hosts", endpoints.stream().map(Snapshot::fields).toList());
+        fields.put("pressure", learnedState.pressure());
+        fields.put("lateness", learnedState.latencyToBudgetRatio());
+        fields.put("warm_rate", learnedState.requestRatePerServer());
+        fields.put("servers", learnedState.servers().stream().map(s -> Map.of("id", s.id(), "started", s.startedAtNanos(),
                 "share", s.share(), "limit", s.inFlightLimit(), "recent", s.recentRelativeLatency(), "failures", s.failureRate(),
                 "silent", s.silent())).toList());
-        fields.put("classes", memory.classes().stream().map(c -> Map.of("name", c.name(), "latency", c.meanLatencyNanos(),
+        fields.put("classes", learnedState.classes().stream().map(c -> Map.of("name", c.name(), "latency", c.meanLatencyNanos(),
                 "calmest", c.minMeanLatencyNanos(), "served", c.servedCount())).toList());
         byte[] body = Json.text(fields).getBytes(StandardCharsets.UTF_8);
         if (body.length > MOST_BYTES) {
@@ -66,7 +66,7 @@
         return all;
     }
 
-    private static Map<String, Object> fields(Host host) {
+    private static Map<String, Object> fields(EndpointEntry host) {
         return Map.of("name", host.name(), "address", host.address(), "zone", host.zone(), "type", host.type(), "group",
                 host.group(), "draining", host.draining(), "weight", host.weight(), "since_ms", host.sinceMillis());
     }
@@ -82,7 +82,7 @@
      *
      * @throws IllegalArgumentException if the line is not the header of a snapshot, or of one that this program cannot read
      */
-    public static int length(String line) {
+    public static int bodyLength(String line) {
         String[] words = line.strip().split(" ");
         if (words.length != 4 || !words[0].equals(WORD)) {
             throw new IllegalArgumentException("not a snapshot: unknown header line");
@@ -103,8 +103,8 @@
      * @throws IllegalArgumentException if the snapshot is truncated or corrupt, or lacks a field
      */
     public static Snapshot decode(String line, byte[] body) {
-        if (body.length != length(line)) {
-            throw new IllegalArgumentException("wrong snapshot length: got " + body.length + " bytes of " + length(line));
+        if (body.length != bodyLength(line)) {
+            throw new IllegalArgumentException("wrong snapshot length: got " + body.length + " bytes of " + bodyLength(line));
         }
         if (!line.strip().endsWith(String.format(Locale.ROOT, " %08x", crc(body)))) {
             throw new IllegalArgumentException("snapshot checksum does not match");
@@ -120,9 +120,9 @@
             classes.add(new LearnedState.ClassEntry(c.required("name").text(), number(c, "latency"), number(c, "calmest"),
                     whole(c, "served")));
         }
-        List<Host> hosts = new ArrayList<>();
+        List<EndpointEntry> hosts = new ArrayList<>();
         for (Json h : json.required("hosts").entries()) {
-            hosts.add(new Host(h.required("name").text(), h.required("address").text(), h.required("zone").text(),
+            hosts.add(new EndpointEntry(h.required("name").text(), h.required("address").text(), h.required("zone").text(),
                     h.required("type").text(), (int) whole(h, "group"), h.required("draining").isTrue(), number(h, "weight"),
                     whole(h, "since_ms")));
         }
--- a/src/test/java/cinderhollow/daemon/HandoverTest.java
+++ b/src/test/java/cinderhollow/daemon/HandoverTest.java
@@ -79,8 +79,8 @@
             offer(old);
             Runnable serves = takeOver(next);
             assertTrue(logged("took over"), log.toString());
-            assertEquals(20, snapshot(next).memory().classes().get(0).servedCount());
-            assertEquals(snapshot(old).hosts(), snapshot(next).hosts());
+            assertEquals(20, snapshot(next).learnedState().classes().get(0).servedCount());
+            assertEquals(snapshot(old).endpoints(), snapshot(next).endpoints());
             assertTrue(next.get("/ready").firstLine().contains(" 503 "), "a gateway in standby stays in standby");
             assertTrue(!logged("a successor process serves"));
             serves.run();
@@ -101,7 +101,7 @@
             offer(second);
             await("the second's offer", () -> folder.toFile().list().length == 1);
             takeOver(third);
-            assertEquals(2, snapshot(third).memory().classes().get(0).servedCount());
+            assertEquals(2, snapshot(third).learnedState().classes().get(0).servedCount());
         }
     }
 
--- a/src/test/java/cinderhollow/handover/SnapshotTest.java
+++ b/src/test/java/cinderhollow/handover/SnapshotTest.java
@@ -16,8 +16,8 @@
     private static final Snapshot SOME = new Snapshot(new LearnedState(0.5, 0.25, 12.5,
             List.of(new LearnedState.ServerEntry("s-1", 1_700_000_000_123_000_000L, 0.25, 3.5, 1.5, 0.125, true)),
             List.of(new LearnedState.ClassEntry("submit", 1.5e7, 1.25e7, 400))), 41,
-            List.of(new Snapshot.Host("s-1", "10.1.0.18:8080", "a", "m\"2", 3, false, 1.5, 1_700_000_000_123L),
-                    new Snapshot.Host("s-2", "10.1.0.19:8080", "b", "m2", 4, true, 1, 0)), true);
+            List.of(new Snapshot.EndpointEntry("s-1", "10.1.0.18:8080", "a", "m\"2", 3, false, 1.5, 1_700_000_000_123L),
+                    new Snapshot.EndpointEntry("s-2", "10.1.0.19:8080", "b", "m2", 4, true, 1, 0)), true);
 
     private static int bodyAt(byte[] bytes) {
         return new String(bytes, StandardCharsets.ISO_8859_1).indexOf('\n') + 1;
@@ -56,10 +56,10 @@
     void anotherProgramsAndAnotherVersionsIsSaidToBeSo() {
         String line = new String(SOME.encode(), 0, bodyAt(SOME.encode()), StandardCharsets.US_ASCII);
         assertEquals("unsupported snapshot version 2, expected 1", assertThrows(IllegalArgumentException.class,
-                () -> Snapshot.length(line.replace(" 1 ", " 2 "))).getMessage());
+                () -> Snapshot.bodyLength(line.replace(" 1 ", " 2 "))).getMessage());
         for (String other : List.of("", "\n", "HTTP/1.1 400 Bad Request\r\n", "kestrelpier-handover 1 99999999 00000000\n",
                 "kestrelpier-handover 1 -5 00000000\n", "kestrelpier-handover 1 5\n")) {
-            assertThrows(IllegalArgumentException.class, () -> Snapshot.length(other), other);
+            assertThrows(IllegalArgumentException.class, () -> Snapshot.bodyLength(other), other);
         }
     }
 
@@ -69,11 +69,11 @@
      */
     @Test
     void itsSizeIsBounded() {
-        assertEquals(2_000, decode(withHosts(2_000).encode()).hosts().size());
+        assertEquals(2_000, decode(withHosts(2_000).encode()).endpoints().size());
         assertThrows(IllegalArgumentException.class, () -> withHosts(20_000).encode());
     }
 
     private static Snapshot withHosts(int hosts) {
-        return new Snapshot(SOME.memory(), 1, Collections.nCopies(hosts, SOME.hosts().get(0)), false);
+        return new Snapshot(SOME.learnedState(), 1, Collections.nCopies(hosts, SOME.endpoints().get(0)), false);
     }
 }
