--- a/src/main/java/cinderhollow/operator/OperatorFile.java
+++ b/src/main/java/cinderhollow/operator/OperatorFile.java
@@ -702,7 +702,7 @@
                 if (p.segments().equals(q.segments())) {
                     findings.add(new Finding(lines.get(i), "route", Rule.ROUTE_SHADOWED, b + " is never used: " + a
                             + " in line " + lines.get(j) + " matches the same requests"));
-                } else if (p.overlaps(q) && !p.isMoreExactThan(q) && !q.isMoreExactThan(p)) {
+                } else if (p.overlaps(q) && !p.isMoreSpecificThan(q) && !q.isMoreSpecificThan(p)) {
                     findings.add(new Finding(lines.get(i), "route", Rule.ROUTES_OVERLAP, b + " and " + a + " in line "
                             + lines.get(j) + " match the same requests"));
                 }
--- a/src/main/java/cinderhollow/routes/PathPattern.java
+++ b/src/main/java/cinderhollow/routes/PathPattern.java
@@ -88,7 +88,7 @@
      * Returns whether this pattern takes precedence over the other wherever both match: none of its segments is less specific
      * than the other's at the same position, and at least one is more specific.
      */
-    public boolean isMoreExactThan(PathPattern other) {
+    public boolean isMoreSpecificThan(PathPattern other) {
         boolean more = false;
         for (int i = 0; i < Math.min(segments.size(), other.segments.size()); i++) {
             int mine = rank(segments.get(i));
--- a/src/test/java/cinderhollow/routes/RouteTableTest.java
+++ b/src/test/java/cinderhollow/routes/RouteTableTest.java
@@ -69,8 +69,8 @@
                 Route next = route(random.nextBoolean() ? "GET" : "POST", pattern(random));
                 boolean clear = routes.stream().noneMatch(r -> r.method().equals(next.method())
                         && (r.pattern().segments().equals(next.pattern().segments())
-                        || r.pattern().overlaps(next.pattern()) && !r.pattern().isMoreExactThan(next.pattern())
-                        && !next.pattern().isMoreExactThan(r.pattern())));
+                        || r.pattern().overlaps(next.pattern()) && !r.pattern().isMoreSpecificThan(next.pattern())
+                        && !next.pattern().isMoreSpecificThan(r.pattern())));
                 if (clear) {
                     routes.add(next);
                 }
@@ -81,7 +81,7 @@
                 Route best = null;
                 for (Route r : routes) {
                     boolean matches = r.method().equals("GET") && r.pattern().overlaps(PathPattern.parse(path));
-                    best = matches && (best == null || r.pattern().isMoreExactThan(best.pattern())) ? r : best;
+                    best = matches && (best == null || r.pattern().isMoreSpecificThan(best.pattern())) ? r : best;
                 }
                 assertEquals(best, table.find("GET", path), "seed " + seed + ", " + routes + ", " + path);
             }
