--- a/src/main/java/cinderhollow/daemon/Gateway.java
+++ b/src/main/java/cinderhollow/daemon/Gateway.java
@@ -833,7 +833,7 @@
             long nowNanos = clock.nanos();
             if (countersByClass != null) {
                 // Before the request is parsed: a request rejected as invalid is counted with its class too.
-                String className = Paths.firstPart(request.uri());
+                String className = Paths.firstSegment(request.uri());
                 reply.setCounters(classes.containsKey(className) ? countersFor(className) : null);
             }
             RequestArrived arrived = RequestReader.read(request, classes, routing,
--- a/src/main/java/cinderhollow/http1/RequestReader.java
+++ b/src/main/java/cinderhollow/http1/RequestReader.java
@@ -60,12 +60,12 @@
                                       boolean hasBody, long waitedNanos) throws BadRequest {
         HttpHeaders headers = request.headers();
         // Checked before the path is used: a path must not mean one class here and another at a server.
-        String fault = Paths.fault(request.uri());
+        String fault = Paths.findProblem(request.uri());
         if (fault != null) {
             throw new BadRequest(HttpResponseStatus.BAD_REQUEST, fault);
         }
         Routing.Match match = routing == null ? null : routing.find(request.method().name(), request.uri());
-        RequestClass requestClass = classes.get(routing == null ? Paths.firstPart(request.uri())
+        RequestClass requestClass = classes.get(routing == null ? Paths.firstSegment(request.uri())
                 : match == null ? "" : match.requestClass());
         if (requestClass == null) {
             throw new BadRequest(HttpResponseStatus.NOT_FOUND, "no such class of requests");
--- a/src/main/java/cinderhollow/routes/PathPattern.java
+++ b/src/main/java/cinderhollow/routes/PathPattern.java
@@ -58,7 +58,7 @@
         if (segments.get(0).equals(ONE) || segments.get(0).equals(REST)) {
             throw new IllegalArgumentException("first segment must be literal, or it would match the requests of every class");
         }
-        String wrong = Paths.fault(plain.toString());
+        String wrong = Paths.findProblem(plain.toString());
         if (wrong != null) {
             throw new IllegalArgumentException(wrong);
         }
--- a/src/main/java/cinderhollow/routes/Paths.java
+++ b/src/main/java/cinderhollow/routes/Paths.java
@@ -9,8 +9,8 @@
 public final class Paths {
     private Paths() { }
 
-    /** Returns the first segment of a path that {@link #fault} accepts. Where no route matches, it names the request's class. */
-    public static String firstPart(String target) {
+    /** Returns the first segment of a path that {@link #findProblem} accepts. Where no route matches, it names the request's class. */
+    public static String firstSegment(String target) {
         int end = end(target);
         int slash = target.indexOf('/', 1);
         return target.substring(Math.min(1, end), slash < 0 || slash > end ? end : slash);
@@ -20,7 +20,7 @@
      * Returns one line that says why the path of a request target is ambiguous or invalid, or null if the path is accepted.
      * The query, from the first question mark on, is not checked; only the server interprets it.
      */
-    public static String fault(String target) {
+    public static String findProblem(String target) {
         int end = end(target);
         if (end == 0 || target.charAt(0) != '/') {
             return "the target is no path";
--- a/src/main/java/cinderhollow/routes/RouteTable.java
+++ b/src/main/java/cinderhollow/routes/RouteTable.java
@@ -52,7 +52,7 @@
     /** Returns the route, or null if no pattern matches and no class has that name. {@link Paths} must accept the path. */
     public Route find(String method, String target) {
         Route found = find(root, method, target, 1, Paths.end(target));
-        return found != null ? found : byClass.get(Paths.firstPart(target));
+        return found != null ? found : byClass.get(Paths.firstSegment(target));
     }
 
     /** Recurses at most once for each segment of the path; at each position there are at most two children to try. */
--- a/src/test/java/cinderhollow/routes/PathsTest.java
+++ b/src/test/java/cinderhollow/routes/PathsTest.java
@@ -17,7 +17,7 @@
     @ValueSource(strings = {"/", "/status", "/status/", "/status/7?q=1", "/status/a%20b", "/a/b/c", "/a..b/.c/...",
         "/x/%C3%BC", "/s?next=/../a//b;c%2F", "/a:b@c!$&'()*+,=-._~"})
     void theUsualPathsAreUntouched(String target) {
-        assertNull(Paths.fault(target));
+        assertNull(Paths.findProblem(target));
     }
 
     @ParameterizedTest
@@ -27,7 +27,7 @@
         "/status/%0d%0a", "/status/%7f", "/status/%", "/status/%2", "/status/%zz", "/%73tatus", "/status/%41", "/st atus",
         "/status/\u00fc", "/status/\u0001", "/status#x", "/status/%3B", "/status/%25"})
     void whatHasTwoReadingsIsTurnedAway(String target) {
-        assertNotNull(Paths.fault(target));
+        assertNotNull(Paths.findProblem(target));
     }
 
     /** Guards against accepting a path that a server which normalizes paths reads differently. */
@@ -43,7 +43,7 @@
                 text.append(letters.charAt(random.nextInt(letters.length())));
             }
             String path = text.toString();
-            if (Paths.fault(path) == null) {
+            if (Paths.findProblem(path) == null) {
                 passed++;
                 assertEquals(path, URI.create("http://h" + path).normalize().getRawPath(), "seed " + seed);
             }
