--- a/src/main/java/cinderhollow/operator/OperatorFile.java
+++ b/src/main/java/cinderhollow/operator/OperatorFile.java
@@ -734,7 +734,7 @@
         }
         for (int i = 0; i < routes.size(); i++) {
             Route route = routes.get(i);
-            Terms terms = route.terms();
+            Terms terms = route.settings();
             Map<String, String> from = sources.get(i);
             text.add(route + (route.pattern() == null ? "" : "  (class " + route.requestClass() + ")"));
             row(text, "total", millis(terms.totalNanos()), from);
--- a/src/main/java/cinderhollow/routes/Route.java
+++ b/src/main/java/cinderhollow/routes/Route.java
@@ -6,9 +6,9 @@
  * @param method HTTP method of the requests
  * @param pattern pattern of their paths, or null for the route of a class, which takes requests that no pattern matches
  * @param requestClass name of the class that the requests belong to
- * @param terms time-outs, attempts and budgets
+ * @param settings time-outs, attempts and budgets
  */
-public record Route(String method, PathPattern pattern, String requestClass, Terms terms) {
+public record Route(String method, PathPattern pattern, String requestClass, Terms settings) {
     /** Returns the name of the route in messages and tables. */
     @Override
     public String toString() {
--- a/src/main/java/cinderhollow/routes/Routing.java
+++ b/src/main/java/cinderhollow/routes/Routing.java
@@ -17,7 +17,7 @@
     public Routing(List<Route> routes) {
         Map<String, Route> byClass = new HashMap<>();
         for (Route route : routes) {
-            matches.put(route, new Match(route.requestClass(), new RouteCourse(matches.size(), route.terms())));
+            matches.put(route, new Match(route.requestClass(), new RouteCourse(matches.size(), route.settings())));
             if (route.pattern() == null) {
                 byClass.put(route.requestClass(), route);
             }
--- a/src/test/java/cinderhollow/operator/OperatorFileTest.java
+++ b/src/test/java/cinderhollow/operator/OperatorFileTest.java
@@ -247,10 +247,10 @@
         assertEquals(List.of(), file.findings());
         Route first = file.routes().get(0);
         assertEquals("GET /status/{id}/days", first.toString());
-        assertEquals(4, first.terms().attempts());
-        assertEquals(600 * MS, first.terms().totalNanos());
+        assertEquals(4, first.settings().attempts());
+        assertEquals(600 * MS, first.settings().totalNanos());
         Route status = file.routes().stream().filter(r -> r.toString().equals("class status")).findFirst().orElseThrow();
-        assertEquals(2, status.terms().attempts());
+        assertEquals(2, status.settings().attempts());
         String text = file.explained();
         assertTrue(text.lines().anyMatch(l -> l.contains("attempts") && l.endsWith("route, line 8")), text);
         assertTrue(text.lines().anyMatch(l -> l.contains("total") && l.endsWith("class, line 3")), text);
@@ -261,7 +261,7 @@
     void anUnsafeClassIsByItselfTriedAgainOnlyAfterWhatNeverRan() {
         OperatorFile file = parse(STATUS);
         Route submit = file.routes().stream().filter(r -> r.requestClass().equals("submit")).findFirst().orElseThrow();
-        assertEquals(Set.of(Outcome.CONNECT_FAILED, Outcome.FULL), submit.terms().retryOn());
+        assertEquals(Set.of(Outcome.CONNECT_FAILED, Outcome.FULL), submit.settings().retryOn());
     }
 
     @Test
--- a/src/test/java/cinderhollow/policy/RulesTest.java
+++ b/src/test/java/cinderhollow/policy/RulesTest.java
@@ -263,7 +263,7 @@
             }
             accepted++;
             Map<String, RoutePolicy> routePolicies = new HashMap<>();
-            file.routes().forEach(route -> routePolicies.put(route.requestClass(), new RouteCourse(0, route.terms())));
+            file.routes().forEach(route -> routePolicies.put(route.requestClass(), new RouteCourse(0, route.settings())));
             Simulation simulation = new Simulation(seed * 100 + i, routePolicies);
             simulation.durationNanos = 15 * SECOND;
             try {
