--- a/src/main/java/cinderhollow/daemon/Gateway.java
+++ b/src/main/java/cinderhollow/daemon/Gateway.java
@@ -59,7 +59,7 @@
 import cinderhollow.policy.Protocol.TimerFired;
 import cinderhollow.policy.Protocol.RequestBodyReceived;
 import cinderhollow.routes.Paths;
-import cinderhollow.routes.RouteCourse;
+import cinderhollow.routes.BudgetedRoutePolicy;
 import cinderhollow.routes.Routing;
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.ChannelFuture;
@@ -842,7 +842,7 @@
                 throw new BadRequest(HttpResponseStatus.CONFLICT, "a request with this id is open");
             }
             OpenRequest r = new OpenRequest(arrived, request.retain(), upload, reply,
-                    ledger == null ? null : new LedgerEntry(arrived.id(), ((RouteCourse) arrived.routePolicy()).number(), nowNanos));
+                    ledger == null ? null : new LedgerEntry(arrived.id(), ((BudgetedRoutePolicy) arrived.routePolicy()).index(), nowNanos));
             openRequests.put(r.id, r);
             if (countersByClass != null) {
                 r.counters = countersFor(arrived.requestClass());
--- a/src/main/java/cinderhollow/routes/RouteCourse.java
+++ b/src/main/java/cinderhollow/routes/BudgetedRoutePolicy.java
@@ -8,16 +8,16 @@
  * Route policy that applies the {@link Terms} of a route, with the state of its budgets and its latency percentile. Used by one
  * thread only.
  */
-public final class RouteCourse implements RoutePolicy {
-    private final int number;
+public final class BudgetedRoutePolicy implements RoutePolicy {
+    private final int index;
     private final Terms terms;
     private final Budget retries;
     private final Budget copies;
     private final Quantile times;
 
     /** Creates the policy of a route that has had no requests yet; {@code index} is its index among the routes. */
-    public RouteCourse(int number, Terms terms) {
-        this.number = number;
+    public BudgetedRoutePolicy(int number, Terms terms) {
+        this.index = number;
         this.terms = terms;
         retries = new Budget(terms.retries());
         Copy copy = terms.copy();
@@ -26,8 +26,8 @@
     }
 
     /** Returns the index of the route among the operator's routes, from 0. */
-    public int number() {
-        return number;
+    public int index() {
+        return index;
     }
 
     @Override
--- a/src/main/java/cinderhollow/routes/Routing.java
+++ b/src/main/java/cinderhollow/routes/Routing.java
@@ -8,7 +8,7 @@
 /** The routes of one gateway, each with its policy and the state of that policy. Used by one thread only. */
 public final class Routing {
     /** The class that a request belongs to, and the policy of its route, which limits what the decision module may do. */
-    public record Match(String requestClass, RouteCourse course) { }
+    public record Match(String requestClass, BudgetedRoutePolicy course) { }
 
     private final RouteTable table;
     private final Map<Route, Match> matches = new IdentityHashMap<>();
@@ -17,7 +17,7 @@
     public Routing(List<Route> routes) {
         Map<String, Route> byClass = new HashMap<>();
         for (Route route : routes) {
-            matches.put(route, new Match(route.requestClass(), new RouteCourse(matches.size(), route.settings())));
+            matches.put(route, new Match(route.requestClass(), new BudgetedRoutePolicy(matches.size(), route.settings())));
             if (route.pattern() == null) {
                 byClass.put(route.requestClass(), route);
             }
--- a/src/test/java/cinderhollow/policy/RoutePolicyTest.java
+++ b/src/test/java/cinderhollow/policy/RoutePolicyTest.java
@@ -12,7 +12,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import cinderhollow.policy.Protocol.*;
-import cinderhollow.routes.RouteCourse;
+import cinderhollow.routes.BudgetedRoutePolicy;
 import cinderhollow.routes.Terms.Allowance;
 import cinderhollow.routes.Terms.Copy;
 import cinderhollow.routes.Terms;
@@ -30,11 +30,11 @@
             Outcome.RESET, Outcome.TIMED_OUT);
 
     private static RoutePolicy hedging(long after) {
-        return new RouteCourse(0, new Terms(2 * SECOND, 2 * SECOND, 4, ALL_FAILURES, 0, 0, UNLIMITED, new Copy(after, 0, 1, UNLIMITED), 0));
+        return new BudgetedRoutePolicy(0, new Terms(2 * SECOND, 2 * SECOND, 4, ALL_FAILURES, 0, 0, UNLIMITED, new Copy(after, 0, 1, UNLIMITED), 0));
     }
 
     private static RoutePolicy retrying(long attempt, long backoff, Allowance budget) {
-        return new RouteCourse(0, new Terms(2 * SECOND, attempt, 4, ALL_FAILURES, backoff, 8 * backoff, budget, null, 30 * MS));
+        return new BudgetedRoutePolicy(0, new Terms(2 * SECOND, attempt, 4, ALL_FAILURES, backoff, 8 * backoff, budget, null, 30 * MS));
     }
 
     private final GatewayHarness gateway = new GatewayHarness().withServers(3);
@@ -155,7 +155,7 @@
 
     @Test
     void hedgesStayWithinTheirBudget() {
-        RoutePolicy routePolicy = new RouteCourse(0, new Terms(2 * SECOND, 2 * SECOND, 4, ALL_FAILURES, 0, 0, UNLIMITED,
+        RoutePolicy routePolicy = new BudgetedRoutePolicy(0, new Terms(2 * SECOND, 2 * SECOND, 4, ALL_FAILURES, 0, 0, UNLIMITED,
                 new Copy(10 * MS, 0, 1, new Allowance(0.1, 0)), 0));
         int sent = 0;
         int hedged = 0;
--- a/src/test/java/cinderhollow/policy/RulesTest.java
+++ b/src/test/java/cinderhollow/policy/RulesTest.java
@@ -14,7 +14,7 @@
 import cinderhollow.operator.OperatorFile;
 import cinderhollow.operator.Platform;
 import cinderhollow.policy.Protocol.*;
-import cinderhollow.routes.RouteCourse;
+import cinderhollow.routes.BudgetedRoutePolicy;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -263,7 +263,7 @@
             }
             accepted++;
             Map<String, RoutePolicy> routePolicies = new HashMap<>();
-            file.routes().forEach(route -> routePolicies.put(route.requestClass(), new RouteCourse(0, route.settings())));
+            file.routes().forEach(route -> routePolicies.put(route.requestClass(), new BudgetedRoutePolicy(0, route.settings())));
             Simulation simulation = new Simulation(seed * 100 + i, routePolicies);
             simulation.durationNanos = 15 * SECOND;
             try {
