--- a/src/main/java/cinderhollow/http1/RequestReader.java
+++ b/src/main/java/cinderhollow/http1/RequestReader.java
@@ -82,7 +82,7 @@
         }
         return new RequestArrived(id, requestClass.name(), headers.get("X-Tenant-Id"), headers.get("X-Route-Key"),
                 remainingNanos, parseWorkNanos(headers.get("X-Cost")), "1".equals(headers.get("X-Retried")),
-                match == null ? null : match.course());
+                match == null ? null : match.routePolicy());
     }
 
     /**
--- a/src/main/java/cinderhollow/routes/Routing.java
+++ b/src/main/java/cinderhollow/routes/Routing.java
@@ -8,7 +8,7 @@
 /** The routes of one gateway, each with its policy and the state of that policy. Used by one thread only. */
 public final class Routing {
     /** The class that a request belongs to, and the policy of its route, which limits what the decision module may do. */
-    public record Match(String requestClass, BudgetedRoutePolicy course) { }
+    public record Match(String requestClass, BudgetedRoutePolicy routePolicy) { }
 
     private final RouteTable table;
     private final Map<Route, Match> matches = new IdentityHashMap<>();
