--- a/src/main/java/cinderhollow/operator/OperatorFile.java
+++ b/src/main/java/cinderhollow/operator/OperatorFile.java
@@ -6,9 +6,9 @@
 import cinderhollow.policy.Protocol.RequestClass;
 import cinderhollow.routes.PathPattern;
 import cinderhollow.routes.Route;
-import cinderhollow.routes.Terms.Allowance;
-import cinderhollow.routes.Terms.Copy;
-import cinderhollow.routes.Terms;
+import cinderhollow.routes.RouteSettings.BudgetSettings;
+import cinderhollow.routes.RouteSettings.HedgeSettings;
+import cinderhollow.routes.RouteSettings;
 import java.io.IOException;
 import java.nio.ByteBuffer;
 import java.nio.charset.CharacterCodingException;
@@ -38,7 +38,7 @@
 public final class OperatorFile {
     private static final int LARGEST = 1 << 20, MOST_ROUTES = 10_000;
     private static final char BYTE_ORDER_MARK = '\uFEFF';
-    private static final Allowance USUAL_RETRIES = new Allowance(0.1, 1), USUAL_COPIES = new Allowance(0.05, 0);
+    private static final BudgetSettings USUAL_RETRIES = new BudgetSettings(0.1, 1), USUAL_COPIES = new BudgetSettings(0.05, 0);
     private static final int USUAL_ATTEMPTS = 3, USUAL_SAMPLES = 200, MOST_SAMPLES = 10_000, BEYOND = 5;
     private static final Set<Outcome> NEVER_RAN = EnumSet.of(Outcome.CONNECT_FAILED, Outcome.FULL);
     private static final Set<Outcome> ANY = EnumSet.of(Outcome.CONNECT_FAILED, Outcome.FULL, Outcome.ERROR,
@@ -467,7 +467,7 @@
         // Findings in a class's table are reported when the class itself is resolved, not again for its routes.
         int before = findings.size();
         Resolver resolver = new Resolver(c, tables);
-        Terms terms = resolver.terms();
+        RouteSettings terms = resolver.terms();
         if (pattern == null && method != null) {
             return;
         }
@@ -526,7 +526,7 @@
             return value == null ? absent : value;
         }
 
-        Terms terms() {
+        RouteSettings terms() {
             long total = duration("total", c.deadlineNanos(), LEAST_NANOS);
             if (total > c.deadlineNanos()) {
                 fault("total", Rule.LONGER_THAN_CLIENT, millis(total) + " is longer than the class's deadline of "
@@ -541,8 +541,8 @@
                 fault("attempt_timeout", Rule.ATTEMPT_BEYOND_TOTAL, millis(attempt) + " is longer than the total time of " + millis(total));
             }
             Set<Outcome> retryOn = retryOn();
-            Allowance retries = allowance("retry_budget", USUAL_RETRIES);
-            Copy copy = copy(attempt, total, attempts);
+            BudgetSettings retries = allowance("retry_budget", USUAL_RETRIES);
+            HedgeSettings copy = copy(attempt, total, attempts);
             boolean timed = retryOn.contains(Outcome.TIMED_OUT);
             long waits = waits(attempts, backoff, mostBackoff);
             if (ownTimeout && attempt <= total && attempts * attempt + waits > total) {
@@ -556,7 +556,7 @@
                         + millis(total));
             }
             keyed(total, attempts, copy);
-            return new Terms(total, Math.min(attempt, total), attempts, retryOn, backoff, mostBackoff, retries, copy,
+            return new RouteSettings(total, Math.min(attempt, total), attempts, retryOn, backoff, mostBackoff, retries, copy,
                     advice());
         }
 
@@ -600,21 +600,21 @@
             return outcomes;
         }
 
-        private Allowance allowance(String key, Allowance absent) {
+        private BudgetSettings allowance(String key, BudgetSettings absent) {
             Table holder = holder(key);
             Table budget = holder == null ? null : holder.table(key);
             return budget == null ? absent : allowance(budget, absent);
         }
 
-        private Allowance allowance(Table budget, Allowance absent) {
+        private BudgetSettings allowance(Table budget, BudgetSettings absent) {
             budget.only(List.of("share", "floor_per_s"));
             Double share = budget.number("share", 0, 1, Rule.BUDGET_RANGE);
             Double floor = budget.number("floor_per_s", 0, 1000, Rule.BUDGET_RANGE);
-            return new Allowance(share == null ? absent.share() : share,
-                    floor == null ? absent.floorPerSecond() : floor);
+            return new BudgetSettings(share == null ? absent.requestFraction() : share,
+                    floor == null ? absent.minPerSecond() : floor);
         }
 
-        private Copy copy(long attempt, long total, int attempts) {
+        private HedgeSettings copy(long attempt, long total, int attempts) {
             Table holder = holder("second_copy");
             Table copy = holder == null ? null : holder.table("second_copy");
             if (copy == null) {
@@ -648,11 +648,11 @@
                         + " lie beyond " + percentile);
             }
             Table budget = copy.table("budget");
-            return new Copy(after == null ? 0 : after, percentile == null ? 0 : percentile, held,
+            return new HedgeSettings(after == null ? 0 : after, percentile == null ? 0 : percentile, held,
                     budget == null ? USUAL_COPIES : allowance(budget, USUAL_COPIES));
         }
 
-        private void keyed(long total, int attempts, Copy copy) {
+        private void keyed(long total, int attempts, HedgeSettings copy) {
             Table holder = holder("resend_within");
             String within = holder == null ? null : holder.text("resend_within");
             if (within != null) {
@@ -734,27 +734,27 @@
         }
         for (int i = 0; i < routes.size(); i++) {
             Route route = routes.get(i);
-            Terms terms = route.settings();
+            RouteSettings terms = route.settings();
             Map<String, String> from = sources.get(i);
             text.add(route + (route.pattern() == null ? "" : "  (class " + route.requestClass() + ")"));
-            row(text, "total", millis(terms.totalNanos()), from);
-            row(text, "attempt_timeout", millis(terms.attemptNanos()), from);
-            row(text, "attempts", String.valueOf(terms.attempts()), from);
+            row(text, "total", millis(terms.totalTimeoutNanos()), from);
+            row(text, "attempt_timeout", millis(terms.attemptTimeoutNanos()), from);
+            row(text, "attempts", String.valueOf(terms.maxAttempts()), from);
             row(text, "retry_on", String.join(", ", terms.retryOn().stream().sorted().map(OperatorFile::word).toList()),
                     from);
-            row(text, "backoff", millis(terms.backoffNanos()) + ", up to " + millis(terms.mostBackoffNanos()), from);
-            row(text, "retry_budget", allowance(terms.retries()), from);
-            Copy copy = terms.copy();
+            row(text, "backoff", millis(terms.baseBackoffNanos()) + ", up to " + millis(terms.maxBackoffNanos()), from);
+            row(text, "retry_budget", allowance(terms.retryBudget()), from);
+            HedgeSettings copy = terms.hedge();
             row(text, "second_copy", copy == null ? "none" : (copy.percentile() > 0 ? "at percentile "
-                    + copy.percentile() + " of " + copy.samples() : "after " + millis(copy.afterNanos())) + ", "
-                    + allowance(copy.allowance()), from);
-            row(text, "retry_after", terms.adviceNanos() == 0 ? "none" : millis(terms.adviceNanos()), from);
+                    + copy.percentile() + " of " + copy.sampleCount() : "after " + millis(copy.delayNanos())) + ", "
+                    + allowance(copy.budget()), from);
+            row(text, "retry_after", terms.retryAfterNanos() == 0 ? "none" : millis(terms.retryAfterNanos()), from);
         }
         return String.join("\n", text);
     }
 
-    private static String allowance(Allowance allowance) {
-        return allowance.share() + " of the requests and " + allowance.floorPerSecond() + " a second";
+    private static String allowance(BudgetSettings allowance) {
+        return allowance.requestFraction() + " of the requests and " + allowance.minPerSecond() + " a second";
     }
 
     private static void row(List<String> text, String key, String value, Map<String, String> from) {
--- a/src/main/java/cinderhollow/routes/Budget.java
+++ b/src/main/java/cinderhollow/routes/Budget.java
@@ -1,6 +1,6 @@
 package cinderhollow.routes;
 
-import cinderhollow.routes.Terms.Allowance;
+import cinderhollow.routes.RouteSettings.BudgetSettings;
 
 /**
  * Token bucket for retries or hedges of a route. Each request that arrives adds a fraction of a token, and each second adds a
@@ -14,22 +14,22 @@
     /** Tolerance for rounding: in floating point, ten times 0.1 adds up to slightly less than 1. */
     private static final double ROUNDING = 1e-9;
 
-    private final Allowance allowance;
+    private final BudgetSettings allowance;
     private final double most;
     private double tokens;
     private long at;
     private boolean begun;
 
-    Budget(Allowance allowance) {
+    Budget(BudgetSettings allowance) {
         this.allowance = allowance;
-        most = Math.max(LEAST_SAVED, allowance.floorPerSecond());
-        tokens = allowance.floorPerSecond() > 0 ? LEAST_SAVED : 0;
+        most = Math.max(LEAST_SAVED, allowance.minPerSecond());
+        tokens = allowance.minPerSecond() > 0 ? LEAST_SAVED : 0;
     }
 
     /** Adds the fraction of a token for a request that has arrived at {@code now}, in nanoseconds. */
     void arrived(long now) {
         refill(now);
-        tokens = Math.min(most, tokens + allowance.share());
+        tokens = Math.min(most, tokens + allowance.requestFraction());
     }
 
     /** Withdraws one token and returns true, or returns false if there is none at {@code now}, in nanoseconds. */
@@ -44,7 +44,7 @@
 
     private void refill(long now) {
         if (begun) {
-            tokens = Math.min(most, tokens + Math.max(0, now - at) / SECOND_NANOS * allowance.floorPerSecond());
+            tokens = Math.min(most, tokens + Math.max(0, now - at) / SECOND_NANOS * allowance.minPerSecond());
         }
         begun = true;
         at = now;
--- a/src/main/java/cinderhollow/routes/BudgetedRoutePolicy.java
+++ b/src/main/java/cinderhollow/routes/BudgetedRoutePolicy.java
@@ -2,27 +2,27 @@
 
 import cinderhollow.policy.Protocol.RoutePolicy;
 import cinderhollow.policy.Protocol.Outcome;
-import cinderhollow.routes.Terms.Copy;
+import cinderhollow.routes.RouteSettings.HedgeSettings;
 
 /**
- * Route policy that applies the {@link Terms} of a route, with the state of its budgets and its latency percentile. Used by one
+ * Route policy that applies the {@link RouteSettings} of a route, with the state of its budgets and its latency percentile. Used by one
  * thread only.
  */
 public final class BudgetedRoutePolicy implements RoutePolicy {
     private final int index;
-    private final Terms terms;
+    private final RouteSettings terms;
     private final Budget retries;
     private final Budget copies;
     private final Quantile times;
 
     /** Creates the policy of a route that has had no requests yet; {@code index} is its index among the routes. */
-    public BudgetedRoutePolicy(int number, Terms terms) {
+    public BudgetedRoutePolicy(int number, RouteSettings terms) {
         this.index = number;
         this.terms = terms;
-        retries = new Budget(terms.retries());
-        Copy copy = terms.copy();
-        copies = copy == null ? null : new Budget(copy.allowance());
-        times = copy == null || copy.percentile() == 0 ? null : new Quantile(copy.percentile(), copy.samples());
+        retries = new Budget(terms.retryBudget());
+        HedgeSettings copy = terms.hedge();
+        copies = copy == null ? null : new Budget(copy.budget());
+        times = copy == null || copy.percentile() == 0 ? null : new Quantile(copy.percentile(), copy.sampleCount());
     }
 
     /** Returns the index of the route among the operator's routes, from 0. */
@@ -32,17 +32,17 @@
 
     @Override
     public long totalTimeoutNanos() {
-        return terms.totalNanos();
+        return terms.totalTimeoutNanos();
     }
 
     @Override
     public long attemptTimeoutNanos() {
-        return terms.attemptNanos();
+        return terms.attemptTimeoutNanos();
     }
 
     @Override
     public int maxAttempts() {
-        return terms.attempts();
+        return terms.maxAttempts();
     }
 
     @Override
@@ -67,13 +67,13 @@
 
     @Override
     public long backoffNanos(int retry) {
-        long doubled = terms.backoffNanos() << Math.min(20, Math.max(0, retry - 1));
-        return Math.min(terms.mostBackoffNanos(), doubled);
+        long doubled = terms.baseBackoffNanos() << Math.min(20, Math.max(0, retry - 1));
+        return Math.min(terms.maxBackoffNanos(), doubled);
     }
 
     @Override
     public long hedgeDelayNanos() {
-        return copies == null ? 0 : times == null ? terms.copy().afterNanos() : times.nanos();
+        return copies == null ? 0 : times == null ? terms.hedge().delayNanos() : times.nanos();
     }
 
     @Override
@@ -83,6 +83,6 @@
 
     @Override
     public long retryAfterNanos() {
-        return terms.adviceNanos();
+        return terms.retryAfterNanos();
     }
 }
--- a/src/main/java/cinderhollow/routes/Route.java
+++ b/src/main/java/cinderhollow/routes/Route.java
@@ -8,7 +8,7 @@
  * @param requestClass name of the class that the requests belong to
  * @param settings time-outs, attempts and budgets
  */
-public record Route(String method, PathPattern pattern, String requestClass, Terms settings) {
+public record Route(String method, PathPattern pattern, String requestClass, RouteSettings settings) {
     /** Returns the name of the route in messages and tables. */
     @Override
     public String toString() {
--- a/src/test/java/cinderhollow/operator/OperatorFileTest.java
+++ b/src/test/java/cinderhollow/operator/OperatorFileTest.java
@@ -247,10 +247,10 @@
         assertEquals(List.of(), file.findings());
         Route first = file.routes().get(0);
         assertEquals("GET /status/{id}/days", first.toString());
-        assertEquals(4, first.settings().attempts());
-        assertEquals(600 * MS, first.settings().totalNanos());
+        assertEquals(4, first.settings().maxAttempts());
+        assertEquals(600 * MS, first.settings().totalTimeoutNanos());
         Route status = file.routes().stream().filter(r -> r.toString().equals("class status")).findFirst().orElseThrow();
-        assertEquals(2, status.settings().attempts());
+        assertEquals(2, status.settings().maxAttempts());
         String text = file.explained();
         assertTrue(text.lines().anyMatch(l -> l.contains("attempts") && l.endsWith("route, line 8")), text);
         assertTrue(text.lines().anyMatch(l -> l.contains("total") && l.endsWith("class, line 3")), text);
--- a/src/test/java/cinderhollow/policy/RoutePolicyTest.java
+++ b/src/test/java/cinderhollow/policy/RoutePolicyTest.java
@@ -13,9 +13,9 @@
 
 import cinderhollow.policy.Protocol.*;
 import cinderhollow.routes.BudgetedRoutePolicy;
-import cinderhollow.routes.Terms.Allowance;
-import cinderhollow.routes.Terms.Copy;
-import cinderhollow.routes.Terms;
+import cinderhollow.routes.RouteSettings.BudgetSettings;
+import cinderhollow.routes.RouteSettings.HedgeSettings;
+import cinderhollow.routes.RouteSettings;
 import java.util.EnumSet;
 import java.util.HashMap;
 import java.util.List;
@@ -25,16 +25,16 @@
 
 /** Route policies, in simulated time: hedges, timeouts, retries and their budgets. */
 class RoutePolicyTest {
-    private static final Allowance UNLIMITED = new Allowance(1, 1000), NO_BUDGET = new Allowance(0, 0);
+    private static final BudgetSettings UNLIMITED = new BudgetSettings(1, 1000), NO_BUDGET = new BudgetSettings(0, 0);
     private static final Set<Outcome> ALL_FAILURES = EnumSet.of(Outcome.CONNECT_FAILED, Outcome.FULL, Outcome.ERROR,
             Outcome.RESET, Outcome.TIMED_OUT);
 
     private static RoutePolicy hedging(long after) {
-        return new BudgetedRoutePolicy(0, new Terms(2 * SECOND, 2 * SECOND, 4, ALL_FAILURES, 0, 0, UNLIMITED, new Copy(after, 0, 1, UNLIMITED), 0));
+        return new BudgetedRoutePolicy(0, new RouteSettings(2 * SECOND, 2 * SECOND, 4, ALL_FAILURES, 0, 0, UNLIMITED, new HedgeSettings(after, 0, 1, UNLIMITED), 0));
     }
 
-    private static RoutePolicy retrying(long attempt, long backoff, Allowance budget) {
-        return new BudgetedRoutePolicy(0, new Terms(2 * SECOND, attempt, 4, ALL_FAILURES, backoff, 8 * backoff, budget, null, 30 * MS));
+    private static RoutePolicy retrying(long attempt, long backoff, BudgetSettings budget) {
+        return new BudgetedRoutePolicy(0, new RouteSettings(2 * SECOND, attempt, 4, ALL_FAILURES, backoff, 8 * backoff, budget, null, 30 * MS));
     }
 
     private final GatewayHarness gateway = new GatewayHarness().withServers(3);
@@ -155,8 +155,8 @@
 
     @Test
     void hedgesStayWithinTheirBudget() {
-        RoutePolicy routePolicy = new BudgetedRoutePolicy(0, new Terms(2 * SECOND, 2 * SECOND, 4, ALL_FAILURES, 0, 0, UNLIMITED,
-                new Copy(10 * MS, 0, 1, new Allowance(0.1, 0)), 0));
+        RoutePolicy routePolicy = new BudgetedRoutePolicy(0, new RouteSettings(2 * SECOND, 2 * SECOND, 4, ALL_FAILURES, 0, 0, UNLIMITED,
+                new HedgeSettings(10 * MS, 0, 1, new BudgetSettings(0.1, 0)), 0));
         int sent = 0;
         int hedged = 0;
         for (int i = 0; i < 500; i++) {
@@ -183,7 +183,7 @@
      */
     @Test
     void aRetryStormStaysWithinTheBudgetAndEndsAtOnce() {
-        RoutePolicy routePolicy = retrying(2 * SECOND, 0, new Allowance(0.2, 0));
+        RoutePolicy routePolicy = retrying(2 * SECOND, 0, new BudgetSettings(0.2, 0));
         Map<Long, Integer> sends = new HashMap<>();
         long begin = gateway.now;
         for (int i = 0; i < 1100; i++) {
--- a/src/test/java/cinderhollow/routes/BudgetTest.java
+++ b/src/test/java/cinderhollow/routes/BudgetTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cinderhollow.routes.Terms.Allowance;
+import cinderhollow.routes.RouteSettings.BudgetSettings;
 import java.util.Arrays;
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
@@ -16,7 +16,7 @@
     /** Guards against tokens saved up in a quiet period: in each second of a retry storm only that second's share is allowed. */
     @Test
     void inEverySecondOfAStormExtrasStayWithinTheShare() {
-        Budget budget = new Budget(new Allowance(0.1, 0));
+        Budget budget = new Budget(new BudgetSettings(0.1, 0));
         for (int i = 0; i < 100_000; i++) {
             budget.arrived(i * MS);
         }
@@ -33,7 +33,7 @@
 
     @Test
     void whereRequestsAreFewTheFloorLetsSomeOut() {
-        Budget budget = new Budget(new Allowance(0, 2));
+        Budget budget = new Budget(new BudgetSettings(0, 2));
         int taken = 0;
         for (int i = 0; i < 100; i++) {
             budget.arrived(i * 100 * MS);
@@ -44,7 +44,7 @@
 
     @Test
     void nothingIsNothing() {
-        Budget budget = new Budget(new Allowance(0, 0));
+        Budget budget = new Budget(new BudgetSettings(0, 0));
         for (int i = 0; i < 1000; i++) {
             budget.arrived(i * SECOND);
             assertFalse(budget.take(i * SECOND));
