--- a/src/main/java/cinderhollow/handover/Snapshot.java
+++ b/src/main/java/cinderhollow/handover/Snapshot.java
@@ -21,11 +21,11 @@
  */
 public record Snapshot(LearnedState learnedState, long listIndex, List<EndpointEntry> endpoints, boolean standby) {
     /** Maximum length of the body; a longer one is rejected, so that a peer that is no gateway cannot exhaust memory. */
-    public static final int MOST_BYTES = 1 << 20;
+    public static final int MAX_BODY_BYTES = 1 << 20;
     /** Maximum length of the header line in bytes. */
     public static final int MAX_HEADER_BYTES = 64;
     static final int VERSION = 1;
-    private static final String WORD = "kestrelpier-handover";
+    private static final String MAGIC = "kestrelpier-handover";
 
     /** An entry of the endpoint list, with the fields of discovery. */
     public record EndpointEntry(String name, String address, String zone, String type, int group, boolean draining, double weight,
@@ -39,13 +39,13 @@
     /**
      * Returns the header line and the body as bytes.
      *
-     * @throws IllegalArgumentException if the body is longer than {@link #MOST_BYTES}
+     * @throws IllegalArgumentException if the body is longer than {@link #MAX_BODY_BYTES}
      */
     public byte[] encode() {
         Map<String, Object> fields = new LinkedHashMap<>();
         fields.put("standby", standby);
         fields.put("index", listIndex);
-        fields.put("hosts", endpoints.stream().map(Snapshot::fields).toList());
+        fields.put("hosts", endpoints.stream().map(Snapshot::toJsonFields).toList());
         fields.put("pressure", learnedState.pressure());
         fields.put("lateness", learnedState.latencyToBudgetRatio());
         fields.put("warm_rate", learnedState.requestRatePerServer());
@@ -55,23 +55,23 @@
         fields.put("classes", learnedState.classes().stream().map(c -> Map.of("name", c.name(), "latency", c.meanLatencyNanos(),
                 "calmest", c.minMeanLatencyNanos(), "served", c.servedCount())).toList());
         byte[] body = Json.text(fields).getBytes(StandardCharsets.UTF_8);
-        if (body.length > MOST_BYTES) {
-            throw new IllegalArgumentException("snapshot too large: " + body.length + " bytes, limit " + MOST_BYTES + " bytes");
+        if (body.length > MAX_BODY_BYTES) {
+            throw new IllegalArgumentException("snapshot too large: " + body.length + " bytes, limit " + MAX_BODY_BYTES + " bytes");
         }
-        byte[] head = String.format(Locale.ROOT, "%s %d %d %08x%n", WORD, VERSION, body.length, crc(body))
+        byte[] header = String.format(Locale.ROOT, "%s %d %d %08x%n", MAGIC, VERSION, body.length, computeCrc(body))
                 .getBytes(StandardCharsets.US_ASCII);
-        byte[] all = new byte[head.length + body.length];
-        System.arraycopy(head, 0, all, 0, head.length);
-        System.arraycopy(body, 0, all, head.length, body.length);
-        return all;
+        byte[] encoded = new byte[header.length + body.length];
+        System.arraycopy(header, 0, encoded, 0, header.length);
+        System.arraycopy(body, 0, encoded, header.length, body.length);
+        return encoded;
     }
 
-    private static Map<String, Object> fields(EndpointEntry host) {
-        return Map.of("name", host.name(), "address", host.address(), "zone", host.zone(), "type", host.type(), "group",
-                host.group(), "draining", host.draining(), "weight", host.weight(), "since_ms", host.sinceMillis());
+    private static Map<String, Object> toJsonFields(EndpointEntry endpoint) {
+        return Map.of("name", endpoint.name(), "address", endpoint.address(), "zone", endpoint.zone(), "type", endpoint.type(), "group",
+                endpoint.group(), "draining", endpoint.draining(), "weight", endpoint.weight(), "since_ms", endpoint.sinceMillis());
     }
 
-    private static long crc(byte[] bytes) {
+    private static long computeCrc(byte[] bytes) {
         CRC32 crc = new CRC32();
         crc.update(bytes);
         return crc.getValue();
@@ -82,16 +82,16 @@
      *
      * @throws IllegalArgumentException if the line is not the header of a snapshot, or of one that this program cannot read
      */
-    public static int bodyLength(String line) {
-        String[] words = line.strip().split(" ");
-        if (words.length != 4 || !words[0].equals(WORD)) {
+    public static int bodyLength(String header) {
+        String[] words = header.strip().split(" ");
+        if (words.length != 4 || !words[0].equals(MAGIC)) {
             throw new IllegalArgumentException("not a snapshot: unknown header line");
         }
         if (!words[1].equals(String.valueOf(VERSION))) {
             throw new IllegalArgumentException("unsupported snapshot version " + words[1] + ", expected " + VERSION);
         }
         int length = words[2].matches("[0-9]{1,7}") ? Integer.parseInt(words[2]) : Integer.MAX_VALUE;
-        if (length > MOST_BYTES) {
+        if (length > MAX_BODY_BYTES) {
             throw new IllegalArgumentException("invalid snapshot length " + words[2]);
         }
         return length;
@@ -102,40 +102,40 @@
      *
      * @throws IllegalArgumentException if the snapshot is truncated or corrupt, or lacks a field
      */
-    public static Snapshot decode(String line, byte[] body) {
-        if (body.length != bodyLength(line)) {
-            throw new IllegalArgumentException("wrong snapshot length: got " + body.length + " bytes of " + bodyLength(line));
+    public static Snapshot decode(String header, byte[] body) {
+        if (body.length != bodyLength(header)) {
+            throw new IllegalArgumentException("wrong snapshot length: got " + body.length + " bytes of " + bodyLength(header));
         }
-        if (!line.strip().endsWith(String.format(Locale.ROOT, " %08x", crc(body)))) {
+        if (!header.strip().endsWith(String.format(Locale.ROOT, " %08x", computeCrc(body)))) {
             throw new IllegalArgumentException("snapshot checksum does not match");
         }
         Json json = Json.parse(new String(body, StandardCharsets.UTF_8));
         List<LearnedState.ServerEntry> servers = new ArrayList<>();
         for (Json s : json.required("servers").entries()) {
-            servers.add(new LearnedState.ServerEntry(s.required("id").text(), whole(s, "started"), number(s, "share"),
-                    number(s, "limit"), number(s, "recent"), number(s, "failures"), s.required("silent").isTrue()));
+            servers.add(new LearnedState.ServerEntry(s.required("id").text(), readLong(s, "started"), readDouble(s, "share"),
+                    readDouble(s, "limit"), readDouble(s, "recent"), readDouble(s, "failures"), s.required("silent").isTrue()));
         }
         List<LearnedState.ClassEntry> classes = new ArrayList<>();
         for (Json c : json.required("classes").entries()) {
-            classes.add(new LearnedState.ClassEntry(c.required("name").text(), number(c, "latency"), number(c, "calmest"),
-                    whole(c, "served")));
+            classes.add(new LearnedState.ClassEntry(c.required("name").text(), readDouble(c, "latency"), readDouble(c, "calmest"),
+                    readLong(c, "served")));
         }
-        List<EndpointEntry> hosts = new ArrayList<>();
+        List<EndpointEntry> endpoints = new ArrayList<>();
         for (Json h : json.required("hosts").entries()) {
-            hosts.add(new EndpointEntry(h.required("name").text(), h.required("address").text(), h.required("zone").text(),
-                    h.required("type").text(), (int) whole(h, "group"), h.required("draining").isTrue(), number(h, "weight"),
-                    whole(h, "since_ms")));
+            endpoints.add(new EndpointEntry(h.required("name").text(), h.required("address").text(), h.required("zone").text(),
+                    h.required("type").text(), (int) readLong(h, "group"), h.required("draining").isTrue(), readDouble(h, "weight"),
+                    readLong(h, "since_ms")));
         }
-        return new Snapshot(new LearnedState(number(json, "pressure"), number(json, "lateness"), number(json, "warm_rate"), servers,
-                classes), whole(json, "index"), hosts, json.required("standby").isTrue());
+        return new Snapshot(new LearnedState(readDouble(json, "pressure"), readDouble(json, "lateness"), readDouble(json, "warm_rate"), servers,
+                classes), readLong(json, "index"), endpoints, json.required("standby").isTrue());
     }
 
     /** Returns a number field. Where it is no number, as JSON cannot express NaN, returns NaN, which no later check accepts. */
-    private static double number(Json json, String name) {
+    private static double readDouble(Json json, String name) {
         return json.required(name).number(Double.NaN).doubleValue();
     }
 
-    private static long whole(Json json, String name) {
+    private static long readLong(Json json, String name) {
         return json.required(name).number(-1).longValue();
     }
 }
--- a/src/main/java/cinderhollow/ledger/Breach.java
+++ b/src/main/java/cinderhollow/ledger/Breach.java
@@ -6,17 +6,17 @@
  * A ledger sum of one account that does not hold: counts that must be equal differ.
  *
  * @param account name of the account
- * @param rule description of the sum, with the counts that differ
- * @param last the last ledger entries of the account, oldest first
+ * @param description description of the sum, with the counts that differ
+ * @param recentEntries the last ledger entries of the account, oldest first
  */
-public record Breach(String account, String rule, List<String> last) {
+public record Breach(String account, String description, List<String> recentEntries) {
     /** Copies the list of entries. */
     public Breach {
-        last = List.copyOf(last);
+        recentEntries = List.copyOf(recentEntries);
     }
 
     @Override
     public String toString() {
-        return "LEDGER BREACH, account '" + account + "': " + rule + "; last entries: " + String.join(", ", last);
+        return "LEDGER BREACH, account '" + account + "': " + description + "; last entries: " + String.join(", ", recentEntries);
     }
 }
--- a/src/main/java/cinderhollow/ledger/JournalFrame.java
+++ b/src/main/java/cinderhollow/ledger/JournalFrame.java
@@ -12,9 +12,9 @@
 public final class JournalFrame {
     static final int VERSION = 1;
     static final String MAGIC = "kestrelpier ledger";
-    static final byte HEADER = 1, RESET = 2, ACCOUNT = 3, SUM = 4, EARLIER = 5, HELD = 6, OPENED = 7, ENDED = 8, LOST = 9,
-            CLOSED = 10;
-    private static final int SEVEN = 7, MORE = 0x80, LONGEST_NUMBER = 10;
+    static final byte HEADER = 1, CHECKPOINT = 2, ACCOUNT = 3, ACCOUNT_TOTALS = 4, EARLIER_TOTALS = 5, OPEN_REQUEST = 6, OPENED = 7, ENDED = 8, LOST_ENTRIES = 9,
+            CLEAN_END = 10;
+    private static final int LEB128_BITS_PER_BYTE = 7, LEB128_CONTINUATION_BIT = 0x80, MAX_LEB128_BYTES = 10;
 
     private byte[] bytes;
     private int length;
@@ -22,8 +22,8 @@
     private boolean checkpoint;
 
     /** Creates an empty frame with this initial capacity in bytes; it grows as needed. */
-    public JournalFrame(int room) {
-        bytes = new byte[room];
+    public JournalFrame(int initialCapacity) {
+        bytes = new byte[initialCapacity];
     }
 
     /** Returns the internal byte array, of which the first {@link #length} bytes are in use. */
@@ -54,120 +54,120 @@
     }
 
     /** Writes the header of a segment file: which run of the process writes it, and the segment's number within that run. */
-    public void writeHeader(long epochMillis, long epochNumber, long file) {
-        kind(HEADER);
-        text(MAGIC);
-        number(VERSION);
-        number(epochMillis);
-        number(epochNumber);
-        number(file);
+    public void writeHeader(long epochMillis, long epochNumber, long segmentNumber) {
+        writeType(HEADER);
+        writeText(MAGIC);
+        writeNumber(VERSION);
+        writeNumber(epochMillis);
+        writeNumber(epochNumber);
+        writeNumber(segmentNumber);
     }
 
     /** Writes that a request has begun. Its number is unique within this run of the process and this event loop. */
     public void writeOpened(long request, int account, String id) {
-        kind(OPENED);
-        number(request);
-        number(account);
-        text(id);
+        writeType(OPENED);
+        writeNumber(request);
+        writeNumber(account);
+        writeText(id);
         entryCount++;
     }
 
     /** Writes that a request has ended. */
     public void writeEnded(long request, RequestEnd end) {
-        kind(ENDED);
-        number(request);
-        number(end.ordinal());
+        writeType(ENDED);
+        writeNumber(request);
+        writeNumber(end.ordinal());
         entryCount++;
     }
 
     /** Writes how many entries were lost because the disk was too slow or writing failed. */
     public void writeLostEntries(long count) {
-        kind(LOST);
-        number(count);
+        writeType(LOST_ENTRIES);
+        writeNumber(count);
     }
 
     /** Writes that the process ends normally. */
     public void writeCleanEnd() {
-        kind(CLOSED);
+        writeType(CLEAN_END);
     }
 
     /**
      * Begins a checkpoint: writes the totals of this run and of earlier runs. The caller must then add each open request with
      * {@link #writeOpenRequest}.
      */
-    public void writeCheckpoint(Ledger ledger, List<EarlierRunTotals> earlier) {
+    public void writeCheckpoint(Ledger ledger, List<EarlierRunTotals> earlierTotals) {
         checkpoint = true;
-        kind(RESET);
-        LedgerCounters sheet = ledger.counters(LedgerPlace.CORE);
+        writeType(CHECKPOINT);
+        LedgerCounters coreCounters = ledger.counters(LedgerPlace.CORE);
         for (int account = 0; account < ledger.accounts().size(); account++) {
-            kind(ACCOUNT);
-            number(account);
-            text(ledger.accounts().get(account));
-            if (sheet.openedCount(account) != 0) {
-                kind(SUM);
-                number(account);
-                number(sheet.openedCount(account));
-                sheet.ends(account).forEach(this::number);
+            writeType(ACCOUNT);
+            writeNumber(account);
+            writeText(ledger.accounts().get(account));
+            if (coreCounters.openedCount(account) != 0) {
+                writeType(ACCOUNT_TOTALS);
+                writeNumber(account);
+                writeNumber(coreCounters.openedCount(account));
+                coreCounters.endedCountsOf(account).forEach(this::writeNumber);
             }
         }
-        for (EarlierRunTotals life : earlier) {
-            kind(EARLIER);
-            text(life.account());
-            number(life.taken());
-            life.ended().forEach(this::number);
-            number(life.orphaned());
+        for (EarlierRunTotals totals : earlierTotals) {
+            writeType(EARLIER_TOTALS);
+            writeText(totals.account());
+            writeNumber(totals.taken());
+            totals.endedCounts().forEach(this::writeNumber);
+            writeNumber(totals.orphaned());
         }
     }
 
     /** Writes a request that is open at the checkpoint. */
     public void writeOpenRequest(long request, int account, String id) {
-        kind(HELD);
-        number(request);
-        number(account);
-        text(id);
+        writeType(OPEN_REQUEST);
+        writeNumber(request);
+        writeNumber(account);
+        writeText(id);
     }
 
-    private void kind(byte kind) {
-        room(1);
-        bytes[length++] = kind;
+    private void writeType(byte type) {
+        ensureCapacity(1);
+        bytes[length++] = type;
     }
 
-    private void room(int more) {
-        if (length + more > bytes.length) {
-            bytes = Arrays.copyOf(bytes, Math.max(2 * bytes.length, length + more));
+    private void ensureCapacity(int additionalBytes) {
+        if (length + additionalBytes > bytes.length) {
+            bytes = Arrays.copyOf(bytes, Math.max(2 * bytes.length, length + additionalBytes));
         }
     }
 
-    private void number(long value) {
-        room(LONGEST_NUMBER);
-        long rest = value;
-        while ((rest & ~(MORE - 1L)) != 0) {
-            bytes[length++] = (byte) (rest & MORE - 1 | MORE);
-            rest >>>= SEVEN;
+    private void writeNumber(long value) {
+        ensureCapacity(MAX_LEB128_BYTES);
+        long remaining = value;
+        while ((remaining & ~(LEB128_CONTINUATION_BIT - 1L)) != 0) {
+            bytes[length++] = (byte) (remaining & LEB128_CONTINUATION_BIT - 1 | LEB128_CONTINUATION_BIT);
+            remaining >>>= LEB128_BITS_PER_BYTE;
         }
-        bytes[length++] = (byte) rest;
+        bytes[length++] = (byte) remaining;
     }
 
     /** Writes a text. ASCII texts, such as request ids, are written without allocation; others need a temporary array. */
-    private void text(String text) {
-        int chars = text.length();
-        int start = length;
-        number(chars);
-        room(chars);
-        for (int i = 0; i < chars; i++) {
+    private void writeText(String text) {
+        int charCount = text.length();
+        int startOffset = length;
+        writeNumber(charCount);
+        ensureCapacity(charCount);
+        for (int i = 0; i < charCount; i++) {
             char c = text.charAt(i);
-            if (c >= MORE) {
-                length = start;
-                encoded(text.getBytes(StandardCharsets.UTF_8));
+            if (c >= LEB128_CONTINUATION_BIT) {
+                length = startOffset;
+                writeUtf8(text.getBytes(StandardCharsets.UTF_8));
                 return;
             }
             bytes[length++] = (byte) c;
         }
     }
 
-    private void encoded(byte[] utf8) {
-        number(utf8.length);
-        room(utf8.length);
+    private void writeUtf8(byte[] utf8) {
+        writeNumber(utf8.length);
+        ensureCapacity(utf8.length);
         System.arraycopy(utf8, 0, bytes, length, utf8.length);
         length += utf8.length;
     }
--- a/src/main/java/cinderhollow/ledger/JournalRecovery.java
+++ b/src/main/java/cinderhollow/ledger/JournalRecovery.java
@@ -19,146 +19,146 @@
     public record Orphan(String account, String id) { }
 
     /** A request that is open according to the entries read so far. */
-    private record Open(int account, String id) { }
+    private record OpenRequest(int account, String id) { }
 
-    private static final int SEVEN = 7, MORE = 0x80, LAST_SHIFT = 63, MOST_ACCOUNTS = 20_000;
-    private static final int ENDS = RequestEnd.values().length;
+    private static final int LEB128_BITS_PER_BYTE = 7, LEB128_CONTINUATION_BIT = 0x80, MAX_LEB128_SHIFT = 63, MAX_ACCOUNTS = 20_000;
+    private static final int END_COUNT = RequestEnd.values().length;
 
-    private final Map<Long, Open> open = new LinkedHashMap<>();
-    private final Map<Integer, String> accounts = new HashMap<>();
-    private final Map<Integer, long[]> sums = new HashMap<>();
-    private final Map<String, EarlierRunTotals> earlier = new TreeMap<>();
+    private final Map<Long, OpenRequest> openRequests = new LinkedHashMap<>();
+    private final Map<Integer, String> accountNames = new HashMap<>();
+    private final Map<Integer, long[]> totalsByAccount = new HashMap<>();
+    private final Map<String, EarlierRunTotals> earlierTotals = new TreeMap<>();
     private long epochMillis;
     private long epochNumber;
     private long segmentNumber = -1;
     private long lostEntries;
-    private boolean told;
-    private boolean closed;
+    private boolean checkpointRead;
+    private boolean endedCleanly;
     private byte[] bytes;
-    private int at;
-    private int end;
+    private int position;
+    private int limit;
 
     /** Reads the entries in the first {@code length} bytes of a frame. */
     public void readFrame(byte[] frame, int length) {
         bytes = frame;
-        at = 0;
-        end = length;
-        while (at < end) {
-            entry(bytes[at++]);
+        position = 0;
+        limit = length;
+        while (position < limit) {
+            readEntry(bytes[position++]);
         }
     }
 
-    private void entry(byte kind) {
-        switch (kind) {
-            case JournalFrame.HEADER -> header();
-            case JournalFrame.RESET -> {
-                told = true;
-                open.clear();
-                accounts.clear();
-                sums.clear();
-                earlier.clear();
+    private void readEntry(byte type) {
+        switch (type) {
+            case JournalFrame.HEADER -> readHeader();
+            case JournalFrame.CHECKPOINT -> {
+                checkpointRead = true;
+                openRequests.clear();
+                accountNames.clear();
+                totalsByAccount.clear();
+                earlierTotals.clear();
                 lostEntries = 0;
             }
             case JournalFrame.ACCOUNT -> {
-                int number = account(MOST_ACCOUNTS);
-                accounts.put(number, text());
-                sums.put(number, new long[1 + ENDS]);
+                int accountNumber = readAccount(MAX_ACCOUNTS);
+                accountNames.put(accountNumber, readText());
+                totalsByAccount.put(accountNumber, new long[1 + END_COUNT]);
             }
-            case JournalFrame.SUM -> {
-                long[] sum = sum(account(MOST_ACCOUNTS));
-                for (int i = 0; i < sum.length; i++) {
-                    sum[i] = number();
+            case JournalFrame.ACCOUNT_TOTALS -> {
+                long[] totals = totalsOf(readAccount(MAX_ACCOUNTS));
+                for (int i = 0; i < totals.length; i++) {
+                    totals[i] = readNumber();
                 }
             }
-            case JournalFrame.EARLIER -> {
-                String name = text();
-                long taken = number();
+            case JournalFrame.EARLIER_TOTALS -> {
+                String accountName = readText();
+                long taken = readNumber();
                 List<Long> ended = new ArrayList<>();
-                for (int i = 0; i < ENDS; i++) {
-                    ended.add(number());
+                for (int i = 0; i < END_COUNT; i++) {
+                    ended.add(readNumber());
                 }
-                earlier.put(name, new EarlierRunTotals(name, taken, ended, number()));
+                earlierTotals.put(accountName, new EarlierRunTotals(accountName, taken, ended, readNumber()));
             }
-            case JournalFrame.HELD -> begin(false);
-            case JournalFrame.OPENED -> begin(true);
+            case JournalFrame.OPEN_REQUEST -> readOpenedRequest(false);
+            case JournalFrame.OPENED -> readOpenedRequest(true);
             case JournalFrame.ENDED -> {
-                Open over = open.remove(number());
-                long how = number();
-                require(over != null && how >= 0 && how < ENDS, "journal entry ends an unknown request or has an unknown end");
-                sum(over.account)[1 + (int) how]++;
+                OpenRequest endedRequest = openRequests.remove(readNumber());
+                long endNumber = readNumber();
+                require(endedRequest != null && endNumber >= 0 && endNumber < END_COUNT, "journal entry ends an unknown request or has an unknown end");
+                totalsOf(endedRequest.account)[1 + (int) endNumber]++;
             }
-            case JournalFrame.LOST -> lostEntries += number();
-            case JournalFrame.CLOSED -> closed = true;
-            default -> throw new IllegalArgumentException("unknown journal entry type " + kind);
+            case JournalFrame.LOST_ENTRIES -> lostEntries += readNumber();
+            case JournalFrame.CLEAN_END -> endedCleanly = true;
+            default -> throw new IllegalArgumentException("unknown journal entry type " + type);
         }
     }
 
-    private void header() {
-        require(text().equals(JournalFrame.MAGIC), "not a ledger journal");
-        long version = number();
+    private void readHeader() {
+        require(readText().equals(JournalFrame.MAGIC), "not a ledger journal");
+        long version = readNumber();
         require(version == JournalFrame.VERSION, "unsupported journal version " + version + ", expected " + JournalFrame.VERSION);
-        epochMillis = number();
-        epochNumber = number();
-        segmentNumber = number();
-        told = false;
-        closed = false;
+        epochMillis = readNumber();
+        epochNumber = readNumber();
+        segmentNumber = readNumber();
+        checkpointRead = false;
+        endedCleanly = false;
     }
 
-    private void begin(boolean counted) {
-        long request = number();
-        int account = account(MOST_ACCOUNTS);
-        long[] sum = sum(account);
-        require(open.put(request, new Open(account, text())) == null, "journal entry opens a request that is already open");
-        sum[0] += counted ? 1 : 0;
+    private void readOpenedRequest(boolean newlyOpened) {
+        long request = readNumber();
+        int account = readAccount(MAX_ACCOUNTS);
+        long[] totals = totalsOf(account);
+        require(openRequests.put(request, new OpenRequest(account, readText())) == null, "journal entry opens a request that is already open");
+        totals[0] += newlyOpened ? 1 : 0;
     }
 
-    private long[] sum(int account) {
-        long[] sum = sums.get(account);
-        require(sum != null, "journal entry refers to an undefined account");
-        return sum;
+    private long[] totalsOf(int account) {
+        long[] totals = totalsByAccount.get(account);
+        require(totals != null, "journal entry refers to an undefined account");
+        return totals;
     }
 
-    private int account(int most) {
-        long number = number();
-        require(number >= 0 && number < most, "account number out of range");
+    private int readAccount(int maxAccounts) {
+        long number = readNumber();
+        require(number >= 0 && number < maxAccounts, "account number out of range");
         return (int) number;
     }
 
-    private long number() {
+    private long readNumber() {
         long value = 0;
-        for (int shift = 0; shift <= LAST_SHIFT; shift += SEVEN) {
-            require(at < end, "truncated journal entry");
-            byte next = bytes[at++];
-            value |= (long) (next & MORE - 1) << shift;
-            if ((next & MORE) == 0) {
+        for (int shift = 0; shift <= MAX_LEB128_SHIFT; shift += LEB128_BITS_PER_BYTE) {
+            require(position < limit, "truncated journal entry");
+            byte nextByte = bytes[position++];
+            value |= (long) (nextByte & LEB128_CONTINUATION_BIT - 1) << shift;
+            if ((nextByte & LEB128_CONTINUATION_BIT) == 0) {
                 return value;
             }
         }
         throw new IllegalArgumentException("journal entry has a number of more than 10 bytes");
     }
 
-    private String text() {
-        long length = number();
-        require(length >= 0 && length <= end - at, "truncated text in a journal entry");
-        String text = new String(bytes, at, (int) length, StandardCharsets.UTF_8);
-        at += (int) length;
+    private String readText() {
+        long length = readNumber();
+        require(length >= 0 && length <= limit - position, "truncated text in a journal entry");
+        String text = new String(bytes, position, (int) length, StandardCharsets.UTF_8);
+        position += (int) length;
         return text;
     }
 
-    private static void require(boolean holds, String fault) {
-        if (!holds) {
-            throw new IllegalArgumentException(fault);
+    private static void require(boolean condition, String message) {
+        if (!condition) {
+            throw new IllegalArgumentException(message);
         }
     }
 
     /** Returns whether a checkpoint has been read since the last segment header; without one the totals are not known. */
     public boolean hasCheckpoint() {
-        return told;
+        return checkpointRead;
     }
 
     /** Returns whether the journal says that the run of the process ended normally. */
-    public boolean isClosed() {
-        return closed;
+    public boolean hasEndedCleanly() {
+        return endedCleanly;
     }
 
     /** Returns when the run of the process that wrote the journal began, in milliseconds since 1970. */
@@ -186,22 +186,22 @@
 
     /** Returns the requests that were open at the end of the journal, in the order in which they began. */
     public List<Orphan> orphans() {
-        return open.values().stream().map(o -> new Orphan(accounts.get(o.account), o.id)).toList();
+        return openRequests.values().stream().map(o -> new Orphan(accountNames.get(o.account), o.id)).toList();
     }
 
     /** Returns the totals of all runs including this one, by account, with open requests counted as orphaned. */
     public Collection<EarlierRunTotals> totalsIncludingThisRun() {
-        Map<String, EarlierRunTotals> all = new TreeMap<>(earlier);
-        sums.forEach((account, sum) -> {
+        Map<String, EarlierRunTotals> merged = new TreeMap<>(earlierTotals);
+        totalsByAccount.forEach((account, totals) -> {
             List<Long> ended = new ArrayList<>();
-            for (int i = 1; i < sum.length; i++) {
-                ended.add(sum[i]);
+            for (int i = 1; i < totals.length; i++) {
+                ended.add(totals[i]);
             }
-            long orphaned = open.values().stream().filter(o -> o.account == account).count();
-            if (sum[0] != 0) {
-                all.merge(accounts.get(account), new EarlierRunTotals(accounts.get(account), sum[0], ended, orphaned), EarlierRunTotals::plus);
+            long orphaned = openRequests.values().stream().filter(o -> o.account == account).count();
+            if (totals[0] != 0) {
+                merged.merge(accountNames.get(account), new EarlierRunTotals(accountNames.get(account), totals[0], ended, orphaned), EarlierRunTotals::plus);
             }
         });
-        return List.copyOf(all.values());
+        return List.copyOf(merged.values());
     }
 }
--- a/src/main/java/cinderhollow/ledger/Ledger.java
+++ b/src/main/java/cinderhollow/ledger/Ledger.java
@@ -18,26 +18,26 @@
     /**
      * One minute, which no request exceeds. The histograms have 2 significant digits, since 3 would take ten times the memory.
      */
-    private static final long LONGEST_MICROS = TimeUnit.MINUTES.toMicros(1);
+    private static final long MAX_LATENCY_MICROS = TimeUnit.MINUTES.toMicros(1);
     /** With more accounts than this a histogram has one significant digit and takes 3 KB instead of 20 KB. */
-    private static final int FINE_ACCOUNTS = 100;
+    private static final int MAX_TWO_DIGIT_ACCOUNTS = 100;
 
     private final List<String> accounts;
-    private final LedgerCounters[] sheets = new LedgerCounters[LedgerPlace.values().length];
-    private final Ring ring;
+    private final LedgerCounters[] countersByPlace = new LedgerCounters[LedgerPlace.values().length];
+    private final RecentEntries recentEntries;
     /** Latency histograms by account; null until the first latency of the account is recorded. */
-    private final Histogram[] times;
+    private final Histogram[] latencies;
     /** Keys of the sums that the last check found broken. Each is reported once, until it holds again or its error changes. */
-    private Set<String> known = new HashSet<>();
+    private Set<String> reportedBreachKeys = new HashSet<>();
     private long breachCount;
 
     /** Creates an empty ledger. An account is identified by its index in this list of names. */
     public Ledger(List<String> accounts) {
         this.accounts = List.copyOf(accounts);
-        ring = new Ring(accounts.size());
-        times = new Histogram[accounts.size()];
+        recentEntries = new RecentEntries(accounts.size());
+        latencies = new Histogram[accounts.size()];
         for (LedgerPlace place : LedgerPlace.values()) {
-            sheets[place.ordinal()] = new LedgerCounters(place, accounts.size(), ring);
+            countersByPlace[place.ordinal()] = new LedgerCounters(place, accounts.size(), recentEntries);
         }
     }
 
@@ -48,15 +48,15 @@
 
     /** Returns the counters of a place, which only that place may update. */
     public LedgerCounters counters(LedgerPlace place) {
-        return sheets[place.ordinal()];
+        return countersByPlace[place.ordinal()];
     }
 
     /** Records the time from arrival to end of a request of this account, in nanoseconds. */
     public void recordLatency(int account, long nanos) {
-        if (times[account] == null) {
-            times[account] = new Histogram(LONGEST_MICROS, accounts.size() > FINE_ACCOUNTS ? 1 : 2);
+        if (latencies[account] == null) {
+            latencies[account] = new Histogram(MAX_LATENCY_MICROS, accounts.size() > MAX_TWO_DIGIT_ACCOUNTS ? 1 : 2);
         }
-        times[account].recordValue(Math.max(0, Math.min(LONGEST_MICROS, TimeUnit.NANOSECONDS.toMicros(nanos))));
+        latencies[account].recordValue(Math.max(0, Math.min(MAX_LATENCY_MICROS, TimeUnit.NANOSECONDS.toMicros(nanos))));
     }
 
     /**
@@ -66,22 +66,22 @@
      * @param earlier totals of earlier runs of the process
      * @param lost number of journal entries that never reached the disk
      */
-    public LedgerMetrics collectMetrics(OpenCounter open, List<EarlierRunTotals> earlier, long lost) {
-        List<LedgerMetrics.Line> lines = new ArrayList<>();
-        List<LedgerMetrics.Times> taken = new ArrayList<>();
+    public LedgerMetrics collectMetrics(OpenCounter openCounter, List<EarlierRunTotals> earlierTotals, long lostEntries) {
+        List<LedgerMetrics.PlaceCounts> placeCounts = new ArrayList<>();
+        List<LedgerMetrics.AccountLatency> latencyCopies = new ArrayList<>();
         for (int account = 0; account < accounts.size(); account++) {
             for (LedgerPlace place : LedgerPlace.values()) {
-                LedgerCounters sheet = counters(place);
-                if (sheet.openedCount(account) != 0 || sheet.endedCount(account) != 0) {
-                    lines.add(new LedgerMetrics.Line(accounts.get(account), place, sheet.openedCount(account),
-                            sheet.ends(account), open.at(place, account)));
+                LedgerCounters placeCounters = counters(place);
+                if (placeCounters.openedCount(account) != 0 || placeCounters.endedCount(account) != 0) {
+                    placeCounts.add(new LedgerMetrics.PlaceCounts(accounts.get(account), place, placeCounters.openedCount(account),
+                            placeCounters.endedCountsOf(account), openCounter.countOpen(place, account)));
                 }
             }
-            if (times[account] != null) {
-                taken.add(new LedgerMetrics.Times(accounts.get(account), times[account].copy()));
+            if (latencies[account] != null) {
+                latencyCopies.add(new LedgerMetrics.AccountLatency(accounts.get(account), latencies[account].copy()));
             }
         }
-        return new LedgerMetrics(lines, taken, breachCount, earlier, lost);
+        return new LedgerMetrics(placeCounts, latencyCopies, breachCount, earlierTotals, lostEntries);
     }
 
     /** Returns the number of breaches found and not acknowledged. */
@@ -99,68 +99,68 @@
      *
      * @param open counts what is open now at a place, independently of the counters of this ledger
      */
-    public List<Breach> findNewBreaches(OpenCounter open) {
-        List<Breach> found = new ArrayList<>();
-        Set<String> broken = new HashSet<>();
+    public List<Breach> findNewBreaches(OpenCounter openCounter) {
+        List<Breach> newBreaches = new ArrayList<>();
+        Set<String> brokenKeys = new HashSet<>();
         for (int account = 0; account < accounts.size(); account++) {
             for (LedgerPlace place : LedgerPlace.values()) {
-                LedgerCounters sheet = counters(place);
-                long opened = sheet.openedCount(account);
-                long sum = sheet.endedCount(account) + open.at(place, account);
-                if (opened != sum) {
-                    note(account, place + ": " + opened + " opened, but " + sum + " ended or open",
-                            place + " " + (opened - sum), found, broken);
+                LedgerCounters placeCounters = counters(place);
+                long opened = placeCounters.openedCount(account);
+                long endedAndOpen = placeCounters.endedCount(account) + openCounter.countOpen(place, account);
+                if (opened != endedAndOpen) {
+                    recordBreach(account, place + ": " + opened + " opened, but " + endedAndOpen + " ended or open",
+                            place + " " + (opened - endedAndOpen), newBreaches, brokenKeys);
                 }
             }
-            compare(account, LedgerPlace.CLIENTS, LedgerPlace.CORE, found, broken);
-            compare(account, LedgerPlace.ATTEMPTS, LedgerPlace.NODES, found, broken);
+            comparePlaces(account, LedgerPlace.CLIENTS, LedgerPlace.CORE, newBreaches, brokenKeys);
+            comparePlaces(account, LedgerPlace.ATTEMPTS, LedgerPlace.NODES, newBreaches, brokenKeys);
         }
-        known = broken;
-        breachCount += found.size();
-        return found;
+        reportedBreachKeys = brokenKeys;
+        breachCount += newBreaches.size();
+        return newBreaches;
     }
 
     /** Returns a line for the log with the totals of each account that has had a request. */
-    public List<String> formatTotals(OpenCounter open) {
-        List<String> text = new ArrayList<>();
+    public List<String> formatTotals(OpenCounter openCounter) {
+        List<String> lines = new ArrayList<>();
         for (int account = 0; account < accounts.size(); account++) {
-            LedgerCounters sheet = counters(LedgerPlace.CORE);
-            if (sheet.openedCount(account) != 0) {
-                StringBuilder line = new StringBuilder("ledger, " + accounts.get(account) + ": taken " + sheet.openedCount(account) + " =");
+            LedgerCounters coreCounters = counters(LedgerPlace.CORE);
+            if (coreCounters.openedCount(account) != 0) {
+                StringBuilder line = new StringBuilder("ledger, " + accounts.get(account) + ": taken " + coreCounters.openedCount(account) + " =");
                 for (RequestEnd end : RequestEnd.values()) {
-                    line.append(' ').append(LedgerPlace.CORE.ends().get(end.ordinal())).append(' ')
-                            .append(sheet.endedCount(account, end.ordinal())).append(" +");
+                    line.append(' ').append(LedgerPlace.CORE.endNames().get(end.ordinal())).append(' ')
+                            .append(coreCounters.endedCount(account, end.ordinal())).append(" +");
                 }
-                text.add(line.append(" open ").append(open.at(LedgerPlace.CORE, account)).toString());
+                lines.add(line.append(" open ").append(openCounter.countOpen(LedgerPlace.CORE, account)).toString());
             }
         }
-        return text;
+        return lines;
     }
 
-    private void compare(int account, LedgerPlace one, LedgerPlace other, List<Breach> found, Set<String> broken) {
-        compare(account, "opened", one, other, sheet -> sheet.openedCount(account), found, broken);
-        for (int end = 0; end < one.ends().size(); end++) {
-            int number = end;
-            compare(account, one.ends().get(end), one, other, sheet -> sheet.endedCount(account, number), found, broken);
+    private void comparePlaces(int account, LedgerPlace firstPlace, LedgerPlace secondPlace, List<Breach> newBreaches, Set<String> brokenKeys) {
+        comparePlaces(account, "opened", firstPlace, secondPlace, counters -> counters.openedCount(account), newBreaches, brokenKeys);
+        for (int end = 0; end < firstPlace.endNames().size(); end++) {
+            int endNumber = end;
+            comparePlaces(account, firstPlace.endNames().get(end), firstPlace, secondPlace, counters -> counters.endedCount(account, endNumber), newBreaches, brokenKeys);
         }
     }
 
-    private void compare(int account, String what, LedgerPlace one, LedgerPlace other, ToLongFunction<LedgerCounters> figure,
-                         List<Breach> found, Set<String> broken) {
-        long here = figure.applyAsLong(counters(one));
-        long there = figure.applyAsLong(counters(other));
-        if (here != there) {
-            note(account, what + ": " + here + " " + one + ", " + there + " " + other,
-                    what + " " + one + " " + (here - there), found, broken);
+    private void comparePlaces(int account, String countName, LedgerPlace firstPlace, LedgerPlace secondPlace, ToLongFunction<LedgerCounters> count,
+                         List<Breach> newBreaches, Set<String> brokenKeys) {
+        long firstCount = count.applyAsLong(counters(firstPlace));
+        long secondCount = count.applyAsLong(counters(secondPlace));
+        if (firstCount != secondCount) {
+            recordBreach(account, countName + ": " + firstCount + " " + firstPlace + ", " + secondCount + " " + secondPlace,
+                    countName + " " + firstPlace + " " + (firstCount - secondCount), newBreaches, brokenKeys);
         }
     }
 
     /** Records a broken sum, as a new breach unless the last check found the same {@code key}, which contains the difference. */
-    private void note(int account, String rule, String key, List<Breach> found, Set<String> broken) {
-        String named = account + " " + key;
-        broken.add(named);
-        if (!known.contains(named)) {
-            found.add(new Breach(accounts.get(account), rule, ring.last(account)));
+    private void recordBreach(int account, String description, String key, List<Breach> newBreaches, Set<String> brokenKeys) {
+        String accountKey = account + " " + key;
+        brokenKeys.add(accountKey);
+        if (!reportedBreachKeys.contains(accountKey)) {
+            newBreaches.add(new Breach(accounts.get(account), description, recentEntries.describeEntries(account)));
         }
     }
 
@@ -168,6 +168,6 @@
     @FunctionalInterface
     public interface OpenCounter {
         /** Returns the number of requests or attempts of this account that are open at this place. */
-        long at(LedgerPlace place, int account);
+        long countOpen(LedgerPlace place, int account);
     }
 }
--- a/src/main/java/cinderhollow/ledger/LedgerCounters.java
+++ b/src/main/java/cinderhollow/ledger/LedgerCounters.java
@@ -10,28 +10,28 @@
  */
 public final class LedgerCounters {
     private final LedgerPlace place;
-    private final int ends;
-    private final long[] opened;
-    private final long[] ended;
-    private final Ring ring;
+    private final int endKindCount;
+    private final long[] openedCounts;
+    private final long[] endedCounts;
+    private final RecentEntries recentEntries;
 
-    LedgerCounters(LedgerPlace place, int accounts, Ring ring) {
-        this(place, ring, new long[accounts], new long[accounts * place.ends().size()]);
+    LedgerCounters(LedgerPlace place, int accounts, RecentEntries recentEntries) {
+        this(place, recentEntries, new long[accounts], new long[accounts * place.endNames().size()]);
     }
 
     /** Creates counters with these initial values, {@code openedCounts} by account, {@code endedCounts} by account and end. */
-    LedgerCounters(LedgerPlace place, Ring ring, long[] opened, long[] ended) {
+    LedgerCounters(LedgerPlace place, RecentEntries recentEntries, long[] openedCounts, long[] endedCounts) {
         this.place = place;
-        this.ring = ring;
-        this.opened = opened;
-        this.ended = ended;
-        ends = place.ends().size();
+        this.recentEntries = recentEntries;
+        this.openedCounts = openedCounts;
+        this.endedCounts = endedCounts;
+        endKindCount = place.endNames().size();
     }
 
     /** Counts a request or attempt that has begun; {@code id} is the id of the request. */
     public void recordOpened(int account, String id) {
-        opened[account]++;
-        ring.add(account, place, Ring.OPENED, id);
+        openedCounts[account]++;
+        recentEntries.add(account, place, RecentEntries.OPENED, id);
     }
 
     /** Counts a request that has ended. */
@@ -46,29 +46,29 @@
 
     /** Counts a request or attempt that has ended, with its end given by its number among the ends of the place. */
     void recordEnded(int account, int end, String id) {
-        ended[account * ends + end]++;
-        ring.add(account, place, end, id);
+        endedCounts[account * endKindCount + end]++;
+        recentEntries.add(account, place, end, id);
     }
 
     /** Returns how many requests or attempts of the account were opened so far. */
     public long openedCount(int account) {
-        return opened[account];
+        return openedCounts[account];
     }
 
     /** Returns how many requests or attempts of the account ended in this way so far. */
     public long endedCount(int account, int end) {
-        return ended[account * ends + end];
+        return endedCounts[account * endKindCount + end];
     }
 
     /** Returns how many requests or attempts of the account ended so far, by end. */
-    List<Long> ends(int account) {
-        return Arrays.stream(ended, account * ends, (account + 1) * ends).boxed().toList();
+    List<Long> endedCountsOf(int account) {
+        return Arrays.stream(endedCounts, account * endKindCount, (account + 1) * endKindCount).boxed().toList();
     }
 
     /** Returns how many requests or attempts of the account ended so far in any way. */
     public long endedCount(int account) {
         long sum = 0;
-        for (int end = 0; end < ends; end++) {
+        for (int end = 0; end < endKindCount; end++) {
             sum += endedCount(account, end);
         }
         return sum;
--- a/src/main/java/cinderhollow/ledger/LedgerPlace.java
+++ b/src/main/java/cinderhollow/ledger/LedgerPlace.java
@@ -19,21 +19,21 @@
     /** Attempts, counted where connections to servers are handled. */
     NODES("attempts at the nodes' side", Outcome.values());
 
-    private final String words;
-    private final List<String> ends;
+    private final String description;
+    private final List<String> endNames;
 
-    LedgerPlace(String words, Enum<?>[] ends) {
-        this.words = words;
-        this.ends = Arrays.stream(ends).map(end -> end.name().toLowerCase(Locale.ROOT).replace('_', ' ')).toList();
+    LedgerPlace(String description, Enum<?>[] endConstants) {
+        this.description = description;
+        this.endNames = Arrays.stream(endConstants).map(end -> end.name().toLowerCase(Locale.ROOT).replace('_', ' ')).toList();
     }
 
     /** Returns the names of the ends that a request or attempt can have at this place, in the order of their numbers. */
-    public List<String> ends() {
-        return ends;
+    public List<String> endNames() {
+        return endNames;
     }
 
     @Override
     public String toString() {
-        return words;
+        return description;
     }
 }
--- a/src/main/java/cinderhollow/ledger/LedgerTotals.java
+++ b/src/main/java/cinderhollow/ledger/LedgerTotals.java
@@ -15,32 +15,32 @@
     private static final Pattern LABEL = Pattern.compile("([a-z]+)=\"((?:[^\"\\\\]|\\\\.)*)\"");
 
     /** Totals of one account at one place, over all gateways added. */
-    private static final class Row {
+    private static final class PlaceTotals {
         private final LedgerPlace place;
-        private final long[] ended;
-        private long opened;
-        private long open;
+        private final long[] endedCounts;
+        private long openedCount;
+        private long openCount;
 
-        Row(LedgerPlace place) {
+        PlaceTotals(LedgerPlace place) {
             this.place = place;
-            ended = new long[place.ends().size()];
+            endedCounts = new long[place.endNames().size()];
         }
 
-        boolean addsUp() {
-            return opened == Arrays.stream(ended).sum() + open;
+        boolean isBalanced() {
+            return openedCount == Arrays.stream(endedCounts).sum() + openCount;
         }
 
-        boolean equal(Row other) {
-            return opened == other.opened && open == other.open && Arrays.equals(ended, other.ended);
+        boolean hasSameCounts(PlaceTotals other) {
+            return openedCount == other.openedCount && openCount == other.openCount && Arrays.equals(endedCounts, other.endedCounts);
         }
     }
 
-    private final Map<String, Row[]> rows = new TreeMap<>();
-    private int instances;
-    private long breaches;
-    private long orphaned;
+    private final Map<String, PlaceTotals[]> totalsByAccount = new TreeMap<>();
+    private int instanceCount;
+    private long breachCount;
+    private long orphanedCount;
     /** Requests taken in earlier runs minus those ended or orphaned there; 0 if the counts are balanced. */
-    private long earlierOpen;
+    private long earlierImbalance;
 
     /**
      * Adds the metrics text of one gateway.
@@ -51,16 +51,16 @@
         if (!text.endsWith("# EOF\n")) {
             throw new IllegalArgumentException("metrics text is truncated or not in OpenMetrics format");
         }
-        instances++;
+        instanceCount++;
         for (String line : text.split("\n")) {
             Matcher sample = SAMPLE.matcher(line);
             if (!line.startsWith("#") && sample.matches()) {
-                add(sample.group(1), labels(sample.group(2)), sample.group(3));
+                addSample(sample.group(1), parseLabels(sample.group(2)), sample.group(3));
             }
         }
     }
 
-    private static Map<String, String> labels(String text) {
+    private static Map<String, String> parseLabels(String text) {
         Map<String, String> labels = new TreeMap<>();
         Matcher label = LABEL.matcher(text);
         while (label.find()) {
@@ -69,69 +69,69 @@
         return labels;
     }
 
-    private void add(String name, Map<String, String> labels, String figure) {
-        if (name.equals("cinderhollow_ledger_breaches")) {
-            breaches += Long.parseLong(figure);
-        } else if (name.equals("cinderhollow_earlier_requests_taken")) {
-            earlierOpen += Long.parseUnsignedLong(figure);
-        } else if (name.equals("cinderhollow_earlier_requests_ended")) {
-            earlierOpen -= Long.parseUnsignedLong(figure);
-            orphaned += labels.get("end").equals("orphaned") ? Long.parseUnsignedLong(figure) : 0;
+    private void addSample(String metricName, Map<String, String> labels, String sampleValue) {
+        if (metricName.equals("cinderhollow_ledger_breaches")) {
+            breachCount += Long.parseLong(sampleValue);
+        } else if (metricName.equals("cinderhollow_earlier_requests_taken")) {
+            earlierImbalance += Long.parseUnsignedLong(sampleValue);
+        } else if (metricName.equals("cinderhollow_earlier_requests_ended")) {
+            earlierImbalance -= Long.parseUnsignedLong(sampleValue);
+            orphanedCount += labels.get("end").equals("orphaned") ? Long.parseUnsignedLong(sampleValue) : 0;
         } else if (labels.containsKey("place")) {
             LedgerPlace place = LedgerPlace.valueOf(labels.get("place").toUpperCase(Locale.ROOT));
-            Row[] all = rows.computeIfAbsent(labels.get("account"),
-                    account -> Arrays.stream(LedgerPlace.values()).map(Row::new).toArray(Row[]::new));
-            Row row = all[place.ordinal()];
-            long value = Long.parseUnsignedLong(figure);
-            if (name.endsWith("_open")) {
-                row.open += value;
+            PlaceTotals[] accountTotals = totalsByAccount.computeIfAbsent(labels.get("account"),
+                    account -> Arrays.stream(LedgerPlace.values()).map(PlaceTotals::new).toArray(PlaceTotals[]::new));
+            PlaceTotals placeTotals = accountTotals[place.ordinal()];
+            long value = Long.parseUnsignedLong(sampleValue);
+            if (metricName.endsWith("_open")) {
+                placeTotals.openCount += value;
             } else if (labels.containsKey("end")) {
-                row.ended[place.ends().indexOf(labels.get("end"))] += value;
+                placeTotals.endedCounts[place.endNames().indexOf(labels.get("end"))] += value;
             } else {
-                row.opened += value;
+                placeTotals.openedCount += value;
             }
         }
     }
 
     /** Returns whether all sums hold, the places agree, and no gateway reports an unacknowledged breach. */
     public boolean isBalanced() {
-        return breaches == 0 && faults().isEmpty();
+        return breachCount == 0 && findImbalances().isEmpty();
     }
 
-    private List<String> faults() {
-        List<String> faults = new ArrayList<>();
-        rows.forEach((account, all) -> {
-            for (Row row : all) {
-                if (!row.addsUp()) {
-                    faults.add(account + ": " + row.place + " don't add up");
+    private List<String> findImbalances() {
+        List<String> imbalances = new ArrayList<>();
+        totalsByAccount.forEach((account, accountTotals) -> {
+            for (PlaceTotals placeTotals : accountTotals) {
+                if (!placeTotals.isBalanced()) {
+                    imbalances.add(account + ": " + placeTotals.place + " don't add up");
                 }
             }
-            if (!all[LedgerPlace.CLIENTS.ordinal()].equal(all[LedgerPlace.CORE.ordinal()])
-                    || !all[LedgerPlace.ATTEMPTS.ordinal()].equal(all[LedgerPlace.NODES.ordinal()])) {
-                faults.add(account + ": two places don't agree");
+            if (!accountTotals[LedgerPlace.CLIENTS.ordinal()].hasSameCounts(accountTotals[LedgerPlace.CORE.ordinal()])
+                    || !accountTotals[LedgerPlace.ATTEMPTS.ordinal()].hasSameCounts(accountTotals[LedgerPlace.NODES.ordinal()])) {
+                imbalances.add(account + ": two places don't agree");
             }
         });
-        if (earlierOpen != 0) {
-            faults.add("earlier lives don't add up, by " + earlierOpen);
+        if (earlierImbalance != 0) {
+            imbalances.add("earlier lives don't add up, by " + earlierImbalance);
         }
-        return faults;
+        return imbalances;
     }
 
     /** Returns a table for operators, with the overall result in its last line. */
     public String formatTable() {
         StringBuilder text = new StringBuilder(String.format(Locale.ROOT, "%-36s %10s %10s %9s %9s %9s %7s %10s%n", "account",
                 "taken", "served", "refused", "failed", "abandoned", "open", "attempts"));
-        rows.forEach((account, all) -> {
-            Row row = all[LedgerPlace.CORE.ordinal()];
-            text.append(String.format(Locale.ROOT, "%-36s %10d %10d %9d %9d %9d %7d %10d%n", account, row.opened,
-                    row.ended[RequestEnd.SERVED.ordinal()], row.ended[RequestEnd.REFUSED.ordinal()], row.ended[RequestEnd.FAILED.ordinal()],
-                    row.ended[RequestEnd.ABANDONED.ordinal()], row.open, all[LedgerPlace.ATTEMPTS.ordinal()].opened));
+        totalsByAccount.forEach((account, accountTotals) -> {
+            PlaceTotals coreTotals = accountTotals[LedgerPlace.CORE.ordinal()];
+            text.append(String.format(Locale.ROOT, "%-36s %10d %10d %9d %9d %9d %7d %10d%n", account, coreTotals.openedCount,
+                    coreTotals.endedCounts[RequestEnd.SERVED.ordinal()], coreTotals.endedCounts[RequestEnd.REFUSED.ordinal()], coreTotals.endedCounts[RequestEnd.FAILED.ordinal()],
+                    coreTotals.endedCounts[RequestEnd.ABANDONED.ordinal()], coreTotals.openCount, accountTotals[LedgerPlace.ATTEMPTS.ordinal()].openedCount));
         });
-        faults().forEach(fault -> text.append(fault).append('\n'));
-        if (orphaned > 0) {
-            text.append(orphaned).append(" requests of earlier lives were cut off and may have run\n");
+        findImbalances().forEach(imbalance -> text.append(imbalance).append('\n'));
+        if (orphanedCount > 0) {
+            text.append(orphanedCount).append(" requests of earlier lives were cut off and may have run\n");
         }
-        return text.append(instances).append(instances == 1 ? " instance, " : " instances, ").append(breaches)
+        return text.append(instanceCount).append(instanceCount == 1 ? " instance, " : " instances, ").append(breachCount)
                 .append(" breaches not acknowledged: ").append(isBalanced() ? "all adds up" : "IT DOES NOT ADD UP").toString();
     }
 }
--- a/src/main/java/cinderhollow/ops/GatewayControl.java
+++ b/src/main/java/cinderhollow/ops/GatewayControl.java
@@ -14,5 +14,5 @@
     CompletableFuture<GatewayStats> stats();
 
     /** Turns standby on, which makes clients leave this gateway, or off, so that it takes clients again. */
-    CompletableFuture<Void> setStandby(boolean empty);
+    CompletableFuture<Void> setStandby(boolean enabled);
 }
--- a/src/main/java/cinderhollow/ops/GatewayStats.java
+++ b/src/main/java/cinderhollow/ops/GatewayStats.java
@@ -21,15 +21,15 @@
      * files the maximum is taken, since both loops have the same ones.
      */
     public GatewayStats plus(GatewayStats other) {
-        Map<String, Counts> both = new TreeMap<>(countsByClass);
-        other.countsByClass.forEach((name, counts) -> both.merge(name, counts, Counts::plus));
-        return new GatewayStats(both, openRequests + other.openRequests, Math.max(endpoints, other.endpoints), Math.max(outOfRotation, other.outOfRotation),
+        Map<String, Counts> mergedCounts = new TreeMap<>(countsByClass);
+        other.countsByClass.forEach((name, counts) -> mergedCounts.merge(name, counts, Counts::plus));
+        return new GatewayStats(mergedCounts, openRequests + other.openRequests, Math.max(endpoints, other.endpoints), Math.max(outOfRotation, other.outOfRotation),
                 Math.max(reloadsAccepted, other.reloadsAccepted), Math.max(reloadsRejected, other.reloadsRejected));
     }
 
     /** Returns the figures as one line of JSON, with the field names that the platform's tools expect. */
-    public String json() {
-        String classes = new TreeMap<>(countsByClass).entrySet().stream().map(e -> quoted(e.getKey()) + ":{\"fulfilled\":"
+    public String toJson() {
+        String classes = new TreeMap<>(countsByClass).entrySet().stream().map(e -> quote(e.getKey()) + ":{\"fulfilled\":"
                 + e.getValue().fulfilled() + ",\"throttled\":" + e.getValue().throttled() + ",\"faulted\":"
                 + e.getValue().faulted() + ",\"relayed\":" + e.getValue().relayed() + "}").collect(Collectors.joining(","));
         return "{\"operations\":{" + classes + "},\"relayed\":"
@@ -39,7 +39,7 @@
     }
 
     /** Returns a JSON string (RFC 8259, section 7). Class names come from a configuration file and may have any character. */
-    private static String quoted(String name) {
+    private static String quote(String name) {
         StringBuilder text = new StringBuilder("\"");
         for (char c : name.toCharArray()) {
             if (c == '"' || c == '\\') {
--- a/src/main/java/cinderhollow/ops/OpsSocket.java
+++ b/src/main/java/cinderhollow/ops/OpsSocket.java
@@ -24,26 +24,26 @@
  * The operators' socket: a connection carries one command line and one reply, and is then closed. Runs on one event loop.
  */
 public final class OpsSocket {
-    private static final int LONGEST_LINE = 256;
+    private static final int MAX_LINE_BYTES = 256;
     /**
      * A connection without a complete command is closed after 10 s, which is ample, since commands come from programs. After a
      * reply the connection is closed with a delay of 500 ms.
      */
-    private static final long SILENT_MILLIS = 10_000, LINGER_MILLIS = 500;
+    private static final long COMMAND_TIMEOUT_MILLIS = 10_000, CLOSE_DELAY_MILLIS = 500;
 
     private final EventLoop loop;
-    private final GatewayControl desk;
-    private final int mostCallers;
+    private final GatewayControl control;
+    private final int maxConnections;
     /** Connections that have not sent a complete command, oldest first. */
-    private final Set<Caller> silent = new LinkedHashSet<>();
-    private int callers;
+    private final Set<CommandHandler> awaitingCommand = new LinkedHashSet<>();
+    private int connectionCount;
     private Channel listener;
 
     /** Creates a socket that sends commands to this gateway and allows this number of connections at a time. */
-    public OpsSocket(EventLoop loop, GatewayControl desk, int mostCallers) {
-        this.mostCallers = mostCallers;
+    public OpsSocket(EventLoop loop, GatewayControl control, int maxConnections) {
+        this.maxConnections = maxConnections;
         this.loop = loop;
-        this.desk = desk;
+        this.control = control;
     }
 
     /** Binds the address and listens; the future fails if the address is not available. */
@@ -52,7 +52,7 @@
                 .handler(new AcceptErrorHandler()).childHandler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
-                        channel.pipeline().addLast(new LineBasedFrameDecoder(LONGEST_LINE, true, true), new Caller(channel));
+                        channel.pipeline().addLast(new LineBasedFrameDecoder(MAX_LINE_BYTES, true, true), new CommandHandler(channel));
                     }
                 }).bind(address);
         listener = bound.channel();
@@ -69,22 +69,22 @@
         listener.close();
     }
 
-    private CompletableFuture<String> answer(String call) {
-        return switch (call) {
-            case "status" -> desk.isServing().thenApply(serves -> serves ? "200 serving\n" : "400 not serving\n");
-            case "stats" -> desk.stats().thenApply(standing -> standing.json() + "\nEOF\n");
-            case "standby" -> desk.setStandby(true).thenApply(done -> "200 standby\n");
-            case "active" -> desk.setStandby(false).thenApply(done -> "200 active\n");
+    private CompletableFuture<String> execute(String command) {
+        return switch (command) {
+            case "status" -> control.isServing().thenApply(serving -> serving ? "200 serving\n" : "400 not serving\n");
+            case "stats" -> control.stats().thenApply(stats -> stats.toJson() + "\nEOF\n");
+            case "standby" -> control.setStandby(true).thenApply(done -> "200 standby\n");
+            case "active" -> control.setStandby(false).thenApply(done -> "200 active\n");
             default -> CompletableFuture.completedFuture("400 unknown call: one of status, stats, standby, active\n");
         };
     }
 
     /** Handles one connection: reads a command, sends the reply and closes the connection. */
-    private final class Caller extends SimpleChannelInboundHandler<ByteBuf> {
+    private final class CommandHandler extends SimpleChannelInboundHandler<ByteBuf> {
         private final Channel channel;
-        private boolean called;
+        private boolean commandReceived;
 
-        Caller(Channel channel) {
+        CommandHandler(Channel channel) {
             this.channel = channel;
         }
 
@@ -94,42 +94,42 @@
          */
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
-            callers++;
-            silent.add(this);
-            if (callers > mostCallers) {
+            connectionCount++;
+            awaitingCommand.add(this);
+            if (connectionCount > maxConnections) {
                 // If all others have sent their command, this is the new connection itself; its client has to connect again.
-                silent.iterator().next().channel.close();
+                awaitingCommand.iterator().next().channel.close();
             }
             loop.schedule(() -> {
-                if (!called) {
+                if (!commandReceived) {
                     channel.close();
                 }
-            }, SILENT_MILLIS, TimeUnit.MILLISECONDS);
+            }, COMMAND_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
         }
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, ByteBuf line) {
-            if (!called) {
-                tell(answer(line.toString(StandardCharsets.UTF_8).strip()).handleAsync((text, fault) ->
+            if (!commandReceived) {
+                reply(execute(line.toString(StandardCharsets.UTF_8).strip()).handleAsync((text, fault) ->
                         fault == null ? text : "400 no answer: " + fault.getMessage() + "\n", loop));
             }
         }
 
-        private void tell(CompletableFuture<String> answer) {
-            called = true;
-            silent.remove(this);
-            answer.thenAccept(text -> {
+        private void reply(CompletableFuture<String> replyText) {
+            commandReceived = true;
+            awaitingCommand.remove(this);
+            replyText.thenAccept(text -> {
                 // Ends the output before the close: a close with unread input sends a TCP reset, which can discard the reply.
                 channel.writeAndFlush(Unpooled.copiedBuffer(text, StandardCharsets.UTF_8))
                         .addListener(written -> ((DuplexChannel) channel).shutdownOutput());
-                loop.schedule(() -> channel.close(), LINGER_MILLIS, TimeUnit.MILLISECONDS);
+                loop.schedule(() -> channel.close(), CLOSE_DELAY_MILLIS, TimeUnit.MILLISECONDS);
             });
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
-            callers--;
-            silent.remove(this);
+            connectionCount--;
+            awaitingCommand.remove(this);
         }
 
         /**
@@ -137,10 +137,10 @@
          */
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            if (called || !channel.isActive()) {
+            if (commandReceived || !channel.isActive()) {
                 ctx.close();
             } else {
-                tell(CompletableFuture.completedFuture("400 no readable call\n"));
+                reply(CompletableFuture.completedFuture("400 no readable call\n"));
             }
         }
     }
--- a/src/main/java/cinderhollow/routes/BudgetedRoutePolicy.java
+++ b/src/main/java/cinderhollow/routes/BudgetedRoutePolicy.java
@@ -10,19 +10,19 @@
  */
 public final class BudgetedRoutePolicy implements RoutePolicy {
     private final int index;
-    private final RouteSettings terms;
-    private final Budget retries;
-    private final Budget copies;
-    private final Quantile times;
+    private final RouteSettings settings;
+    private final RetryBudget retryBudget;
+    private final RetryBudget hedgeBudget;
+    private final Quantile latencies;
 
     /** Creates the policy of a route that has had no requests yet; {@code index} is its index among the routes. */
-    public BudgetedRoutePolicy(int number, RouteSettings terms) {
-        this.index = number;
-        this.terms = terms;
-        retries = new Budget(terms.retryBudget());
-        HedgeSettings copy = terms.hedge();
-        copies = copy == null ? null : new Budget(copy.budget());
-        times = copy == null || copy.percentile() == 0 ? null : new Quantile(copy.percentile(), copy.sampleCount());
+    public BudgetedRoutePolicy(int index, RouteSettings settings) {
+        this.index = index;
+        this.settings = settings;
+        retryBudget = new RetryBudget(settings.retryBudget());
+        HedgeSettings hedge = settings.hedge();
+        hedgeBudget = hedge == null ? null : new RetryBudget(hedge.budget());
+        latencies = hedge == null || hedge.percentile() == 0 ? null : new Quantile(hedge.percentile(), hedge.sampleCount());
     }
 
     /** Returns the index of the route among the operator's routes, from 0. */
@@ -32,57 +32,57 @@
 
     @Override
     public long totalTimeoutNanos() {
-        return terms.totalTimeoutNanos();
+        return settings.totalTimeoutNanos();
     }
 
     @Override
     public long attemptTimeoutNanos() {
-        return terms.attemptTimeoutNanos();
+        return settings.attemptTimeoutNanos();
     }
 
     @Override
     public int maxAttempts() {
-        return terms.maxAttempts();
+        return settings.maxAttempts();
     }
 
     @Override
     public void recordRequest(long now) {
-        retries.arrived(now);
-        if (copies != null) {
-            copies.arrived(now);
+        retryBudget.deposit(now);
+        if (hedgeBudget != null) {
+            hedgeBudget.deposit(now);
         }
     }
 
     @Override
     public void recordServed(long nanos) {
-        if (times != null) {
-            times.add(nanos);
+        if (latencies != null) {
+            latencies.add(nanos);
         }
     }
 
     @Override
     public boolean tryWithdrawRetry(Outcome outcome, long now) {
-        return terms.retryOn().contains(outcome) && retries.take(now);
+        return settings.retryOn().contains(outcome) && retryBudget.tryWithdraw(now);
     }
 
     @Override
     public long backoffNanos(int retry) {
-        long doubled = terms.baseBackoffNanos() << Math.min(20, Math.max(0, retry - 1));
-        return Math.min(terms.maxBackoffNanos(), doubled);
+        long doubledNanos = settings.baseBackoffNanos() << Math.min(20, Math.max(0, retry - 1));
+        return Math.min(settings.maxBackoffNanos(), doubledNanos);
     }
 
     @Override
     public long hedgeDelayNanos() {
-        return copies == null ? 0 : times == null ? terms.hedge().delayNanos() : times.nanos();
+        return hedgeBudget == null ? 0 : latencies == null ? settings.hedge().delayNanos() : latencies.valueNanos();
     }
 
     @Override
     public boolean tryWithdrawHedge(long now) {
-        return copies != null && copies.take(now);
+        return hedgeBudget != null && hedgeBudget.tryWithdraw(now);
     }
 
     @Override
     public long retryAfterNanos() {
-        return terms.retryAfterNanos();
+        return settings.retryAfterNanos();
     }
 }
--- a/src/main/java/cinderhollow/routes/PathPattern.java
+++ b/src/main/java/cinderhollow/routes/PathPattern.java
@@ -8,13 +8,13 @@
  * {@code /files/**}.
  *
  * @param text the pattern as written by the operator
- * @param segments the segments in order; a variable one is {@link #ONE}, any suffix is {@link #REST}
+ * @param segments the segments in order; a variable one is {@link #ANY_SEGMENT}, any suffix is {@link #ANY_SUFFIX}
  */
 public record PathPattern(String text, List<String> segments) {
     /** Matches any single segment that is not empty. */
-    static final String ONE = "{}";
+    static final String ANY_SEGMENT = "{}";
     /** Matches one or more segments; allowed only at the end of a pattern. */
-    static final String REST = "**";
+    static final String ANY_SUFFIX = "**";
 
     /** Copies the list. */
     public PathPattern {
@@ -34,33 +34,33 @@
             throw new IllegalArgumentException("a path must not have a query");
         }
         List<String> segments = new ArrayList<>();
-        StringBuilder plain = new StringBuilder();
+        StringBuilder examplePath = new StringBuilder();
         String[] parts = text.substring(1).split("/", -1);
         for (int i = 0; i < parts.length; i++) {
             String part = parts[i];
             boolean last = i == parts.length - 1;
-            if (part.equals(REST)) {
+            if (part.equals(ANY_SUFFIX)) {
                 if (!last) {
                     throw new IllegalArgumentException("** is allowed only as the last segment");
                 }
-                segments.add(REST);
-                plain.append("/x");
+                segments.add(ANY_SUFFIX);
+                examplePath.append("/x");
             } else if (part.matches("\\{[A-Za-z][A-Za-z0-9_-]*}")) {
-                segments.add(ONE);
-                plain.append("/x");
+                segments.add(ANY_SEGMENT);
+                examplePath.append("/x");
             } else if (part.contains("{") || part.contains("}") || part.contains("*")) {
                 throw new IllegalArgumentException("'" + part + "' is neither a literal segment, nor {name}, nor **");
             } else {
                 segments.add(part);
-                plain.append('/').append(part);
+                examplePath.append('/').append(part);
             }
         }
-        if (segments.get(0).equals(ONE) || segments.get(0).equals(REST)) {
+        if (segments.get(0).equals(ANY_SEGMENT) || segments.get(0).equals(ANY_SUFFIX)) {
             throw new IllegalArgumentException("first segment must be literal, or it would match the requests of every class");
         }
-        String wrong = Paths.findProblem(plain.toString());
-        if (wrong != null) {
-            throw new IllegalArgumentException(wrong);
+        String problem = Paths.findProblem(examplePath.toString());
+        if (problem != null) {
+            throw new IllegalArgumentException(problem);
         }
         return new PathPattern(text, segments);
     }
@@ -68,17 +68,17 @@
     /** Returns whether some path matches both patterns. */
     public boolean overlaps(PathPattern other) {
         for (int i = 0; ; i++) {
-            boolean here = i < segments.size();
-            boolean there = i < other.segments.size();
-            if (!here || !there) {
-                return here == there;
+            boolean hasSegment = i < segments.size();
+            boolean otherHasSegment = i < other.segments.size();
+            if (!hasSegment || !otherHasSegment) {
+                return hasSegment == otherHasSegment;
             }
             String a = segments.get(i);
             String b = other.segments.get(i);
-            if (a.equals(REST) || b.equals(REST)) {
+            if (a.equals(ANY_SUFFIX) || b.equals(ANY_SUFFIX)) {
                 return true;
             }
-            if (!a.equals(ONE) && !b.equals(ONE) && !a.equals(b)) {
+            if (!a.equals(ANY_SEGMENT) && !b.equals(ANY_SEGMENT) && !a.equals(b)) {
                 return false;
             }
         }
@@ -89,19 +89,19 @@
      * than the other's at the same position, and at least one is more specific.
      */
     public boolean isMoreSpecificThan(PathPattern other) {
-        boolean more = false;
+        boolean moreSpecific = false;
         for (int i = 0; i < Math.min(segments.size(), other.segments.size()); i++) {
-            int mine = rank(segments.get(i));
-            int theirs = rank(other.segments.get(i));
-            if (mine < theirs) {
+            int ownRank = rank(segments.get(i));
+            int otherRank = rank(other.segments.get(i));
+            if (ownRank < otherRank) {
                 return false;
             }
-            more |= mine > theirs;
+            moreSpecific |= ownRank > otherRank;
         }
-        return more;
+        return moreSpecific;
     }
 
     private static int rank(String segment) {
-        return segment.equals(REST) ? 0 : segment.equals(ONE) ? 1 : 2;
+        return segment.equals(ANY_SUFFIX) ? 0 : segment.equals(ANY_SEGMENT) ? 1 : 2;
     }
 }
--- a/src/main/java/cinderhollow/routes/Paths.java
+++ b/src/main/java/cinderhollow/routes/Paths.java
@@ -11,9 +11,9 @@
 
     /** Returns the first segment of a path that {@link #findProblem} accepts. Where no route matches, it names the request's class. */
     public static String firstSegment(String target) {
-        int end = end(target);
+        int pathEnd = findPathEnd(target);
         int slash = target.indexOf('/', 1);
-        return target.substring(Math.min(1, end), slash < 0 || slash > end ? end : slash);
+        return target.substring(Math.min(1, pathEnd), slash < 0 || slash > pathEnd ? pathEnd : slash);
     }
 
     /**
@@ -21,58 +21,58 @@
      * The query, from the first question mark on, is not checked; only the server interprets it.
      */
     public static String findProblem(String target) {
-        int end = end(target);
-        if (end == 0 || target.charAt(0) != '/') {
+        int pathEnd = findPathEnd(target);
+        if (pathEnd == 0 || target.charAt(0) != '/') {
             return "the target is no path";
         }
-        int segment = 1;
-        for (int i = 1; i < end; i++) {
+        int segmentStart = 1;
+        for (int i = 1; i < pathEnd; i++) {
             char c = target.charAt(i);
             if (c <= ' ' || c >= 0x7f) {
                 return "the path has a space, a control or a character beyond ASCII";
             }
             if (c == '/') {
-                String wrong = segmentFault(target, segment, i);
-                if (wrong != null) {
-                    return wrong;
+                String problem = findSegmentProblem(target, segmentStart, i);
+                if (problem != null) {
+                    return problem;
                 }
-                segment = i + 1;
+                segmentStart = i + 1;
             } else if (c == '%') {
-                String wrong = escapeFault(target, i, end);
-                if (wrong != null) {
-                    return wrong;
+                String problem = findEscapeProblem(target, i, pathEnd);
+                if (problem != null) {
+                    return problem;
                 }
             } else if (c == '\\' || c == ';' || c == '#') {
                 return "the path has a '" + c + "', which nodes read in more than one way";
             }
         }
         // One trailing slash is allowed: a server that drops it still sees a path of the same class.
-        return segment == end ? null : segmentFault(target, segment, end);
+        return segmentStart == pathEnd ? null : findSegmentProblem(target, segmentStart, pathEnd);
     }
 
     /** Returns the index at which the path ends and the query, if any, begins. */
-    static int end(String target) {
-        int query = target.indexOf('?');
-        return query < 0 ? target.length() : query;
+    static int findPathEnd(String target) {
+        int queryStart = target.indexOf('?');
+        return queryStart < 0 ? target.length() : queryStart;
     }
 
-    private static String segmentFault(String target, int from, int to) {
+    private static String findSegmentProblem(String target, int from, int to) {
         int length = to - from;
         if (length == 0) {
             return "the path has an empty segment";
         }
-        boolean dots = target.charAt(from) == '.' && (length == 1 || length == 2 && target.charAt(from + 1) == '.');
-        return dots ? "the path has a dot segment" : null;
+        boolean dotSegment = target.charAt(from) == '.' && (length == 1 || length == 2 && target.charAt(from + 1) == '.');
+        return dotSegment ? "the path has a dot segment" : null;
     }
 
     /** An escape must be necessary and must not encode a separator; otherwise the same path could be written in two ways. */
-    private static String escapeFault(String target, int at, int end) {
-        int high = at + 2 < end ? Character.digit(target.charAt(at + 1), 16) : -1;
-        int low = at + 2 < end ? Character.digit(target.charAt(at + 2), 16) : -1;
-        if (high < 0 || low < 0) {
+    private static String findEscapeProblem(String target, int escapeStart, int pathEnd) {
+        int highDigit = escapeStart + 2 < pathEnd ? Character.digit(target.charAt(escapeStart + 1), 16) : -1;
+        int lowDigit = escapeStart + 2 < pathEnd ? Character.digit(target.charAt(escapeStart + 2), 16) : -1;
+        if (highDigit < 0 || lowDigit < 0) {
             return "the path has a broken percent escape";
         }
-        int value = high << 4 | low;
+        int value = highDigit << 4 | lowDigit;
         if (value == '/' || value == '\\' || value == ';' || value == '%' || value < ' ' || value == 0x7f) {
             return "the path hides a separator, a percent sign or a control in an escape";
         }
--- a/src/main/java/cinderhollow/routes/Quantile.java
+++ b/src/main/java/cinderhollow/routes/Quantile.java
@@ -6,48 +6,48 @@
  * replaces the oldest one, so that after a tenfold change the percentile is right once all remembered latencies are new.
  */
 final class Quantile {
-    private static final int BUCKETS_A_DOUBLING = 8;
-    private static final int BUCKETS = 64 * BUCKETS_A_DOUBLING;
-    private static final double LOG = Math.log(2) / BUCKETS_A_DOUBLING;
+    private static final int BUCKETS_PER_DOUBLING = 8;
+    private static final int BUCKET_COUNT = 64 * BUCKETS_PER_DOUBLING;
+    private static final double BUCKET_LOG_WIDTH = Math.log(2) / BUCKETS_PER_DOUBLING;
 
-    private final double part;
-    private final short[] last;
-    private final int[] counts = new int[BUCKETS];
-    private int next;
-    private int held;
+    private final double fraction;
+    private final short[] recentBuckets;
+    private final int[] bucketCounts = new int[BUCKET_COUNT];
+    private int nextIndex;
+    private int sampleCount;
     /** The bucket that holds the percentile, and the number of latencies in lower buckets; both are updated incrementally. */
-    private int at;
-    private int below;
+    private int percentileBucket;
+    private int countBelow;
 
     /** Creates a percentile, from 0 to 100, over this number of recent latencies. */
-    Quantile(double percentile, int samples) {
-        part = percentile / 100;
-        last = new short[samples];
+    Quantile(double percentile, int maxSamples) {
+        fraction = percentile / 100;
+        recentBuckets = new short[maxSamples];
     }
 
     void add(long nanos) {
-        int bucket = bucket(nanos);
-        if (held == last.length) {
-            int oldest = last[next];
-            counts[oldest]--;
-            below -= oldest < at ? 1 : 0;
+        int bucket = bucketOf(nanos);
+        if (sampleCount == recentBuckets.length) {
+            int oldestBucket = recentBuckets[nextIndex];
+            bucketCounts[oldestBucket]--;
+            countBelow -= oldestBucket < percentileBucket ? 1 : 0;
         } else {
-            held++;
+            sampleCount++;
         }
-        last[next] = (short) bucket;
-        next = (next + 1) % last.length;
-        counts[bucket]++;
-        below += bucket < at ? 1 : 0;
-        settle();
+        recentBuckets[nextIndex] = (short) bucket;
+        nextIndex = (nextIndex + 1) % recentBuckets.length;
+        bucketCounts[bucket]++;
+        countBelow += bucket < percentileBucket ? 1 : 0;
+        updatePercentile();
     }
 
-    private void settle() {
-        double rank = part * held;
-        while (at > 0 && below >= rank) {
-            below -= counts[--at];
+    private void updatePercentile() {
+        double targetRank = fraction * sampleCount;
+        while (percentileBucket > 0 && countBelow >= targetRank) {
+            countBelow -= bucketCounts[--percentileBucket];
         }
-        while (at < BUCKETS - 1 && below + counts[at] < rank) {
-            below += counts[at++];
+        while (percentileBucket < BUCKET_COUNT - 1 && countBelow + bucketCounts[percentileBucket] < targetRank) {
+            countBelow += bucketCounts[percentileBucket++];
         }
     }
 
@@ -55,11 +55,11 @@
      * Returns the upper bound of the percentile's bucket in nanoseconds, or 0 until as many latencies were added as are
      * remembered.
      */
-    long nanos() {
-        return held < last.length ? 0 : Math.round(Math.exp((at + 1) * LOG));
+    long valueNanos() {
+        return sampleCount < recentBuckets.length ? 0 : Math.round(Math.exp((percentileBucket + 1) * BUCKET_LOG_WIDTH));
     }
 
-    private static int bucket(long nanos) {
-        return nanos <= 1 ? 0 : Math.min(BUCKETS - 1, (int) (Math.log(nanos) / LOG));
+    private static int bucketOf(long nanos) {
+        return nanos <= 1 ? 0 : Math.min(BUCKET_COUNT - 1, (int) (Math.log(nanos) / BUCKET_LOG_WIDTH));
     }
 }
--- a/src/main/java/cinderhollow/routes/Budget.java
+++ b/src/main/java/cinderhollow/routes/RetryBudget.java
@@ -7,35 +7,35 @@
  * minimum number of tokens. The capacity is one second's minimum, and at least one token, so that a long quiet period does
  * not save up tokens for a retry storm.
  */
-final class Budget {
-    private static final double SECOND_NANOS = 1e9;
+final class RetryBudget {
+    private static final double NANOS_PER_SECOND = 1e9;
     /** The capacity is at least one token; otherwise fractions of few requests would never add up to one. */
-    private static final double LEAST_SAVED = 1;
+    private static final double MIN_CAPACITY_TOKENS = 1;
     /** Tolerance for rounding: in floating point, ten times 0.1 adds up to slightly less than 1. */
-    private static final double ROUNDING = 1e-9;
+    private static final double ROUNDING_TOLERANCE = 1e-9;
 
-    private final BudgetSettings allowance;
-    private final double most;
+    private final BudgetSettings settings;
+    private final double maxTokens;
     private double tokens;
-    private long at;
-    private boolean begun;
+    private long lastRefillNanos;
+    private boolean refilledBefore;
 
-    Budget(BudgetSettings allowance) {
-        this.allowance = allowance;
-        most = Math.max(LEAST_SAVED, allowance.minPerSecond());
-        tokens = allowance.minPerSecond() > 0 ? LEAST_SAVED : 0;
+    RetryBudget(BudgetSettings settings) {
+        this.settings = settings;
+        maxTokens = Math.max(MIN_CAPACITY_TOKENS, settings.minPerSecond());
+        tokens = settings.minPerSecond() > 0 ? MIN_CAPACITY_TOKENS : 0;
     }
 
     /** Adds the fraction of a token for a request that has arrived at {@code now}, in nanoseconds. */
-    void arrived(long now) {
+    void deposit(long now) {
         refill(now);
-        tokens = Math.min(most, tokens + allowance.requestFraction());
+        tokens = Math.min(maxTokens, tokens + settings.requestFraction());
     }
 
     /** Withdraws one token and returns true, or returns false if there is none at {@code now}, in nanoseconds. */
-    boolean take(long now) {
+    boolean tryWithdraw(long now) {
         refill(now);
-        if (tokens < 1 - ROUNDING) {
+        if (tokens < 1 - ROUNDING_TOLERANCE) {
             return false;
         }
         tokens = Math.max(0, tokens - 1);
@@ -43,10 +43,10 @@
     }
 
     private void refill(long now) {
-        if (begun) {
-            tokens = Math.min(most, tokens + Math.max(0, now - at) / SECOND_NANOS * allowance.minPerSecond());
+        if (refilledBefore) {
+            tokens = Math.min(maxTokens, tokens + Math.max(0, now - lastRefillNanos) / NANOS_PER_SECOND * settings.minPerSecond());
         }
-        begun = true;
-        at = now;
+        refilledBefore = true;
+        lastRefillNanos = now;
     }
 }
--- a/src/main/java/cinderhollow/routes/RouteTable.java
+++ b/src/main/java/cinderhollow/routes/RouteTable.java
@@ -11,15 +11,15 @@
  */
 public final class RouteTable {
     /** Position in the trie, reached by the path segments so far. */
-    private static final class Place {
-        private final Map<String, Place> names = new HashMap<>();
-        private Place any;
-        private final Map<String, Route> rest = new HashMap<>();
-        private final Map<String, Route> here = new HashMap<>();
+    private static final class TriePosition {
+        private final Map<String, TriePosition> literalChildren = new HashMap<>();
+        private TriePosition wildcardChild;
+        private final Map<String, Route> suffixRoutes = new HashMap<>();
+        private final Map<String, Route> exactRoutes = new HashMap<>();
     }
 
-    private final Place root = new Place();
-    private final Map<String, Route> byClass;
+    private final TriePosition root = new TriePosition();
+    private final Map<String, Route> routesByClass;
 
     /**
      * Creates a table.
@@ -27,46 +27,46 @@
      * @param routes routes with a pattern; where two of them match the same request, one must be more specific than the other
      * @param byClass the route of each class without a pattern, by the name of the class
      */
-    public RouteTable(List<Route> routes, Map<String, Route> byClass) {
-        this.byClass = Map.copyOf(byClass);
+    public RouteTable(List<Route> routes, Map<String, Route> routesByClass) {
+        this.routesByClass = Map.copyOf(routesByClass);
         routes.forEach(this::add);
     }
 
     private void add(Route route) {
-        Place place = root;
+        TriePosition position = root;
         for (String segment : route.pattern().segments()) {
-            if (segment.equals(PathPattern.REST)) {
-                place.rest.put(route.method(), route);
+            if (segment.equals(PathPattern.ANY_SUFFIX)) {
+                position.suffixRoutes.put(route.method(), route);
                 return;
             }
-            if (segment.equals(PathPattern.ONE)) {
-                place.any = place.any == null ? new Place() : place.any;
-                place = place.any;
+            if (segment.equals(PathPattern.ANY_SEGMENT)) {
+                position.wildcardChild = position.wildcardChild == null ? new TriePosition() : position.wildcardChild;
+                position = position.wildcardChild;
             } else {
-                place = place.names.computeIfAbsent(segment, name -> new Place());
+                position = position.literalChildren.computeIfAbsent(segment, name -> new TriePosition());
             }
         }
-        place.here.put(route.method(), route);
+        position.exactRoutes.put(route.method(), route);
     }
 
     /** Returns the route, or null if no pattern matches and no class has that name. {@link Paths} must accept the path. */
     public Route find(String method, String target) {
-        Route found = find(root, method, target, 1, Paths.end(target));
-        return found != null ? found : byClass.get(Paths.firstSegment(target));
+        Route route = find(root, method, target, 1, Paths.findPathEnd(target));
+        return route != null ? route : routesByClass.get(Paths.firstSegment(target));
     }
 
     /** Recurses at most once for each segment of the path; at each position there are at most two children to try. */
-    private static Route find(Place place, String method, String target, int from, int end) {
-        if (from > end) {
-            return place.here.get(method);
+    private static Route find(TriePosition position, String method, String target, int segmentStart, int pathEnd) {
+        if (segmentStart > pathEnd) {
+            return position.exactRoutes.get(method);
         }
-        int slash = target.indexOf('/', from);
-        int to = slash < 0 || slash > end ? end : slash;
-        Place named = place.names.get(target.substring(from, to));
-        Route found = named == null ? null : find(named, method, target, to + 1, end);
-        if (found == null && place.any != null && to > from) {
-            found = find(place.any, method, target, to + 1, end);
+        int slash = target.indexOf('/', segmentStart);
+        int segmentEnd = slash < 0 || slash > pathEnd ? pathEnd : slash;
+        TriePosition literalChild = position.literalChildren.get(target.substring(segmentStart, segmentEnd));
+        Route route = literalChild == null ? null : find(literalChild, method, target, segmentEnd + 1, pathEnd);
+        if (route == null && position.wildcardChild != null && segmentEnd > segmentStart) {
+            route = find(position.wildcardChild, method, target, segmentEnd + 1, pathEnd);
         }
-        return found != null || to == from ? found : place.rest.get(method);
+        return route != null || segmentEnd == segmentStart ? route : position.suffixRoutes.get(method);
     }
 }
--- a/src/main/java/cinderhollow/routes/Routing.java
+++ b/src/main/java/cinderhollow/routes/Routing.java
@@ -11,23 +11,23 @@
     public record Match(String requestClass, BudgetedRoutePolicy routePolicy) { }
 
     private final RouteTable table;
-    private final Map<Route, Match> matches = new IdentityHashMap<>();
+    private final Map<Route, Match> matchesByRoute = new IdentityHashMap<>();
 
     /** Creates the routing from the routes with a pattern and the routes of classes, which take requests that none matches. */
     public Routing(List<Route> routes) {
-        Map<String, Route> byClass = new HashMap<>();
+        Map<String, Route> routesByClass = new HashMap<>();
         for (Route route : routes) {
-            matches.put(route, new Match(route.requestClass(), new BudgetedRoutePolicy(matches.size(), route.settings())));
+            matchesByRoute.put(route, new Match(route.requestClass(), new BudgetedRoutePolicy(matchesByRoute.size(), route.settings())));
             if (route.pattern() == null) {
-                byClass.put(route.requestClass(), route);
+                routesByClass.put(route.requestClass(), route);
             }
         }
-        table = new RouteTable(routes.stream().filter(route -> route.pattern() != null).toList(), byClass);
+        table = new RouteTable(routes.stream().filter(route -> route.pattern() != null).toList(), routesByClass);
     }
 
     /** Returns the class and policy of a request, or null if no route matches. {@link Paths} must accept the path. */
     public Match find(String method, String target) {
         Route route = table.find(method, target);
-        return route == null ? null : matches.get(route);
+        return route == null ? null : matchesByRoute.get(route);
     }
 }
--- a/src/test/java/cinderhollow/handover/SnapshotTest.java
+++ b/src/test/java/cinderhollow/handover/SnapshotTest.java
@@ -13,53 +13,53 @@
 
 /** Encoding and decoding of snapshots. */
 class SnapshotTest {
-    private static final Snapshot SOME = new Snapshot(new LearnedState(0.5, 0.25, 12.5,
+    private static final Snapshot EXAMPLE = new Snapshot(new LearnedState(0.5, 0.25, 12.5,
             List.of(new LearnedState.ServerEntry("s-1", 1_700_000_000_123_000_000L, 0.25, 3.5, 1.5, 0.125, true)),
             List.of(new LearnedState.ClassEntry("submit", 1.5e7, 1.25e7, 400))), 41,
             List.of(new Snapshot.EndpointEntry("s-1", "10.1.0.18:8080", "a", "m\"2", 3, false, 1.5, 1_700_000_000_123L),
                     new Snapshot.EndpointEntry("s-2", "10.1.0.19:8080", "b", "m2", 4, true, 1, 0)), true);
 
-    private static int bodyAt(byte[] bytes) {
+    private static int bodyOffset(byte[] bytes) {
         return new String(bytes, StandardCharsets.ISO_8859_1).indexOf('\n') + 1;
     }
 
     private static Snapshot decode(byte[] bytes) {
-        int at = bodyAt(bytes);
-        return Snapshot.decode(new String(bytes, 0, at, StandardCharsets.ISO_8859_1), Arrays.copyOfRange(bytes, at, bytes.length));
+        int bodyOffset = bodyOffset(bytes);
+        return Snapshot.decode(new String(bytes, 0, bodyOffset, StandardCharsets.ISO_8859_1), Arrays.copyOfRange(bytes, bodyOffset, bytes.length));
     }
 
     @Test
     void whatIsWrittenIsReadAgain() {
-        assertEquals(SOME, decode(SOME.encode()));
+        assertEquals(EXAMPLE, decode(EXAMPLE.encode()));
         Snapshot empty = new Snapshot(new LearnedState(0, 0, 0, List.of(), List.of()), 0, List.of(), false);
         assertEquals(empty, decode(empty.encode()));
     }
 
     /** Changes each byte, and truncates at each length; guards against accepting a corrupt snapshot and other exceptions. */
     @Test
-    void noTornOrChangedOneIsRead() {
-        byte[] good = SOME.encode();
+    void truncatedOrChangedSnapshotsAreRejected() {
+        byte[] encoded = EXAMPLE.encode();
         SplittableRandom random = new SplittableRandom(11);
-        for (int i = 0; i < good.length; i++) {
-            byte[] changed = good.clone();
+        for (int i = 0; i < encoded.length; i++) {
+            byte[] changed = encoded.clone();
             // The line feed that ends the header line is not part of its fields, so changing it is not an error.
-            if (i != bodyAt(good) - 1) {
+            if (i != bodyOffset(encoded) - 1) {
                 changed[i] ^= (byte) (1 + random.nextInt(127));
                 assertThrows(IllegalArgumentException.class, () -> decode(changed), "seed 11, byte " + i);
             }
-            byte[] torn = Arrays.copyOf(good, i);
-            assertThrows(IllegalArgumentException.class, () -> decode(torn), "the first " + i + " bytes");
+            byte[] truncated = Arrays.copyOf(encoded, i);
+            assertThrows(IllegalArgumentException.class, () -> decode(truncated), "the first " + i + " bytes");
         }
     }
 
     @Test
-    void anotherProgramsAndAnotherVersionsIsSaidToBeSo() {
-        String line = new String(SOME.encode(), 0, bodyAt(SOME.encode()), StandardCharsets.US_ASCII);
+    void foreignHeadersAndOtherVersionsAreRejected() {
+        String header = new String(EXAMPLE.encode(), 0, bodyOffset(EXAMPLE.encode()), StandardCharsets.US_ASCII);
         assertEquals("unsupported snapshot version 2, expected 1", assertThrows(IllegalArgumentException.class,
-                () -> Snapshot.bodyLength(line.replace(" 1 ", " 2 "))).getMessage());
-        for (String other : List.of("", "\n", "HTTP/1.1 400 Bad Request\r\n", "kestrelpier-handover 1 99999999 00000000\n",
+                () -> Snapshot.bodyLength(header.replace(" 1 ", " 2 "))).getMessage());
+        for (String foreignHeader : List.of("", "\n", "HTTP/1.1 400 Bad Request\r\n", "kestrelpier-handover 1 99999999 00000000\n",
                 "kestrelpier-handover 1 -5 00000000\n", "kestrelpier-handover 1 5\n")) {
-            assertThrows(IllegalArgumentException.class, () -> Snapshot.bodyLength(other), other);
+            assertThrows(IllegalArgumentException.class, () -> Snapshot.bodyLength(foreignHeader), foreignHeader);
         }
     }
 
@@ -69,11 +69,11 @@
      */
     @Test
     void itsSizeIsBounded() {
-        assertEquals(2_000, decode(withHosts(2_000).encode()).endpoints().size());
-        assertThrows(IllegalArgumentException.class, () -> withHosts(20_000).encode());
+        assertEquals(2_000, decode(withEndpoints(2_000).encode()).endpoints().size());
+        assertThrows(IllegalArgumentException.class, () -> withEndpoints(20_000).encode());
     }
 
-    private static Snapshot withHosts(int hosts) {
-        return new Snapshot(SOME.learnedState(), 1, Collections.nCopies(hosts, SOME.endpoints().get(0)), false);
+    private static Snapshot withEndpoints(int endpointCount) {
+        return new Snapshot(EXAMPLE.learnedState(), 1, Collections.nCopies(endpointCount, EXAMPLE.endpoints().get(0)), false);
     }
 }
--- a/src/test/java/cinderhollow/ledger/OpenMetricsTest.java
+++ b/src/test/java/cinderhollow/ledger/OpenMetricsTest.java
@@ -20,9 +20,9 @@
     private static final String NAME = "[a-zA-Z_:][a-zA-Z0-9_:]*", NUMBER = "[+-]?(?:[0-9]+(?:\\.[0-9]*)?|\\.[0-9]+)(?:[eE][+-]?[0-9]+)?|[+-]Inf|NaN";
     private static final Pattern LABEL = Pattern.compile("[a-zA-Z_][a-zA-Z0-9_]*=\"(?:[^\"\\\\\n]|\\\\[\\\\n\"])*\"");
     private static final Pattern SAMPLE = Pattern.compile("(" + NAME + ")\\{(" + LABEL + "(?:," + LABEL + ")*)?} (?:" + NUMBER + ")");
-    private static final Pattern META = Pattern.compile("# (TYPE|HELP|UNIT) (" + NAME + ") (.+)");
+    private static final Pattern METADATA = Pattern.compile("# (TYPE|HELP|UNIT) (" + NAME + ") (.+)");
 
-    private static Ledger ledger(List<String> accounts, int requests) {
+    private static Ledger createLedger(List<String> accounts, int requests) {
         Ledger ledger = new Ledger(accounts);
         for (int i = 0; i < requests; i++) {
             int account = i % accounts.size();
@@ -39,7 +39,7 @@
         return ledger;
     }
 
-    private static String text(Ledger... ledgers) {
+    private static String writeMetrics(Ledger... ledgers) {
         List<LedgerMetrics> figures = new ArrayList<>();
         for (Ledger ledger : ledgers) {
             figures.add(ledger.collectMetrics((place, account) -> 0, List.of(new EarlierRunTotals("x", 9, List.of(1L, 2L, 3L, 1L), 2)), 4));
@@ -51,15 +51,15 @@
      * Checks that each line follows the grammar, and that the lines of a metric family are contiguous, its metadata comes first
      * and its samples have only the suffixes of its type.
      */
-    private static int check(String text) {
+    private static int assertGrammar(String text) {
         assertTrue(text.endsWith("# EOF\n"), "no # EOF at the end");
         Set<String> families = new HashSet<>();
         Set<String> samples = new HashSet<>();
         String family = "";
         String type = "";
-        int count = 0;
+        int sampleCount = 0;
         for (String line : text.substring(0, text.length() - "# EOF\n".length()).split("\n")) {
-            Matcher meta = META.matcher(line);
+            Matcher meta = METADATA.matcher(line);
             if (meta.matches()) {
                 if (!meta.group(2).equals(family)) {
                     assertEquals("TYPE", meta.group(1), line);
@@ -81,30 +81,30 @@
             };
             assertTrue(suffixes.contains(sample.group(1).substring(family.length())), line);
             assertTrue(samples.add(line.substring(0, line.lastIndexOf(' '))), "duplicate sample: " + line);
-            count++;
+            sampleCount++;
         }
-        return count;
+        return sampleCount;
     }
 
     @Test
     void theTextFollowsTheGrammar() {
-        assertTrue(check(text(ledger(List.of("class status", "GET /a \"b\" \\ c\nd"), 40), ledger(List.of("x"), 3))) > 60);
-        assertEquals(9, check(text(ledger(List.of("x"), 0))));
+        assertTrue(assertGrammar(writeMetrics(createLedger(List.of("class status", "GET /a \"b\" \\ c\nd"), 40), createLedger(List.of("x"), 3))) > 60);
+        assertEquals(9, assertGrammar(writeMetrics(createLedger(List.of("x"), 0))));
     }
 
     /** Guards against histogram buckets that are not cumulative, or whose last one differs from the count. */
     @Test
     void bucketsAddUp() {
-        String text = text(ledger(List.of("x"), 100));
-        long last = 0;
+        String text = writeMetrics(createLedger(List.of("x"), 100));
+        long previousCount = 0;
         for (String line : text.split("\n")) {
             if (line.startsWith("cinderhollow_request_seconds_bucket")) {
-                long here = Long.parseLong(line.substring(line.lastIndexOf(' ') + 1));
-                assertTrue(here >= last, line);
-                last = here;
+                long bucketCount = Long.parseLong(line.substring(line.lastIndexOf(' ') + 1));
+                assertTrue(bucketCount >= previousCount, line);
+                previousCount = bucketCount;
             }
         }
-        assertEquals(100, last);
+        assertEquals(100, previousCount);
         assertTrue(text.contains("cinderhollow_request_seconds_bucket{account=\"x\",loop=\"0\",le=\"0.05\"} 50\n"), text);
         assertTrue(text.contains("cinderhollow_request_seconds_count{account=\"x\",loop=\"0\"} 100\n"));
     }
@@ -113,8 +113,8 @@
     void instancesAddUpAndNamesComeBackAsTheyWere() {
         String name = "GET /a \"b\" \\ c\nd";
         LedgerTotals totals = new LedgerTotals();
-        totals.addInstance(text(ledger(List.of(name), 40)));
-        totals.addInstance(text(ledger(List.of(name), 2), ledger(List.of(name), 3)));
+        totals.addInstance(writeMetrics(createLedger(List.of(name), 40)));
+        totals.addInstance(writeMetrics(createLedger(List.of(name), 2), createLedger(List.of(name), 3)));
         assertTrue(totals.isBalanced());
         assertTrue(totals.formatTable().contains(name));
         assertTrue(totals.formatTable().contains(" 45 "), totals.formatTable());
@@ -124,11 +124,11 @@
     /** Guards against trusting the breach count of a gateway: the totals find an imbalance that the gateway does not report. */
     @Test
     void whatDoesNotAddUpShowsInTheTotals() {
-        Ledger broken = ledger(List.of("x", "y"), 10);
-        broken.counters(LedgerPlace.NODES).recordEnded(1, Outcome.RESET, "twice");
+        Ledger unbalanced = createLedger(List.of("x", "y"), 10);
+        unbalanced.counters(LedgerPlace.NODES).recordEnded(1, Outcome.RESET, "twice");
         LedgerTotals totals = new LedgerTotals();
-        totals.addInstance(text(ledger(List.of("x", "y"), 10)));
-        totals.addInstance(text(broken));
+        totals.addInstance(writeMetrics(createLedger(List.of("x", "y"), 10)));
+        totals.addInstance(writeMetrics(unbalanced));
         assertFalse(totals.isBalanced());
         assertTrue(totals.formatTable().contains("y: attempts at the nodes' side don't add up"), totals.formatTable());
         assertFalse(totals.formatTable().contains("x: "));
@@ -137,8 +137,8 @@
 
     /** The number of accounts is bounded by the configuration, not by what clients send; 10,000 of them are written. */
     @Test
-    void tenThousandAccountsAreTold() {
+    void tenThousandAccountsAreWritten() {
         List<String> accounts = IntStream.range(0, 10_000).mapToObj(i -> "GET /r" + i).toList();
-        assertTrue(check(text(ledger(accounts, 10_000))) > 300_000);
+        assertTrue(assertGrammar(writeMetrics(createLedger(accounts, 10_000))) > 300_000);
     }
 }
--- a/src/test/java/cinderhollow/ops/DoorTest.java
+++ b/src/test/java/cinderhollow/ops/OpsSocketTest.java
@@ -20,18 +20,18 @@
 import org.junit.jupiter.api.Test;
 
 /** The operators' socket with valid, invalid and idle connections, and a gateway whose replies the test sets. */
-class DoorTest {
-    private static final int PATIENCE_MILLIS = 20_000, MOST_CALLERS = 16;
+class OpsSocketTest {
+    private static final int TIMEOUT_MILLIS = 20_000, MAX_CONNECTIONS = 16;
 
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-    private final List<Boolean> standbys = new ArrayList<>();
-    private final List<Socket> callers = new ArrayList<>();
+    private final List<Boolean> standbyCalls = new ArrayList<>();
+    private final List<Socket> sockets = new ArrayList<>();
     private volatile boolean serving = true;
     private InetSocketAddress address;
 
     @BeforeEach
     void open() throws Exception {
-        OpsSocket door = new OpsSocket(group.next(), new GatewayControl() {
+        OpsSocket opsSocket = new OpsSocket(group.next(), new GatewayControl() {
             @Override
             public CompletableFuture<Boolean> isServing() {
                 return CompletableFuture.completedFuture(serving);
@@ -45,27 +45,27 @@
 
             @Override
             public CompletableFuture<Void> setStandby(boolean empty) {
-                standbys.add(empty);
+                standbyCalls.add(empty);
                 return CompletableFuture.completedFuture(null);
             }
-        }, MOST_CALLERS);
-        door.open(new InetSocketAddress("127.0.0.1", 0)).await(PATIENCE_MILLIS);
-        address = (InetSocketAddress) door.address();
+        }, MAX_CONNECTIONS);
+        opsSocket.open(new InetSocketAddress("127.0.0.1", 0)).await(TIMEOUT_MILLIS);
+        address = (InetSocketAddress) opsSocket.address();
     }
 
     @AfterEach
     void close() throws IOException {
-        for (Socket caller : callers) {
-            caller.close();
+        for (Socket socket : sockets) {
+            socket.close();
         }
-        group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS).awaitUninterruptibly(PATIENCE_MILLIS);
+        group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS).awaitUninterruptibly(TIMEOUT_MILLIS);
     }
 
-    private Socket caller() throws IOException {
+    private Socket connect() throws IOException {
         Socket socket = new Socket(address.getAddress(), address.getPort());
-        socket.setSoTimeout(PATIENCE_MILLIS);
+        socket.setSoTimeout(TIMEOUT_MILLIS);
         socket.setTcpNoDelay(true);
-        callers.add(socket);
+        sockets.add(socket);
         return socket;
     }
 
@@ -75,57 +75,57 @@
     }
 
     /** Reads until the operators' socket ends the connection. */
-    private static String answer(Socket socket) throws IOException {
+    private static String readReply(Socket socket) throws IOException {
         return new String(socket.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
     }
 
-    private String call(String text) throws IOException {
-        Socket socket = caller();
+    private String execute(String text) throws IOException {
+        Socket socket = connect();
         write(socket, text);
-        return answer(socket);
+        return readReply(socket);
     }
 
     @Test
-    void eachCallHasOneAnswerAndTheConnectionEnds() throws Exception {
-        assertEquals("200 serving\n", call("status\n"));
-        assertEquals("200 standby\n", call("standby\r\n"));
-        assertEquals("200 active\n", call(" active \n"));
-        assertEquals(List.of(true, false), standbys);
+    void eachCommandHasOneReplyAndTheConnectionEnds() throws Exception {
+        assertEquals("200 serving\n", execute("status\n"));
+        assertEquals("200 standby\n", execute("standby\r\n"));
+        assertEquals("200 active\n", execute(" active \n"));
+        assertEquals(List.of(true, false), standbyCalls);
         serving = false;
-        assertTrue(call("status\n").startsWith("400 "));
+        assertTrue(execute("status\n").startsWith("400 "));
         assertEquals("{\"operations\":{\"sub\\\"mit\":{\"fulfilled\":1,\"throttled\":2,\"faulted\":3,\"relayed\":4}},\"relayed\":4,"
                 + "\"open_requests\":5,\"registry_entries\":6,\"out_of_rotation\":7,\"cfg_accepted\":8,\"cfg_invalid\":9}\nEOF\n",
-                call("stats\n"));
+                execute("stats\n"));
     }
 
     @Test
     void aLineMayComeInPiecesAndASecondOneIsNotAnswered() throws Exception {
-        Socket slow = caller();
+        Socket slowSocket = connect();
         for (String piece : List.of("s", "ta", "tus", "\r")) {
-            write(slow, piece);
-            assertEquals("200 serving\n", call("status\n"), "while another connection has sent part of a command");
+            write(slowSocket, piece);
+            assertEquals("200 serving\n", execute("status\n"), "while another connection has sent part of a command");
         }
-        write(slow, "\nstandby\n");
-        assertEquals("200 serving\n", answer(slow));
-        assertEquals(List.of(), standbys);
+        write(slowSocket, "\nstandby\n");
+        assertEquals("200 serving\n", readReply(slowSocket));
+        assertEquals(List.of(), standbyCalls);
     }
 
     @Test
-    void whatIsNoCallIsTurnedDown() throws Exception {
+    void unknownCommandsAreRejected() throws Exception {
         for (String text : List.of("\n", "reboot\n", "STATUS\n", "\0\1\377\n", "status now\n", "x".repeat(100_000) + "\n")) {
-            assertTrue(call(text).startsWith("400 "), text.substring(0, Math.min(20, text.length())));
+            assertTrue(execute(text).startsWith("400 "), text.substring(0, Math.min(20, text.length())));
         }
     }
 
     /** Guards against idle connections, without a command or with part of one, that use up the limit and block valid ones. */
     @Test
-    void silentCallersMakeRoomForTheNextGoodOne() throws Exception {
-        for (int i = 0; i < 3 * MOST_CALLERS; i++) {
-            write(caller(), i % 2 == 0 ? "" : "stat");
+    void idleConnectionsAreClosedForNewOnes() throws Exception {
+        for (int i = 0; i < 3 * MAX_CONNECTIONS; i++) {
+            write(connect(), i % 2 == 0 ? "" : "stat");
             if (i % 10 == 0) {
-                assertEquals("200 serving\n", call("status\n"));
+                assertEquals("200 serving\n", execute("status\n"));
             }
         }
-        assertEquals("200 serving\n", call("status\n"));
+        assertEquals("200 serving\n", execute("status\n"));
     }
 }
--- a/src/test/java/cinderhollow/routes/PathsTest.java
+++ b/src/test/java/cinderhollow/routes/PathsTest.java
@@ -16,7 +16,7 @@
     @ParameterizedTest
     @ValueSource(strings = {"/", "/status", "/status/", "/status/7?q=1", "/status/a%20b", "/a/b/c", "/a..b/.c/...",
         "/x/%C3%BC", "/s?next=/../a//b;c%2F", "/a:b@c!$&'()*+,=-._~"})
-    void theUsualPathsAreUntouched(String target) {
+    void ordinaryPathsAreAccepted(String target) {
         assertNull(Paths.findProblem(target));
     }
 
@@ -26,28 +26,28 @@
         "/status%2Fsubmit", "/status/%2f", "/status;v=1/7", "/status\\..\\submit", "/status/%5c", "/status/%00",
         "/status/%0d%0a", "/status/%7f", "/status/%", "/status/%2", "/status/%zz", "/%73tatus", "/status/%41", "/st atus",
         "/status/\u00fc", "/status/\u0001", "/status#x", "/status/%3B", "/status/%25"})
-    void whatHasTwoReadingsIsTurnedAway(String target) {
+    void ambiguousPathsAreRejected(String target) {
         assertNotNull(Paths.findProblem(target));
     }
 
     /** Guards against accepting a path that a server which normalizes paths reads differently. */
     @Test
-    void whatIsLetThroughIsNormalAlready() {
-        String letters = "/../%2e2fa;\\.b";
+    void acceptedPathsAreNormalizedAlready() {
+        String alphabet = "/../%2e2fa;\\.b";
         long seed = 20261201;
         SplittableRandom random = new SplittableRandom(seed);
-        int passed = 0;
+        int acceptedCount = 0;
         for (int i = 0; i < 200_000; i++) {
             StringBuilder text = new StringBuilder("/");
             for (int n = random.nextInt(12); n > 0; n--) {
-                text.append(letters.charAt(random.nextInt(letters.length())));
+                text.append(alphabet.charAt(random.nextInt(alphabet.length())));
             }
             String path = text.toString();
             if (Paths.findProblem(path) == null) {
-                passed++;
+                acceptedCount++;
                 assertEquals(path, URI.create("http://h" + path).normalize().getRawPath(), "seed " + seed);
             }
         }
-        assertTrue(passed > 1000, "too few paths accepted: " + passed);
+        assertTrue(acceptedCount > 1000, "too few paths accepted: " + acceptedCount);
     }
 }
--- a/src/test/java/cinderhollow/routes/RouteTableTest.java
+++ b/src/test/java/cinderhollow/routes/RouteTableTest.java
@@ -23,18 +23,18 @@
     }
 
     @Test
-    void theMoreExactRouteIsTaken() {
-        Route all = route("GET", "/a/**");
-        Route one = route("GET", "/a/{id}");
-        Route exact = route("GET", "/a/b");
-        Route deep = route("GET", "/a/{id}/d");
-        RouteTable table = table(all, one, exact, deep);
-        assertEquals(exact, table.find("GET", "/a/b"));
-        assertEquals(exact, table.find("GET", "/a/b?q=/a/c"));
-        assertEquals(one, table.find("GET", "/a/c"));
-        assertEquals(deep, table.find("GET", "/a/b/d"));
-        assertEquals(all, table.find("GET", "/a/b/e"));
-        assertEquals(all, table.find("GET", "/a/b/d/e"));
+    void theMoreSpecificRouteIsTaken() {
+        Route suffixRoute = route("GET", "/a/**");
+        Route variableRoute = route("GET", "/a/{id}");
+        Route literalRoute = route("GET", "/a/b");
+        Route deepRoute = route("GET", "/a/{id}/d");
+        RouteTable table = table(suffixRoute, variableRoute, literalRoute, deepRoute);
+        assertEquals(literalRoute, table.find("GET", "/a/b"));
+        assertEquals(literalRoute, table.find("GET", "/a/b?q=/a/c"));
+        assertEquals(variableRoute, table.find("GET", "/a/c"));
+        assertEquals(deepRoute, table.find("GET", "/a/b/d"));
+        assertEquals(suffixRoute, table.find("GET", "/a/b/e"));
+        assertEquals(suffixRoute, table.find("GET", "/a/b/d/e"));
         assertNull(table.find("POST", "/a/b"), "other method");
         assertNull(table.find("GET", "/a"), "** matches at least one segment");
         assertNull(table.find("GET", "/a/"), "** does not match an empty segment");
@@ -42,7 +42,7 @@
     }
 
     @Test
-    void whatNoRouteTakesBelongsToTheClassOfItsFirstPart() {
+    void unmatchedRequestsBelongToTheClassOfTheirFirstSegment() {
         RouteTable table = table(route("GET", "/status/x"));
         assertNull(table.find("GET", "/status/x/").pattern());
         assertNull(table.find("POST", "/status").pattern());
@@ -54,30 +54,30 @@
     @ParameterizedTest
     @ValueSource(strings = {"", "/", "a", "/a//b", "/a/../b", "/{a}/b", "/**", "/a/**/b", "/a/{b", "/a/x{b}", "/a/*",
         "/a/{}", "/a?b", "/a/%2e", "/a;b"})
-    void whatIsNoPatternIsRefused(String text) {
+    void invalidPatternsAreRejected(String text) {
         assertThrows(IllegalArgumentException.class, () -> PathPattern.parse(text));
     }
 
     /** Compares the trie with a linear search over all routes, on random tables without conflicting routes. */
     @Test
-    void theTreeFindsWhatAWalkFinds() {
+    void theTrieFindsWhatALinearSearchFinds() {
         long seed = 11;
         SplittableRandom random = new SplittableRandom(seed);
         for (int round = 0; round < 2000; round++) {
             List<Route> routes = new ArrayList<>();
             for (int i = random.nextInt(1, 9); i > 0; i--) {
-                Route next = route(random.nextBoolean() ? "GET" : "POST", pattern(random));
-                boolean clear = routes.stream().noneMatch(r -> r.method().equals(next.method())
+                Route next = route(random.nextBoolean() ? "GET" : "POST", randomPattern(random));
+                boolean unambiguous = routes.stream().noneMatch(r -> r.method().equals(next.method())
                         && (r.pattern().segments().equals(next.pattern().segments())
                         || r.pattern().overlaps(next.pattern()) && !r.pattern().isMoreSpecificThan(next.pattern())
                         && !next.pattern().isMoreSpecificThan(r.pattern())));
-                if (clear) {
+                if (unambiguous) {
                     routes.add(next);
                 }
             }
             RouteTable table = new RouteTable(routes, Map.of());
             for (int i = 0; i < 20; i++) {
-                String path = pattern(random).replaceAll("\\{.}|\\*\\*", "z");
+                String path = randomPattern(random).replaceAll("\\{.}|\\*\\*", "z");
                 Route best = null;
                 for (Route r : routes) {
                     boolean matches = r.method().equals("GET") && r.pattern().overlaps(PathPattern.parse(path));
@@ -88,12 +88,12 @@
         }
     }
 
-    private static String pattern(SplittableRandom random) {
+    private static String randomPattern(SplittableRandom random) {
         StringBuilder text = new StringBuilder("/").append((char) ('a' + random.nextInt(2)));
-        int more = random.nextInt(4);
-        for (int i = 0; i < more; i++) {
+        int furtherSegments = random.nextInt(4);
+        for (int i = 0; i < furtherSegments; i++) {
             int kind = random.nextInt(5);
-            text.append(kind == 0 ? "/{x}" : kind == 1 && i == more - 1 ? "/**" : "/" + (char) ('a' + random.nextInt(2)));
+            text.append(kind == 0 ? "/{x}" : kind == 1 && i == furtherSegments - 1 ? "/**" : "/" + (char) ('a' + random.nextInt(2)));
         }
         return text.toString();
     }
