--- a/src/main/java/cinderhollow/daemon/OperatorConfigLoader.java
+++ b/src/main/java/cinderhollow/daemon/OperatorConfigLoader.java
@@ -4,7 +4,7 @@
 import cinderhollow.evacuation.EvacuationSettings;
 import cinderhollow.membership.EndpointList;
 import cinderhollow.membership.Subset.FleetPosition;
-import cinderhollow.operator.Books;
+import cinderhollow.operator.LedgerConfig;
 import cinderhollow.operator.Fellows;
 import cinderhollow.operator.Finding;
 import cinderhollow.operator.Growth;
@@ -71,8 +71,8 @@
         }
     }
 
-    private static LoopLedgerConfig toLedgerConfig(Books books) {
-        return books == null ? null : new LoopLedgerConfig(books.everyNanos(), books.directory(), books.syncNanos(),
+    private static LoopLedgerConfig toLedgerConfig(LedgerConfig books) {
+        return books == null ? null : new LoopLedgerConfig(books.logIntervalNanos(), books.directory(), books.syncIntervalNanos(),
                 LoopLedgerConfig.DEFAULT_MAX_SEGMENT_BYTES, 0, 1);
     }
 
--- a/src/main/java/cinderhollow/operator/OperatorFile.java
+++ b/src/main/java/cinderhollow/operator/OperatorFile.java
@@ -60,7 +60,7 @@
 
     private final Platform platform;
     private Growth growth;
-    private Books books;
+    private LedgerConfig books;
     private String admin;
     /** Null if the file configures no peers. */
     private Fellows fellows;
@@ -126,7 +126,7 @@
      *
      * @throws IllegalStateException if the file has findings
      */
-    public Books books() {
+    public LedgerConfig books() {
         if (!findings.isEmpty()) {
             throw new IllegalStateException("the file has faults");
         }
@@ -279,7 +279,7 @@
             if (ledger.has("sync") && !ledger.has("directory")) {
                 ledger.fault("sync", Rule.NO_DIRECTORY, "sync needs a directory");
             }
-            books = new Books(time(ledger, "log", 0), directory == null ? null : Path.of(directory),
+            books = new LedgerConfig(time(ledger, "log", 0), directory == null ? null : Path.of(directory),
                     time(ledger, "sync", USUAL_SYNC_NANOS));
         }
     }
@@ -719,9 +719,9 @@
         List<String> text = new ArrayList<>(growth.explained());
         if (books != null) {
             text.add("ledger of requests and attempts"
-                    + (books.everyNanos() == 0 ? "" : ", logged every " + millis(books.everyNanos()))
+                    + (books.logIntervalNanos() == 0 ? "" : ", logged every " + millis(books.logIntervalNanos()))
                     + (books.directory() == null ? "" : ", with a journal in " + books.directory() + ", synced within "
-                    + millis(books.syncNanos())));
+                    + millis(books.syncIntervalNanos())));
         }
         if (fellows != null) {
             text.add("exchanges datagrams with " + (fellows.members().isEmpty() ? "the peers in the deployment's settings" : (fellows.members().size() - 1) + " others")
