--- a/src/main/java/cinderhollow/daemon/OperatorConfigLoader.java
+++ b/src/main/java/cinderhollow/daemon/OperatorConfigLoader.java
@@ -5,7 +5,7 @@
 import cinderhollow.membership.EndpointList;
 import cinderhollow.membership.Subset.FleetPosition;
 import cinderhollow.operator.LedgerConfig;
-import cinderhollow.operator.Fellows;
+import cinderhollow.operator.PeersConfig;
 import cinderhollow.operator.Finding;
 import cinderhollow.operator.Growth;
 import cinderhollow.operator.OperatorFile;
@@ -34,7 +34,7 @@
     private OperatorConfigLoader() { }
 
     /** The configuration of a valid file. */
-    record LoadedConfig(List<Route> routes, EventLoopConfig eventLoops, LoopLedgerConfig ledger, SocketAddress adminAddress, Fellows peers) { }
+    record LoadedConfig(List<Route> routes, EventLoopConfig eventLoops, LoopLedgerConfig ledger, SocketAddress adminAddress, PeersConfig peers) { }
 
     /**
      * Reads the file. Any fault in it causes an {@link IllegalArgumentException} that lists the faults, and the gateway must
@@ -50,22 +50,22 @@
     }
 
     /** Returns the peers, from the operator's file or else from the platform's configuration. */
-    static Peering readPeering(Fellows peers, SettingsReader settings, Json json) {
+    static Peering readPeering(PeersConfig peers, SettingsReader settings, Json json) {
         Settings parsedSettings = settings.read();
         List<InetSocketAddress> members = new ArrayList<>();
         peers.members().forEach(member -> members.add(EndpointList.parseAddress(member)));
         if (members.isEmpty()) {
             json.field("peers").entries().forEach(peer -> members.add(EndpointList.parseAddress(peer.text())));
         }
-        String listen = peers.listen() == null ? json.field("peer_listen").text() : peers.listen();
-        int number = peers.number() < 0 ? parsedSettings.gatewayNumber() : peers.number();
+        String listen = peers.listenAddress() == null ? json.field("peer_listen").text() : peers.listenAddress();
+        int number = peers.memberNumber() < 0 ? parsedSettings.gatewayNumber() : peers.memberNumber();
         if (members.size() < 2 || number >= members.size() || listen.isEmpty()) {
             throw new IllegalArgumentException("[peers] and the platform's file give no usable members or listen address");
         }
         try {
-            byte[] secret = peers.secret() == null ? new byte[0] : Files.readAllBytes(peers.secret());
+            byte[] secret = peers.secretFile() == null ? new byte[0] : Files.readAllBytes(peers.secretFile());
             return new Peering(EndpointList.parseAddress(listen), members, new Roster(number, members.size(), peers.fleet(), secret),
-                    new EvacuationSettings(peers.zones(), peers.zones().indexOf(parsedSettings.zone()), peers.gateways(), peers.regions(), peers.mostOut(), peers.holdNanos(), peers.mostHoldNanos()));
+                    new EvacuationSettings(peers.zones(), peers.zones().indexOf(parsedSettings.zone()), peers.gatewaysByZone(), peers.regionByZone(), peers.maxRegionsOut(), peers.holdNanos(), peers.maxHoldNanos()));
         } catch (IOException e) {
             throw new IllegalArgumentException("can't read the file with the fleet's secret: " + e.getMessage(), e);
         }
--- a/src/main/java/cinderhollow/operator/OperatorFile.java
+++ b/src/main/java/cinderhollow/operator/OperatorFile.java
@@ -63,7 +63,7 @@
     private LedgerConfig books;
     private String admin;
     /** Null if the file configures no peers. */
-    private Fellows fellows;
+    private PeersConfig fellows;
     private final List<Finding> findings = new ArrayList<>();
     private final List<Route> routes = new ArrayList<>();
     private final List<Map<String, String>> sources = new ArrayList<>();
@@ -163,7 +163,7 @@
      *
      * @throws IllegalStateException if the file has findings
      */
-    public Fellows fellows() {
+    public PeersConfig fellows() {
         if (!findings.isEmpty()) {
             throw new IllegalStateException("the file has faults");
         }
@@ -211,7 +211,7 @@
                 number == null ? -1 : number, secret == null ? null : Path.of(secret));
     }
 
-    private Fellows zones(Table zones, String fleet, String listen, List<String> members, int number, Path secret) {
+    private PeersConfig zones(Table zones, String fleet, String listen, List<String> members, int number, Path secret) {
         zones.only(List.of("names", "gateways", "regions", "most_out", "hold", "hold_max"));
         List<String> names = zones.texts("names");
         names = names == null ? List.of() : names;
@@ -236,7 +236,7 @@
         if (hold > most) {
             zones.fault("hold", Rule.ZONES_HOLD, millis(hold) + " is longer than hold_max, " + millis(most));
         }
-        return new Fellows(fleet, listen, members, number, secret, names,
+        return new PeersConfig(fleet, listen, members, number, secret, names,
                 names.stream().map(zone -> gateways.getOrDefault(zone, 0)).toList(),
                 regions, mostOut == null ? Math.max(1, (places - 1) / 2) : mostOut, hold, most);
     }
@@ -725,9 +725,9 @@
         }
         if (fellows != null) {
             text.add("exchanges datagrams with " + (fellows.members().isEmpty() ? "the peers in the deployment's settings" : (fellows.members().size() - 1) + " others")
-                    + (fellows.secret() == null ? ", without a secret" : "") + "; evacuates up to " + fellows.mostOut() + " of zones "
+                    + (fellows.secretFile() == null ? ", without a secret" : "") + "; evacuates up to " + fellows.maxRegionsOut() + " of zones "
                     + String.join(", ", fellows.zones()) + ", for " + millis(fellows.holdNanos()) + " to "
-                    + millis(fellows.mostHoldNanos()));
+                    + millis(fellows.maxHoldNanos()));
         }
         if (admin != null) {
             text.add("metrics are served at " + admin);
--- a/src/test/java/cinderhollow/operator/OperatorFileTest.java
+++ b/src/test/java/cinderhollow/operator/OperatorFileTest.java
@@ -41,7 +41,7 @@
     void peersAndZonesAreReadAndExplained() {
         OperatorFile file = OperatorFile.parse(PEERS + ZONES + "gateways = { a = 5 }\nhold = \"2s\"\n", PLATFORM);
         assertEquals(List.of(), file.findings());
-        assertEquals(List.of(5, 0, 0), file.fellows().gateways());
+        assertEquals(List.of(5, 0, 0), file.fellows().gatewaysByZone());
         assertTrue(file.explained().contains("exchanges datagrams with 1 others, without a secret; evacuates up to 1 of zones a, b, c, for 2000ms to 60000ms"),
                 file::explained);
         Platform alone = new Platform(PLATFORM.classes(), 5, true, 0, 7, 3, "a", false);
