--- a/src/main/java/cinderhollow/daemon/OperatorConfigLoader.java
+++ b/src/main/java/cinderhollow/daemon/OperatorConfigLoader.java
@@ -7,7 +7,7 @@
 import cinderhollow.operator.LedgerConfig;
 import cinderhollow.operator.PeersConfig;
 import cinderhollow.operator.Finding;
-import cinderhollow.operator.Growth;
+import cinderhollow.operator.ScalingConfig;
 import cinderhollow.operator.OperatorFile;
 import cinderhollow.operator.Platform;
 import cinderhollow.peers.Roster;
@@ -76,10 +76,10 @@
                 LoopLedgerConfig.DEFAULT_MAX_SEGMENT_BYTES, 0, 1);
     }
 
-    private static EventLoopConfig toEventLoopConfig(Growth growth) {
-        FleetPosition place = growth.subset() == 0 ? null
-                : new FleetPosition(growth.subset(), growth.gateways(), growth.zone(), growth.number());
-        return growth.loops() == 1 && place == null ? null : new EventLoopConfig(growth.loops(), growth.eachListens(), false, place);
+    private static EventLoopConfig toEventLoopConfig(ScalingConfig growth) {
+        FleetPosition place = growth.subsetSize() == 0 ? null
+                : new FleetPosition(growth.subsetSize(), growth.gatewaysByZone(), growth.zone(), growth.numberInZone());
+        return growth.loopCount() == 1 && place == null ? null : new EventLoopConfig(growth.loopCount(), growth.listenerPerLoop(), false, place);
     }
 
     private static Platform readPlatform(SettingsReader settings) {
--- a/src/main/java/cinderhollow/operator/OperatorFile.java
+++ b/src/main/java/cinderhollow/operator/OperatorFile.java
@@ -59,7 +59,7 @@
     private static final int MOST_LOOPS = 64, MOST_NODES = 100_000;
 
     private final Platform platform;
-    private Growth growth;
+    private ScalingConfig growth;
     private LedgerConfig books;
     private String admin;
     /** Null if the file configures no peers. */
@@ -114,7 +114,7 @@
      *
      * @throws IllegalStateException if the file has findings
      */
-    public Growth growth() {
+    public ScalingConfig growth() {
         if (!findings.isEmpty()) {
             throw new IllegalStateException("the file has faults");
         }
@@ -181,8 +181,8 @@
         if (!platform.peers()) {
             root.fault("peers", Rule.PEERS_NOT_ALLOWED, "the deployment's settings forbid peers");
         }
-        if (growth.loops() > 1) {
-            root.fault("peers", Rule.PEERS_LOOPS, growth.loops() + " event loops");
+        if (growth.loopCount() > 1) {
+            root.fault("peers", Rule.PEERS_LOOPS, growth.loopCount() + " event loops");
         }
         List<String> members = peers.has("members") ? peers.texts("members") : List.of();
         Integer number = peers.whole("number", 0, MOST_NODES);
@@ -284,7 +284,7 @@
         }
     }
 
-    private Growth growth(Table root, Table gateway, Table subset) {
+    private ScalingConfig growth(Table root, Table gateway, Table subset) {
         Integer loops = null;
         String listeners = null;
         if (gateway != null) {
@@ -319,7 +319,7 @@
                 }
             }
         }
-        return new Growth(loops == null ? 1 : loops, "each".equals(listeners), size, gateways, platform.zone(), number);
+        return new ScalingConfig(loops == null ? 1 : loops, "each".equals(listeners), size, gateways, platform.zone(), number);
     }
 
     private static Map<String, Integer> byZone(Table table) {
--- a/src/test/java/cinderhollow/operator/OperatorFileTest.java
+++ b/src/test/java/cinderhollow/operator/OperatorFileTest.java
@@ -233,11 +233,11 @@
         OperatorFile file = parse("[gateway]\nloops = 4\nlisteners = \"each\"\n[subset]\nnodes = 200\nnumber = 2\n"
                 + "gateways = { a = 3, b = 4 }\n");
         assertEquals(List.of(), file.findings());
-        assertEquals(new Growth(4, true, 200, Map.of("a", 3, "b", 4), "a", 2), file.growth());
+        assertEquals(new ScalingConfig(4, true, 200, Map.of("a", 3, "b", 4), "a", 2), file.growth());
         assertTrue(file.explained().contains("4 event loops") && file.explained().contains("about 200 nodes"));
         // Without [subset] gateways and number, the deployment's gateway count and number apply.
-        assertEquals(new Growth(1, false, 50, Map.of("a", 7), "a", 3), parse("[subset]\nnodes = 50\n").growth());
-        assertEquals(new Growth(1, false, 0, Map.of("a", 7), "a", 3), parse(STATUS).growth());
+        assertEquals(new ScalingConfig(1, false, 50, Map.of("a", 7), "a", 3), parse("[subset]\nnodes = 50\n").growth());
+        assertEquals(new ScalingConfig(1, false, 0, Map.of("a", 7), "a", 3), parse(STATUS).growth());
     }
 
     @Test
