--- a/src/main/java/cinderhollow/daemon/OperatorConfigLoader.java
+++ b/src/main/java/cinderhollow/daemon/OperatorConfigLoader.java
@@ -9,7 +9,7 @@
 import cinderhollow.operator.Finding;
 import cinderhollow.operator.ScalingConfig;
 import cinderhollow.operator.OperatorFile;
-import cinderhollow.operator.Platform;
+import cinderhollow.operator.PlatformConstraints;
 import cinderhollow.peers.Roster;
 import cinderhollow.policy.Protocol.Effect;
 import cinderhollow.policy.Protocol.DedupGroup;
@@ -82,10 +82,10 @@
         return growth.loopCount() == 1 && place == null ? null : new EventLoopConfig(growth.loopCount(), growth.listenerPerLoop(), false, place);
     }
 
-    private static Platform readPlatform(SettingsReader settings) {
+    private static PlatformConstraints readPlatform(SettingsReader settings) {
         boolean retryAfterAllowed = settings.flag("allowed.retry_after", false);
         Settings parsedSettings = settings.read();
-        return new Platform(parsedSettings.classes(), parsedSettings.upstreamOptions().maxAttempts(), settings.flag("allowed.may_duplicate", false),
+        return new PlatformConstraints(parsedSettings.classes(), parsedSettings.upstreamOptions().maxAttempts(), settings.flag("allowed.may_duplicate", false),
                 retryAfterAllowed ? settings.number("allowed.max_retry_after_ns", 0) : 0, parsedSettings.gateways(), parsedSettings.gatewayNumber(),
                 parsedSettings.zone(), settings.flag("allowed.peers", true));
     }
@@ -118,8 +118,8 @@
     }
 
     /** Returns the platform of a deployment with the two default classes. */
-    private static Platform defaultPlatform() {
-        return new Platform(List.of(
+    private static PlatformConstraints defaultPlatform() {
+        return new PlatformConstraints(List.of(
                 new RequestClass("status", Effect.SAFE, DedupGroup.ALL, 0, TimeUnit.MILLISECONDS.toNanos(150),
                         TimeUnit.MILLISECONDS.toNanos(750), 1, 0, false),
                 new RequestClass("submit", Effect.UNSAFE, DedupGroup.ALL, 0, TimeUnit.MILLISECONDS.toNanos(100),
--- a/src/main/java/cinderhollow/operator/OperatorFile.java
+++ b/src/main/java/cinderhollow/operator/OperatorFile.java
@@ -58,7 +58,7 @@
     private static final long USUAL_HOLD_NANOS = TimeUnit.SECONDS.toNanos(1), USUAL_MOST_HOLD_NANOS = TimeUnit.SECONDS.toNanos(60);
     private static final int MOST_LOOPS = 64, MOST_NODES = 100_000;
 
-    private final Platform platform;
+    private final PlatformConstraints platform;
     private ScalingConfig growth;
     private LedgerConfig books;
     private String admin;
@@ -69,12 +69,12 @@
     private final List<Map<String, String>> sources = new ArrayList<>();
     private final List<Integer> lines = new ArrayList<>();
 
-    private OperatorFile(Platform platform) {
+    private OperatorFile(PlatformConstraints platform) {
         this.platform = platform;
     }
 
     /** Reads and checks the file. A file that can't be read gives a finding, not an exception. */
-    public static OperatorFile read(Path file, Platform platform) {
+    public static OperatorFile read(Path file, PlatformConstraints platform) {
         OperatorFile read = new OperatorFile(platform);
         String text = read.text(file);
         if (text != null) {
@@ -85,7 +85,7 @@
     }
 
     /** Checks the text of an operator's file. */
-    public static OperatorFile parse(String text, Platform platform) {
+    public static OperatorFile parse(String text, PlatformConstraints platform) {
         OperatorFile read = new OperatorFile(platform);
         read.parse(text);
         read.findings.sort(null);
--- a/src/main/java/cinderhollow/operator/Platform.java
+++ b/src/main/java/cinderhollow/operator/PlatformConstraints.java
@@ -15,15 +15,15 @@
  * @param zone the zone of this gateway, or empty
  * @param peers whether gateways may send each other datagrams
  */
-public record Platform(List<RequestClass> classes, int mostAttempts, boolean copies, long mostAdviceNanos, int gateways,
+public record PlatformConstraints(List<RequestClass> classes, int mostAttempts, boolean copies, long mostAdviceNanos, int gateways,
                        int number, String zone, boolean peers) {
     /** Creates the constraints of a deployment with a single gateway, without a zone. */
-    public Platform(List<RequestClass> classes, int mostAttempts, boolean copies, long mostAdviceNanos) {
+    public PlatformConstraints(List<RequestClass> classes, int mostAttempts, boolean copies, long mostAdviceNanos) {
         this(classes, mostAttempts, copies, mostAdviceNanos, 1, 0, "", true);
     }
 
     /** Copies the list of classes. */
-    public Platform {
+    public PlatformConstraints {
         classes = List.copyOf(classes);
     }
 
--- a/src/test/java/cinderhollow/operator/OperatorFileTest.java
+++ b/src/test/java/cinderhollow/operator/OperatorFileTest.java
@@ -27,7 +27,7 @@
 /** Checks that every invalid operator's file is rejected as a whole and that the findings name the violated rule. */
 class OperatorFileTest {
     private static final long MS = 1_000_000L;
-    private static final Platform PLATFORM = new Platform(List.of(
+    private static final PlatformConstraints PLATFORM = new PlatformConstraints(List.of(
             new RequestClass("status", Effect.SAFE, DedupGroup.ALL, 0, 150 * MS, 750 * MS, 1, 0, false),
             new RequestClass("submit", Effect.UNSAFE, DedupGroup.ALL, 0, 100 * MS, 300 * MS, 5, 0, false),
             new RequestClass("amend", Effect.KEYED, DedupGroup.CELL, 400 * MS, 100 * MS, 500 * MS, 2, 0, false)),
@@ -44,7 +44,7 @@
         assertEquals(List.of(5, 0, 0), file.fellows().gatewaysByZone());
         assertTrue(file.explained().contains("exchanges datagrams with 1 others, without a secret; evacuates up to 1 of zones a, b, c, for 2000ms to 60000ms"),
                 file::explained);
-        Platform alone = new Platform(PLATFORM.classes(), 5, true, 0, 7, 3, "a", false);
+        PlatformConstraints alone = new PlatformConstraints(PLATFORM.classes(), 5, true, 0, 7, 3, "a", false);
         assertEquals(Rule.PEERS_NOT_ALLOWED, OperatorFile.parse(PEERS + ZONES, alone).findings().get(0).rule());
     }
 
@@ -222,7 +222,7 @@
 
     @Test
     void aSecondCopyIsRefusedWhereThePlatformHasNone() {
-        Platform alone = new Platform(PLATFORM.classes().subList(0, 1), 5, false, 0);
+        PlatformConstraints alone = new PlatformConstraints(PLATFORM.classes().subList(0, 1), 5, false, 0);
         assertEquals(List.of(Rule.COPY_NOT_ALLOWED, Rule.ADVICE_NOT_ALLOWED), OperatorFile.parse(
                 STATUS + "second_copy = { after = \"50ms\" }\nretry_after = \"1ms\"\n", alone).findings().stream()
                 .map(Finding::rule).toList());
@@ -266,7 +266,7 @@
 
     @Test
     void theExampleIsGood() {
-        Platform usual = new Platform(PLATFORM.classes().subList(0, 2), 5, true, 400 * MS);
+        PlatformConstraints usual = new PlatformConstraints(PLATFORM.classes().subList(0, 2), 5, true, 400 * MS);
         OperatorFile file = OperatorFile.read(Path.of("deploy/operator.example.toml"), usual);
         assertEquals(List.of(), file.findings());
         assertEquals(3, file.routes().size());
--- a/src/test/java/cinderhollow/policy/RulesTest.java
+++ b/src/test/java/cinderhollow/policy/RulesTest.java
@@ -12,7 +12,7 @@
 import static org.junit.jupiter.api.Assertions.fail;
 
 import cinderhollow.operator.OperatorFile;
-import cinderhollow.operator.Platform;
+import cinderhollow.operator.PlatformConstraints;
 import cinderhollow.policy.Protocol.*;
 import cinderhollow.routes.BudgetedRoutePolicy;
 import java.util.ArrayList;
@@ -253,7 +253,7 @@
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10})
     void noAcceptedFileLetsAnythingRunTwice(long seed) {
         SplittableRandom random = new SplittableRandom(seed);
-        Platform platform = new Platform(CLASSES, 4, true, 400 * MS);
+        PlatformConstraints platform = new PlatformConstraints(CLASSES, 4, true, 400 * MS);
         int accepted = 0;
         for (int i = 0; i < 400 && accepted < 6; i++) {
             String text = randomFile(random);
