--- a/src/main/java/cinderhollow/daemon/OperatorConfigLoader.java
+++ b/src/main/java/cinderhollow/daemon/OperatorConfigLoader.java
@@ -45,8 +45,8 @@
         if (!operatorFile.findings().isEmpty()) {
             throw new IllegalArgumentException(describeFindings(file, operatorFile.findings(), MAX_FINDINGS_SHOWN));
         }
-        return new LoadedConfig(operatorFile.routes(), toEventLoopConfig(operatorFile.growth()), toLedgerConfig(operatorFile.books()),
-                operatorFile.admin() == null ? null : AdminClient.parseAddress(operatorFile.admin()), operatorFile.fellows());
+        return new LoadedConfig(operatorFile.routes(), toEventLoopConfig(operatorFile.scalingConfig()), toLedgerConfig(operatorFile.ledgerConfig()),
+                operatorFile.adminAddress() == null ? null : AdminClient.parseAddress(operatorFile.adminAddress()), operatorFile.peersConfig());
     }
 
     /** Returns the peers, from the operator's file or else from the platform's configuration. */
@@ -114,7 +114,7 @@
         if (!operatorFile.findings().isEmpty()) {
             throw new IllegalArgumentException(describeFindings(file.toString(), operatorFile.findings(), Integer.MAX_VALUE));
         }
-        return operatorFile.explained();
+        return operatorFile.explain();
     }
 
     /** Returns the platform of a deployment with the two default classes. */
--- a/src/main/java/cinderhollow/operator/OperatorFile.java
+++ b/src/main/java/cinderhollow/operator/OperatorFile.java
@@ -59,11 +59,11 @@
     private static final int MOST_LOOPS = 64, MOST_NODES = 100_000;
 
     private final PlatformConstraints platform;
-    private ScalingConfig growth;
-    private LedgerConfig books;
-    private String admin;
+    private ScalingConfig scalingConfig;
+    private LedgerConfig ledgerConfig;
+    private String adminAddress;
     /** Null if the file configures no peers. */
-    private PeersConfig fellows;
+    private PeersConfig peersConfig;
     private final List<Finding> findings = new ArrayList<>();
     private final List<Route> routes = new ArrayList<>();
     private final List<Map<String, String>> sources = new ArrayList<>();
@@ -114,11 +114,11 @@
      *
      * @throws IllegalStateException if the file has findings
      */
-    public ScalingConfig growth() {
+    public ScalingConfig scalingConfig() {
         if (!findings.isEmpty()) {
             throw new IllegalStateException("the file has faults");
         }
-        return growth;
+        return scalingConfig;
     }
 
     /**
@@ -126,11 +126,11 @@
      *
      * @throws IllegalStateException if the file has findings
      */
-    public LedgerConfig books() {
+    public LedgerConfig ledgerConfig() {
         if (!findings.isEmpty()) {
             throw new IllegalStateException("the file has faults");
         }
-        return books;
+        return ledgerConfig;
     }
 
     /**
@@ -138,22 +138,22 @@
      *
      * @throws IllegalStateException if the file has findings
      */
-    public String admin() {
+    public String adminAddress() {
         if (!findings.isEmpty()) {
             throw new IllegalStateException("the file has faults");
         }
-        return admin;
+        return adminAddress;
     }
 
     private void admin(Table root, Table table) {
         if (table != null) {
             table.only(List.of("listen"));
-            admin = table.text("listen");
+            adminAddress = table.text("listen");
             if (!table.has("listen")) {
                 root.fault("admin", Rule.ADMIN_ADDRESS, "listen is missing");
-            } else if (admin != null && !(ADMIN.matcher(admin).matches()
-                    && (admin.startsWith("unix:") || Integer.parseInt(admin.replaceFirst(".*:", "")) <= LAST_PORT))) {
-                table.fault("listen", Rule.ADMIN_ADDRESS, "'" + admin + "'");
+            } else if (adminAddress != null && !(ADMIN.matcher(adminAddress).matches()
+                    && (adminAddress.startsWith("unix:") || Integer.parseInt(adminAddress.replaceFirst(".*:", "")) <= LAST_PORT))) {
+                table.fault("listen", Rule.ADMIN_ADDRESS, "'" + adminAddress + "'");
             }
         }
     }
@@ -163,11 +163,11 @@
      *
      * @throws IllegalStateException if the file has findings
      */
-    public PeersConfig fellows() {
+    public PeersConfig peersConfig() {
         if (!findings.isEmpty()) {
             throw new IllegalStateException("the file has faults");
         }
-        return fellows;
+        return peersConfig;
     }
 
     private void fellows(Table root, Table peers, Table zones) {
@@ -181,8 +181,8 @@
         if (!platform.peers()) {
             root.fault("peers", Rule.PEERS_NOT_ALLOWED, "the deployment's settings forbid peers");
         }
-        if (growth.loopCount() > 1) {
-            root.fault("peers", Rule.PEERS_LOOPS, growth.loopCount() + " event loops");
+        if (scalingConfig.loopCount() > 1) {
+            root.fault("peers", Rule.PEERS_LOOPS, scalingConfig.loopCount() + " event loops");
         }
         List<String> members = peers.has("members") ? peers.texts("members") : List.of();
         Integer number = peers.whole("number", 0, MOST_NODES);
@@ -207,7 +207,7 @@
             peers.fault("secret", Rule.FILE_FORM, "there is no file '" + secret + "'");
         }
         String fleet = peers.text("fleet");
-        fellows = zones(zones, fleet == null ? "" : fleet, listen, members == null ? List.of() : members,
+        peersConfig = zones(zones, fleet == null ? "" : fleet, listen, members == null ? List.of() : members,
                 number == null ? -1 : number, secret == null ? null : Path.of(secret));
     }
 
@@ -279,7 +279,7 @@
             if (ledger.has("sync") && !ledger.has("directory")) {
                 ledger.fault("sync", Rule.NO_DIRECTORY, "sync needs a directory");
             }
-            books = new LedgerConfig(time(ledger, "log", 0), directory == null ? null : Path.of(directory),
+            ledgerConfig = new LedgerConfig(time(ledger, "log", 0), directory == null ? null : Path.of(directory),
                     time(ledger, "sync", USUAL_SYNC_NANOS));
         }
     }
@@ -375,7 +375,7 @@
         root.only(List.of("class", "route", "gateway", "subset", "ledger", "admin", "peers", "zones"));
         admin(root, root.table("admin"));
         ledger(root.table("ledger"));
-        growth = growth(root, root.table("gateway"), root.table("subset"));
+        scalingConfig = growth(root, root.table("gateway"), root.table("subset"));
         fellows(root, root.table("peers"), root.table("zones"));
         Map<String, Table> classes = new LinkedHashMap<>();
         Table byName = root.table("class");
@@ -715,22 +715,22 @@
     }
 
     /** Returns a text with the settings and the policy of each route, and the source of each value: default or a line. */
-    public String explained() {
-        List<String> text = new ArrayList<>(growth.explained());
-        if (books != null) {
+    public String explain() {
+        List<String> text = new ArrayList<>(scalingConfig.explained());
+        if (ledgerConfig != null) {
             text.add("ledger of requests and attempts"
-                    + (books.logIntervalNanos() == 0 ? "" : ", logged every " + millis(books.logIntervalNanos()))
-                    + (books.directory() == null ? "" : ", with a journal in " + books.directory() + ", synced within "
-                    + millis(books.syncIntervalNanos())));
-        }
-        if (fellows != null) {
-            text.add("exchanges datagrams with " + (fellows.members().isEmpty() ? "the peers in the deployment's settings" : (fellows.members().size() - 1) + " others")
-                    + (fellows.secretFile() == null ? ", without a secret" : "") + "; evacuates up to " + fellows.maxRegionsOut() + " of zones "
-                    + String.join(", ", fellows.zones()) + ", for " + millis(fellows.holdNanos()) + " to "
-                    + millis(fellows.maxHoldNanos()));
-        }
-        if (admin != null) {
-            text.add("metrics are served at " + admin);
+                    + (ledgerConfig.logIntervalNanos() == 0 ? "" : ", logged every " + millis(ledgerConfig.logIntervalNanos()))
+                    + (ledgerConfig.directory() == null ? "" : ", with a journal in " + ledgerConfig.directory() + ", synced within "
+                    + millis(ledgerConfig.syncIntervalNanos())));
+        }
+        if (peersConfig != null) {
+            text.add("exchanges datagrams with " + (peersConfig.members().isEmpty() ? "the peers in the deployment's settings" : (peersConfig.members().size() - 1) + " others")
+                    + (peersConfig.secretFile() == null ? ", without a secret" : "") + "; evacuates up to " + peersConfig.maxRegionsOut() + " of zones "
+                    + String.join(", ", peersConfig.zones()) + ", for " + millis(peersConfig.holdNanos()) + " to "
+                    + millis(peersConfig.maxHoldNanos()));
+        }
+        if (adminAddress != null) {
+            text.add("metrics are served at " + adminAddress);
         }
         for (int i = 0; i < routes.size(); i++) {
             Route route = routes.get(i);
--- a/src/test/java/cinderhollow/operator/OperatorFileTest.java
+++ b/src/test/java/cinderhollow/operator/OperatorFileTest.java
@@ -41,9 +41,9 @@
     void peersAndZonesAreReadAndExplained() {
         OperatorFile file = OperatorFile.parse(PEERS + ZONES + "gateways = { a = 5 }\nhold = \"2s\"\n", PLATFORM);
         assertEquals(List.of(), file.findings());
-        assertEquals(List.of(5, 0, 0), file.fellows().gatewaysByZone());
-        assertTrue(file.explained().contains("exchanges datagrams with 1 others, without a secret; evacuates up to 1 of zones a, b, c, for 2000ms to 60000ms"),
-                file::explained);
+        assertEquals(List.of(5, 0, 0), file.peersConfig().gatewaysByZone());
+        assertTrue(file.explain().contains("exchanges datagrams with 1 others, without a secret; evacuates up to 1 of zones a, b, c, for 2000ms to 60000ms"),
+                file::explain);
         PlatformConstraints alone = new PlatformConstraints(PLATFORM.classes(), 5, true, 0, 7, 3, "a", false);
         assertEquals(Rule.PEERS_NOT_ALLOWED, OperatorFile.parse(PEERS + ZONES, alone).findings().get(0).rule());
     }
@@ -233,11 +233,11 @@
         OperatorFile file = parse("[gateway]\nloops = 4\nlisteners = \"each\"\n[subset]\nnodes = 200\nnumber = 2\n"
                 + "gateways = { a = 3, b = 4 }\n");
         assertEquals(List.of(), file.findings());
-        assertEquals(new ScalingConfig(4, true, 200, Map.of("a", 3, "b", 4), "a", 2), file.growth());
-        assertTrue(file.explained().contains("4 event loops") && file.explained().contains("about 200 nodes"));
+        assertEquals(new ScalingConfig(4, true, 200, Map.of("a", 3, "b", 4), "a", 2), file.scalingConfig());
+        assertTrue(file.explain().contains("4 event loops") && file.explain().contains("about 200 nodes"));
         // Without [subset] gateways and number, the deployment's gateway count and number apply.
-        assertEquals(new ScalingConfig(1, false, 50, Map.of("a", 7), "a", 3), parse("[subset]\nnodes = 50\n").growth());
-        assertEquals(new ScalingConfig(1, false, 0, Map.of("a", 7), "a", 3), parse(STATUS).growth());
+        assertEquals(new ScalingConfig(1, false, 50, Map.of("a", 7), "a", 3), parse("[subset]\nnodes = 50\n").scalingConfig());
+        assertEquals(new ScalingConfig(1, false, 0, Map.of("a", 7), "a", 3), parse(STATUS).scalingConfig());
     }
 
     @Test
@@ -251,7 +251,7 @@
         assertEquals(600 * MS, first.settings().totalTimeoutNanos());
         Route status = file.routes().stream().filter(r -> r.toString().equals("class status")).findFirst().orElseThrow();
         assertEquals(2, status.settings().maxAttempts());
-        String text = file.explained();
+        String text = file.explain();
         assertTrue(text.lines().anyMatch(l -> l.contains("attempts") && l.endsWith("route, line 8")), text);
         assertTrue(text.lines().anyMatch(l -> l.contains("total") && l.endsWith("class, line 3")), text);
         assertTrue(text.lines().anyMatch(l -> l.contains("backoff") && l.endsWith("default")), text);
