--- a/src/main/java/cinderhollow/cli/CheckCommand.java
+++ b/src/main/java/cinderhollow/cli/CheckCommand.java
@@ -16,18 +16,18 @@
             "every violation with its line, the rule and what is allowed (exit code 1)."})
 final class CheckCommand implements Callable<Integer> {
     @Parameters(paramLabel = "FILE", description = "the operator's file")
-    private Path file;
+    private Path operatorFile;
 
     @Option(names = "--config", paramLabel = "CONFIG", description = "a gateway's JSON file, whose settings limit the operator's file "
             + "(default: a deployment with the classes status and submit)")
-    private Path config;
+    private Path configFile;
 
     @Spec
     private CommandSpec spec;
 
     @Override
     public Integer call() throws IOException {
-        Commands.print(spec, OperatorConfigLoader.explain(file, config));
+        Commands.print(spec, OperatorConfigLoader.explain(operatorFile, configFile));
         return 0;
     }
 }
--- a/src/main/java/cinderhollow/cli/Commands.java
+++ b/src/main/java/cinderhollow/cli/Commands.java
@@ -18,8 +18,8 @@
     private CommandSpec spec;
 
     static void run(String[] args) {
-        CommandLine line = new CommandLine(new Commands());
-        line.setExecutionExceptionHandler((fault, command, parsed) -> {
+        CommandLine commandLine = new CommandLine(new Commands());
+        commandLine.setExecutionExceptionHandler((fault, command, parsed) -> {
             // An error that the user can fix is printed as one line; any other is a bug and gets a stack trace.
             if (fault instanceof IllegalArgumentException || fault instanceof java.io.IOException) {
                 command.getErr().println("cinderhollow: " + fault.getMessage());
@@ -27,9 +27,9 @@
             }
             throw fault;
         });
-        int code = line.execute(args);
-        if (code != KEEPS_RUNNING) {
-            System.exit(code);
+        int exitCode = commandLine.execute(args);
+        if (exitCode != KEEPS_RUNNING) {
+            System.exit(exitCode);
         }
     }
 
--- a/src/main/java/cinderhollow/cli/DemoCommand.java
+++ b/src/main/java/cinderhollow/cli/DemoCommand.java
@@ -21,7 +21,7 @@
         description = {"Start nodes, gateways and clients on this machine, let some nodes fail, and check the four rules.",
             "Exit code 0 only if none was broken."})
 final class DemoCommand implements Callable<Integer> {
-    static final int EXIT_NOT_CLEAN = 3;
+    static final int EXIT_RULES_BROKEN = 3;
 
     @Option(names = "--seconds", defaultValue = "20", description = "length of the run in seconds (default: ${DEFAULT-VALUE})")
     private long seconds;
@@ -40,11 +40,11 @@
 
     @Override
     public Integer call() throws IOException, InterruptedException, ExecutionException {
-        long drawn = seed == null ? System.nanoTime() & 0xffff_ffffL : seed;
-        Site site = fleet.site(seconds, drawn);
-        Plan plan = planFile == null ? Plan.demo(drawn, seconds, fleet.nodes())
+        long effectiveSeed = seed == null ? System.nanoTime() & 0xffff_ffffL : seed;
+        Site site = fleet.buildSite(seconds, effectiveSeed);
+        Plan plan = planFile == null ? Plan.demo(effectiveSeed, seconds, fleet.nodes())
                 : Plan.parse(Files.readString(planFile), fleet.nodes(), fleet.gateways());
-        return play(spec, site, plan, fleet.json());
+        return runLab(spec, site, plan, fleet.reportFile());
     }
 
     /**
@@ -52,15 +52,15 @@
      *
      * @return the exit code
      */
-    static int play(CommandSpec spec, Site site, Plan plan, Path json)
+    static int runLab(CommandSpec spec, Site site, Plan plan, Path reportFile)
             throws IOException, InterruptedException, ExecutionException {
         Commands.print(spec, "seed " + site.seed() + ", " + site.nodes() + " nodes, " + site.gateways() + " gateways, "
                 + site.rate() + " requests a second; what will go wrong:");
         Commands.print(spec, plan.faults().isEmpty() ? "nothing" : plan.toString().stripTrailing());
         // On a terminal each second's line overwrites the previous one; otherwise each is printed as a line of its own.
-        boolean terminal = System.console() != null;
+        boolean onTerminal = System.console() != null;
         try (Lab lab = new Lab(site, plan, GatewayProcess.with(GatewayProcess.DEPLOYED), second -> {
-            if (terminal) {
+            if (onTerminal) {
                 System.out.print("\r\u001b[K" + second);
                 System.out.flush();
             } else {
@@ -69,11 +69,11 @@
         })) {
             Commands.closeOnExit(lab);
             Report report = lab.run();
-            Commands.print(spec, (terminal ? "\n" : "") + report);
-            if (json != null) {
-                Files.writeString(json, report.toJson());
+            Commands.print(spec, (onTerminal ? "\n" : "") + report);
+            if (reportFile != null) {
+                Files.writeString(reportFile, report.toJson());
             }
-            return report.isClean() ? 0 : EXIT_NOT_CLEAN;
+            return report.isClean() ? 0 : EXIT_RULES_BROKEN;
         }
     }
 }
--- a/src/main/java/cinderhollow/cli/EmulateCommand.java
+++ b/src/main/java/cinderhollow/cli/EmulateCommand.java
@@ -34,16 +34,16 @@
     private int seeds;
 
     @Option(names = "--log", description = "with --talk: print the gateways' log lines about zones")
-    private boolean log;
+    private boolean printZoneLog;
 
     @Option(names = "--by-second", description = "print the percentage served in time, for each second")
-    private boolean bySecond;
+    private boolean printPerSecond;
 
     @Option(names = "--first", defaultValue = "1", description = "the first seed (default: ${DEFAULT-VALUE})")
     private long first;
 
     @Option(names = "--talk", description = "the gateways exchange gossip and evacuate zones together")
-    private boolean talk;
+    private boolean peering;
 
     @Option(names = "--fault", paramLabel = "KIND:FROM:SECONDS:PART[:SIZE]",
             description = "the fault: slow, silent, replaced, lost nodes, killed or rolled gateways, cut (the first zone is cut off from the others); for example silent:8:6:0.2 or slow:5:15:0.125:5")
@@ -54,12 +54,12 @@
 
     @Override
     public Integer call() {
-        Scenario day = Scenario.thin(gateways, nodes, seconds, load);
-        Scenario quiet = talk ? day.talking() : day;
-        Scenario scenario = fault == null ? quiet : quiet.with(fault(fault));
-        long began = System.nanoTime();
+        Scenario baseScenario = Scenario.thin(gateways, nodes, seconds, load);
+        Scenario faultFreeScenario = peering ? baseScenario.talking() : baseScenario;
+        Scenario scenario = fault == null ? faultFreeScenario : faultFreeScenario.with(parseFault(fault));
+        long startedAt = System.nanoTime();
         Emulation.Result[] results = LongStream.range(first, first + seeds).parallel()
-                .mapToObj(seed -> play(scenario, seed)).toArray(Emulation.Result[]::new);
+                .mapToObj(seed -> runSeed(scenario, seed)).toArray(Emulation.Result[]::new);
         double sum = 0;
         long events = 0;
         for (int i = 0; i < results.length; i++) {
@@ -68,29 +68,29 @@
             events += results[i].events();
         }
         Commands.print(spec, String.format(Locale.ROOT, "mean figure %.4f of %d days; %d events in %.1f s", sum / results.length,
-                results.length, events, (System.nanoTime() - began) / 1e9));
-        return Stream.of(results).allMatch(Emulation.Result::isClean) ? 0 : DemoCommand.EXIT_NOT_CLEAN;
+                results.length, events, (System.nanoTime() - startedAt) / 1e9));
+        return Stream.of(results).allMatch(Emulation.Result::isClean) ? 0 : DemoCommand.EXIT_RULES_BROKEN;
     }
 
-    private Emulation.Result play(Scenario scenario, long seed) {
-        Emulation day = new Emulation(scenario, seed);
-        Emulation.Result result = day.run();
-        if (bySecond) {
-            Commands.print(spec, "seed " + seed + ":" + Arrays.stream(day.bySecond()).mapToObj(part -> " " + Math.round(100 * part))
+    private Emulation.Result runSeed(Scenario scenario, long seed) {
+        Emulation emulation = new Emulation(scenario, seed);
+        Emulation.Result result = emulation.run();
+        if (printPerSecond) {
+            Commands.print(spec, "seed " + seed + ":" + Arrays.stream(emulation.bySecond()).mapToObj(part -> " " + Math.round(100 * part))
                     .collect(Collectors.joining()));
         }
-        if (talk) {
+        if (peering) {
             Scenario.Fault f = scenario.fault();
-            Emulation.Leaving leaving = f == null ? day.leaving(0, seconds) : day.leaving(f.fromSecond(), f.seconds());
+            Emulation.Leaving leaving = f == null ? emulation.leaving(0, seconds) : emulation.leaving(f.fromSecond(), f.seconds());
             Commands.print(spec, "seed " + seed + ": " + leaving);
-            if (log) {
-                day.lines().stream().filter(line -> line.contains("zone=")).forEach(line -> Commands.print(spec, line));
+            if (printZoneLog) {
+                emulation.lines().stream().filter(line -> line.contains("zone=")).forEach(line -> Commands.print(spec, line));
             }
         }
         return result;
     }
 
-    private static Scenario.Fault fault(String text) {
+    private static Scenario.Fault parseFault(String text) {
         String[] parts = text.split(":", -1);
         try {
             if (parts.length == 4 || parts.length == 5) {
--- a/src/main/java/cinderhollow/cli/FleetOptions.java
+++ b/src/main/java/cinderhollow/cli/FleetOptions.java
@@ -16,18 +16,18 @@
     private int gateways;
 
     @Option(names = "--operator", paramLabel = "FILE", description = "the operator's file for the gateways")
-    private Path operator;
+    private Path operatorFile;
 
     @Option(names = "--every-second", description = "give the operator's file only to gw-1, gw-3, ..., to compare within one run")
-    private boolean everySecond;
+    private boolean everySecondGateway;
 
     @Option(names = "--json", paramLabel = "FILE", description = "write the report to this file as JSON")
-    private Path json;
+    private Path reportFile;
 
-    Site site(long seconds, long seed) {
+    Site buildSite(long seconds, long seed) {
         Site site = Site.usual(nodes, gateways, rate, seconds, seed);
-        return operator == null ? site
-                : site.under(new Site.Governed(operator.toAbsolutePath().toString(), everySecond));
+        return operatorFile == null ? site
+                : site.under(new Site.Governed(operatorFile.toAbsolutePath().toString(), everySecondGateway));
     }
 
     int nodes() {
@@ -38,7 +38,7 @@
         return gateways;
     }
 
-    Path json() {
-        return json;
+    Path reportFile() {
+        return reportFile;
     }
 }
--- a/src/main/java/cinderhollow/cli/LabCommand.java
+++ b/src/main/java/cinderhollow/cli/LabCommand.java
@@ -18,7 +18,7 @@
 
 /** Runs single parts of the lab, each as a subcommand. */
 @Command(name = "lab", mixinStandardHelpOptions = true, description = "Run single parts of the lab.",
-        subcommands = {LabCommand.Node.class, LabCommand.Soak.class, LabCommand.Measure.class, LabCommand.Start.class,
+        subcommands = {LabCommand.Node.class, LabCommand.Soak.class, LabCommand.LoadMeasurement.class, LabCommand.Start.class,
             LabCommand.Relay.class, LabZonesCommand.class, LabFaultSoakCommand.class})
 final class LabCommand implements Runnable {
     @Spec
@@ -71,7 +71,7 @@
         @Override
         public Integer call() throws IOException, InterruptedException, ExecutionException {
             Plan plan = Plan.draw(seed, seconds, fleet.nodes(), fleet.gateways(), faults);
-            return DemoCommand.play(spec, fleet.site(seconds, seed), plan, fleet.json());
+            return DemoCommand.runLab(spec, fleet.buildSite(seconds, seed), plan, fleet.reportFile());
         }
     }
 
@@ -79,7 +79,7 @@
     @Command(name = "load", mixinStandardHelpOptions = true, sortOptions = false,
             description = {"Measure one gateway: clients that send a request as soon as the last one is answered, half status and half",
                 "submit, and nodes that answer at once. Ends after the given time."})
-    static final class Measure implements Callable<Integer> {
+    static final class LoadMeasurement implements Callable<Integer> {
         @Option(names = "--nodes", defaultValue = "10", description = "nodes in the list (default: ${DEFAULT-VALUE})")
         private int nodes;
 
@@ -105,10 +105,10 @@
         private int changes;
 
         @Option(names = "--operator", paramLabel = "FILE", description = "the operator's file for the gateway")
-        private Path operator;
+        private Path operatorFile;
 
         @Option(names = "--java", paramLabel = "FLAG", description = "a flag for the Java runtime of the measured process")
-        private List<String> flags = List.of();
+        private List<String> javaFlags = List.of();
 
         @Spec
         private CommandSpec spec;
@@ -117,7 +117,7 @@
         public Integer call() throws IOException, InterruptedException, ExecutionException {
             try (Load load = new Load(nodes, connections,
                     codec ? Load.Way.CODEC : relay ? Load.Way.RELAY : Load.Way.GATEWAY, changes, cpus,
-                    operator == null ? null : operator.toAbsolutePath().toString(), flags)) {
+                    operatorFile == null ? null : operatorFile.toAbsolutePath().toString(), javaFlags)) {
                 Runtime.getRuntime().addShutdownHook(new Thread(load::close));
                 Commands.print(spec, load.run(warmUp, seconds));
                 return 0;
@@ -136,7 +136,7 @@
         private Path folder;
 
         @Option(names = "--vs", paramLabel = "COMMAND", description = "the command to compare with")
-        private String other;
+        private String otherCommand;
 
         @Option(names = "--vs-folder", defaultValue = ".", description = "working directory of that command (default: ${DEFAULT-VALUE})")
         private Path otherFolder;
@@ -149,7 +149,7 @@
 
         @Override
         public Integer call() throws IOException, InterruptedException {
-            Commands.print(spec, Starts.compare(command, folder, other, otherFolder, runs));
+            Commands.print(spec, Starts.compare(command, folder, otherCommand, otherFolder, runs));
             return 0;
         }
     }
--- a/src/main/java/cinderhollow/cli/LabFaultSoakCommand.java
+++ b/src/main/java/cinderhollow/cli/LabFaultSoakCommand.java
@@ -27,7 +27,7 @@
             "leave, clients that keep using the connections of a gateway that shuts down, until the platform kills it, failing discovery.",
             "The auditor checks each request against the rules. Exit code 0 only if no seed broke one."})
 final class LabFaultSoakCommand implements Callable<Integer> {
-    private static final String RANGE = "\\d+\\.\\.\\d+";
+    private static final String SEED_RANGE_PATTERN = "\\d+\\.\\.\\d+";
 
     @Option(names = "--seeds", defaultValue = "1..10", paramLabel = "A..B", description = "the range of seeds (default: ${DEFAULT-VALUE})")
     private String seeds;
@@ -49,77 +49,77 @@
 
     @Option(names = "--preload", paramLabel = "LIBRARY", description = "a library that makes system calls of the gateways fail "
             + "(src/test/c/syscall_faults.c)")
-    private Path library;
+    private Path preloadLibrary;
 
     @Option(names = "--percent", defaultValue = "5", description = "with --preload: percentage of the calls that fail (default: ${DEFAULT-VALUE})")
     private int percent;
 
     @Option(names = "--out", paramLabel = "FOLDER", description = "where to write the plan, the report and the gateways' logs of each seed "
             + "that breaks a rule")
-    private Path out;
+    private Path outputDirectory;
 
     @Spec
     private CommandSpec spec;
 
     @Override
     public Integer call() throws IOException, InterruptedException, ExecutionException {
-        if (!seeds.matches(RANGE)) {
+        if (!seeds.matches(SEED_RANGE_PATTERN)) {
             throw new IllegalArgumentException("--seeds must be a range such as 1..10, not '" + seeds + "'");
         }
         String[] range = seeds.split("\\.\\.");
-        List<Long> broken = new ArrayList<>();
+        List<Long> failedSeeds = new ArrayList<>();
         for (long seed = Long.parseLong(range[0]); seed <= Long.parseLong(range[1]); seed++) {
-            if (!play(seed)) {
-                broken.add(seed);
+            if (!runSeed(seed)) {
+                failedSeeds.add(seed);
             }
         }
-        Commands.print(spec, broken.isEmpty() ? "fault soak: no rule broken with seeds " + seeds : "fault soak: rules broken with seeds " + broken);
-        return broken.isEmpty() ? 0 : DemoCommand.EXIT_NOT_CLEAN;
+        Commands.print(spec, failedSeeds.isEmpty() ? "fault soak: no rule broken with seeds " + seeds : "fault soak: rules broken with seeds " + failedSeeds);
+        return failedSeeds.isEmpty() ? 0 : DemoCommand.EXIT_RULES_BROKEN;
     }
 
-    private boolean play(long seed) throws IOException, InterruptedException, ExecutionException {
+    private boolean runSeed(long seed) throws IOException, InterruptedException, ExecutionException {
         FaultSoak soak = new FaultSoak(nodes, gateways, rate, seconds, impatient);
         Plan plan = soak.plan(seed);
-        try (Lab lab = new Lab(soak.site(seed), plan, GatewayProcess.with(GatewayProcess.DEPLOYED, variables(seed)), second -> { })) {
+        try (Lab lab = new Lab(soak.site(seed), plan, GatewayProcess.with(GatewayProcess.DEPLOYED, buildEnvironment(seed)), second -> { })) {
             Commands.closeOnExit(lab);
             Report report = lab.run();
-            boolean held = report.isClean() && report.rudeLeft() == 0;
+            boolean passed = report.isClean() && report.rudeLeft() == 0;
             Commands.print(spec, String.format(Locale.ROOT, "seed %d: %s; %d asked, %d served, %d late, %d bad clients not ended, "
-                    + "lab late by %.0f ms", seed, held ? "clean" : "rules broken", report.asked(), report.served(), report.answeredLate(),
+                    + "lab late by %.0f ms", seed, passed ? "clean" : "rules broken", report.asked(), report.served(), report.answeredLate(),
                     report.rudeLeft(), report.worstLateMillis()));
-            if (!held) {
+            if (!passed) {
                 Commands.print(spec, report);
-                Commands.print(spec, "again: " + again(seed));
-                keep(lab, seed, plan, report);
+                Commands.print(spec, "again: " + rerunCommand(seed));
+                saveArtifacts(lab, seed, plan, report);
             }
-            return held;
+            return passed;
         }
     }
 
-    private String again(long seed) {
+    private String rerunCommand(long seed) {
         return String.format(Locale.ROOT, "lab fault-soak --seeds %d..%d --gateways %d --nodes %d --rate %s --seconds %d --impatient %s",
                 seed, seed, gateways, nodes, rate, seconds, impatient)
-                + (library == null ? "" : " --preload " + library + " --percent " + percent);
+                + (preloadLibrary == null ? "" : " --preload " + preloadLibrary + " --percent " + percent);
     }
 
-    private void keep(Lab lab, long seed, Plan plan, Report report) throws IOException {
-        if (out == null) {
+    private void saveArtifacts(Lab lab, long seed, Plan plan, Report report) throws IOException {
+        if (outputDirectory == null) {
             return;
         }
-        Path folder = Files.createDirectories(out.resolve("seed-" + seed));
-        Files.writeString(folder.resolve("plan.txt"), plan.toString());
-        Files.writeString(folder.resolve("report.txt"), report + "\n");
-        Files.writeString(folder.resolve("again.txt"), again(seed) + "\n");
-        lab.keepLogs(folder);
+        Path directory = Files.createDirectories(outputDirectory.resolve("seed-" + seed));
+        Files.writeString(directory.resolve("plan.txt"), plan.toString());
+        Files.writeString(directory.resolve("report.txt"), report + "\n");
+        Files.writeString(directory.resolve("again.txt"), rerunCommand(seed) + "\n");
+        lab.keepLogs(directory);
     }
 
-    private Map<String, String> variables(long seed) {
-        Map<String, String> variables = new HashMap<>();
-        if (library != null) {
-            variables.put("LD_PRELOAD", library.toAbsolutePath().toString());
-            variables.put("SYSCALL_FAULTS_PERCENT", String.valueOf(percent));
-            variables.put("SYSCALL_FAULTS_SEED", String.valueOf(seed));
+    private Map<String, String> buildEnvironment(long seed) {
+        Map<String, String> environment = new HashMap<>();
+        if (preloadLibrary != null) {
+            environment.put("LD_PRELOAD", preloadLibrary.toAbsolutePath().toString());
+            environment.put("SYSCALL_FAULTS_PERCENT", String.valueOf(percent));
+            environment.put("SYSCALL_FAULTS_SEED", String.valueOf(seed));
         }
-        return variables;
+        return environment;
     }
 }
--- a/src/main/java/cinderhollow/cli/LabZonesCommand.java
+++ b/src/main/java/cinderhollow/cli/LabZonesCommand.java
@@ -23,14 +23,14 @@
     private long seed;
 
     @Option(names = "--without", description = "the gateways exchange no gossip, for comparison")
-    private boolean without;
+    private boolean withoutPeering;
 
     @Option(names = "--fault", defaultValue = "zone-silent", paramLabel = "KIND",
             description = "zone-silent, zone-crash, zone-slow, zone-cut, zone-cut-out, zone-mute (default: ${DEFAULT-VALUE})")
     private String fault;
 
     @Option(names = "--for", defaultValue = "6", paramLabel = "SECONDS", description = "how long the fault lasts (default: ${DEFAULT-VALUE})")
-    private long length;
+    private long faultSeconds;
 
     @Option(names = "--size", defaultValue = "8", description = "how many times slower a slow zone is (default: ${DEFAULT-VALUE})")
     private double size;
@@ -66,17 +66,17 @@
     @Override
     public Integer call() throws IOException, InterruptedException, ExecutionException {
         Site site = Site.usual(nodes, gateways, rate, seconds, seed);
-        Plan plan = Plan.zone(seed, fault, length, size, gateways, killed, asleep);
-        Commands.print(spec, "seed " + seed + ", " + plan.toString().strip().replace("\n", ", ") + (without ? ", without talk" : ""));
+        Plan plan = Plan.zone(seed, fault, faultSeconds, size, gateways, killed, asleep);
+        Commands.print(spec, "seed " + seed + ", " + plan.toString().strip().replace("\n", ", ") + (withoutPeering ? ", without talk" : ""));
         try (Lab lab = new Lab(site, plan, GatewayProcess.with(GatewayProcess.DEPLOYED), second -> Commands.print(spec, second),
-                new Lab.Zoned(!without, delayMillis, loss))) {
+                new Lab.Zoned(!withoutPeering, delayMillis, loss))) {
             Commands.closeOnExit(lab);
             Report report = lab.run();
             Commands.print(spec, report);
             Commands.print(spec, String.format(Locale.ROOT, "verdict: seed %d %s%s: %s; %d not served in their aim from the trouble on; %s", seed, fault,
-                    without ? " without" : "", report.isClean() ? "clean" : "rules broken", lab.lostSinceTrouble(),
+                    withoutPeering ? " without" : "", report.isClean() ? "clean" : "rules broken", lab.lostSinceTrouble(),
                     lab.leaves()));
-            return report.isClean() ? 0 : DemoCommand.EXIT_NOT_CLEAN;
+            return report.isClean() ? 0 : DemoCommand.EXIT_RULES_BROKEN;
         }
     }
 }
--- a/src/main/java/cinderhollow/cli/LedgerCommand.java
+++ b/src/main/java/cinderhollow/cli/LedgerCommand.java
@@ -17,10 +17,10 @@
         description = {"Show how many requests running gateways have received, and their outcomes. Exit code 0: the ledger balances, 3: it does not,",
             "1: a gateway does not answer. An address is the one in its operator's file: 127.0.0.1:9180 or unix:/path."})
 final class LedgerCommand implements Callable<Integer> {
-    private static final int BROKEN = 3;
+    private static final int EXIT_UNBALANCED = 3;
 
     @ArgGroup(multiplicity = "1")
-    private Whom whom;
+    private Targets targets;
 
     @Option(names = "--watch", description = "print a table every second until interrupted")
     private boolean watch;
@@ -32,29 +32,29 @@
     private CommandSpec spec;
 
     /** The gateways to query: one, or several whose totals are added up. */
-    static final class Whom {
+    static final class Targets {
         @Option(names = "--admin", required = true, paramLabel = "ADDRESS", description = "one gateway's admin listener")
-        private String admin;
+        private String adminAddress;
 
         @Option(names = "--fleet", required = true, split = ",", paramLabel = "ADDRESS", description = "the admin listeners of several gateways, whose totals are added up")
-        private List<String> fleet;
+        private List<String> fleetAddresses;
     }
 
     @Override
     public Integer call() throws IOException, InterruptedException {
-        List<String> addresses = whom.fleet == null ? List.of(whom.admin) : whom.fleet;
-        LedgerTotals totals = show(addresses);
+        List<String> addresses = targets.fleetAddresses == null ? List.of(targets.adminAddress) : targets.fleetAddresses;
+        LedgerTotals totals = printTotals(addresses);
         while (watch) {
             TimeUnit.SECONDS.sleep(1);
-            totals = show(addresses);
+            totals = printTotals(addresses);
         }
         if (acknowledge) {
             AdminClient.acknowledgeBreaches(addresses);
         }
-        return totals.isBalanced() ? 0 : BROKEN;
+        return totals.isBalanced() ? 0 : EXIT_UNBALANCED;
     }
 
-    private LedgerTotals show(List<String> addresses) throws IOException {
+    private LedgerTotals printTotals(List<String> addresses) throws IOException {
         LedgerTotals totals = AdminClient.ledgerTotals(addresses);
         Commands.print(spec, totals.formatTable());
         return totals;
--- a/src/main/java/cinderhollow/cli/Main.java
+++ b/src/main/java/cinderhollow/cli/Main.java
@@ -13,39 +13,39 @@
 public final class Main {
     static final int EXIT_BAD_INPUT = 1;
     /** Exit code of an internal error, that is, of an unexpected exception. */
-    static final int EXIT_FAULT = 70;
+    static final int EXIT_INTERNAL_ERROR = 70;
 
     private Main() { }
 
     /** Runs the command that the arguments name. Exits with a message if the input is invalid or an error occurs. */
     public static void main(String[] args) {
-        boolean operator = args.length == 3 && args[0].equals("serve") && args[1].equals("--operator");
-        String verb = args.length == 1 || operator ? args[0] : "";
+        boolean hasOperatorOption = args.length == 3 && args[0].equals("serve") && args[1].equals("--operator");
+        String command = args.length == 1 || hasOperatorOption ? args[0] : "";
         try {
-            switch (verb) {
-                case "serve" -> GatewayDaemon.serve(operator ? withOperator(args[2]) : System.getenv());
+            switch (command) {
+                case "serve" -> GatewayDaemon.serve(hasOperatorOption ? environmentWithOperatorFile(args[2]) : System.getenv());
                 case "simhost" -> new Wire(System.in, System.out).run();
                 default -> Commands.run(args);
             }
         } catch (Wire.MalformedInput | IllegalArgumentException e) {
-            fail(e.getMessage());
+            exitWithError(e.getMessage());
         } catch (IOException e) {
-            fail("can't read or write the simulator's wire: " + e.getMessage());
+            exitWithError("can't read or write the simulator's wire: " + e.getMessage());
         } catch (RuntimeException e) {
             // Without an exit the event loops would keep the process alive although it serves no requests.
             e.printStackTrace();
-            System.exit(EXIT_FAULT);
+            System.exit(EXIT_INTERNAL_ERROR);
         }
     }
 
-    private static Map<String, String> withOperator(String file) {
+    private static Map<String, String> environmentWithOperatorFile(String operatorFile) {
         Map<String, String> environment = new HashMap<>(System.getenv());
-        environment.put("LB_OPERATOR", file);
+        environment.put("LB_OPERATOR", operatorFile);
         return environment;
     }
 
-    private static void fail(String line) {
-        System.err.println("cinderhollow: " + line);
+    private static void exitWithError(String message) {
+        System.err.println("cinderhollow: " + message);
         System.exit(EXIT_BAD_INPUT);
     }
 }
--- a/src/main/java/cinderhollow/cli/RunCommand.java
+++ b/src/main/java/cinderhollow/cli/RunCommand.java
@@ -21,39 +21,39 @@
 final class RunCommand implements Callable<Integer> {
     @Option(names = "--listen", paramLabel = "HOST:PORT", defaultValue = "127.0.0.1:8080",
             description = "address for clients (default: ${DEFAULT-VALUE})")
-    private String listen;
+    private String listenAddress;
 
     @ArgGroup(multiplicity = "1")
-    private Source source;
+    private NodeSource nodeSource;
 
     @Option(names = "--class", paramLabel = "NAME:EFFECT[:AIM[:DEADLINE]]",
             description = {"a class of requests; EFFECT is safe (GET, may run twice), unsafe (POST, must not) or",
                 "keyed (POST with Idempotency-Key); AIM and DEADLINE as 150ms or 2s (default: 500ms, 2s)"})
-    private List<String> classes = new ArrayList<>();
+    private List<String> classSpecs = new ArrayList<>();
 
     @Option(names = "--classes", paramLabel = "FILE", description = "a file with one class per line, in the form of --class; # starts a comment")
-    private Path file;
+    private Path classesFile;
 
     @Option(names = "--operator", paramLabel = "FILE", description = "an operator's file with routes, timeouts, attempts; see check")
-    private String operator;
+    private String operatorFile;
 
     /** The source of the nodes: a fixed list, or a discovery service. */
-    static final class Source {
+    static final class NodeSource {
         @Option(names = "--nodes", required = true, split = ",", paramLabel = "HOST:PORT", description = "the nodes, as a fixed list")
         private List<String> nodes = new ArrayList<>();
 
         @Option(names = "--discovery", required = true, paramLabel = "HOST:PORT", description = "the discovery service that has the list of nodes")
-        private String discovery;
+        private String discoveryAddress;
     }
 
     @Override
     public Integer call() throws IOException {
-        List<String> all = new ArrayList<>(classes);
-        if (file != null) {
-            Files.readAllLines(file).stream().map(String::strip).filter(line -> !line.isEmpty() && !line.startsWith("#"))
-                    .forEach(all::add);
+        List<String> allClassSpecs = new ArrayList<>(classSpecs);
+        if (classesFile != null) {
+            Files.readAllLines(classesFile).stream().map(String::strip).filter(line -> !line.isEmpty() && !line.startsWith("#"))
+                    .forEach(allClassSpecs::add);
         }
-        GatewayDaemon.serve(new CommandLineConfig(listen, source.discovery, source.nodes, all, operator));
+        GatewayDaemon.serve(new CommandLineConfig(listenAddress, nodeSource.discoveryAddress, nodeSource.nodes, allClassSpecs, operatorFile));
         return Commands.KEEPS_RUNNING;
     }
 }
--- a/src/main/java/cinderhollow/cli/ZoneCommand.java
+++ b/src/main/java/cinderhollow/cli/ZoneCommand.java
@@ -17,13 +17,13 @@
             "its state (hold), or to decide by itself again (none). One gateway passes the order on to the whole fleet."})
 final class ZoneCommand implements Callable<Integer> {
     @Parameters(index = "0", paramLabel = "status|leave|return|hold|none", description = "show the state, or the order to give")
-    private String verb;
+    private String action;
 
     @Parameters(index = "1", arity = "0..1", paramLabel = "ZONE", description = "the zone of the order")
     private String zone;
 
     @Option(names = "--admin", required = true, paramLabel = "ADDRESS", description = "one gateway's admin listener")
-    private String admin;
+    private String adminAddress;
 
     @Option(names = "--minutes", defaultValue = "60", description = "how long the order is valid, in minutes (default: ${DEFAULT-VALUE})")
     private long minutes;
@@ -33,16 +33,16 @@
 
     @Override
     public Integer call() throws IOException {
-        switch (verb) {
-            case "status" -> Commands.print(spec, AdminClient.zoneStatus(admin).stripTrailing());
+        switch (action) {
+            case "status" -> Commands.print(spec, AdminClient.zoneStatus(adminAddress).stripTrailing());
             case "leave", "return", "hold", "none" -> {
                 if (zone == null) {
                     throw new ParameterException(spec.commandLine(), "an order needs a ZONE");
                 }
-                AdminClient.order(admin, verb, zone, TimeUnit.MINUTES.toMillis(minutes));
-                Commands.print(spec, "ordered: " + verb + " " + zone + " for " + minutes + " minutes; 'zone status' lists the members that have not received it");
+                AdminClient.order(adminAddress, action, zone, TimeUnit.MINUTES.toMillis(minutes));
+                Commands.print(spec, "ordered: " + action + " " + zone + " for " + minutes + " minutes; 'zone status' lists the members that have not received it");
             }
-            default -> throw new ParameterException(spec.commandLine(), "unknown action: " + verb);
+            default -> throw new ParameterException(spec.commandLine(), "unknown action: " + action);
         }
         return 0;
     }
--- a/src/main/java/cinderhollow/operator/OperatorFile.java
+++ b/src/main/java/cinderhollow/operator/OperatorFile.java
@@ -36,27 +36,27 @@
  * violates a rule nothing is used, and {@link #findings()} has all its violations.
  */
 public final class OperatorFile {
-    private static final int LARGEST = 1 << 20, MOST_ROUTES = 10_000;
+    private static final int MAX_FILE_BYTES = 1 << 20, MAX_ROUTES = 10_000;
     private static final char BYTE_ORDER_MARK = '\uFEFF';
-    private static final BudgetSettings USUAL_RETRIES = new BudgetSettings(0.1, 1), USUAL_COPIES = new BudgetSettings(0.05, 0);
-    private static final int USUAL_ATTEMPTS = 3, USUAL_SAMPLES = 200, MOST_SAMPLES = 10_000, BEYOND = 5;
-    private static final Set<Outcome> NEVER_RAN = EnumSet.of(Outcome.CONNECT_FAILED, Outcome.FULL);
-    private static final Set<Outcome> ANY = EnumSet.of(Outcome.CONNECT_FAILED, Outcome.FULL, Outcome.ERROR,
+    private static final BudgetSettings DEFAULT_RETRY_BUDGET = new BudgetSettings(0.1, 1), DEFAULT_HEDGE_BUDGET = new BudgetSettings(0.05, 0);
+    private static final int DEFAULT_MAX_ATTEMPTS = 3, DEFAULT_HEDGE_SAMPLES = 200, MAX_HEDGE_SAMPLES = 10_000, MIN_SAMPLES_BEYOND_PERCENTILE = 5;
+    private static final Set<Outcome> NEVER_RAN_OUTCOMES = EnumSet.of(Outcome.CONNECT_FAILED, Outcome.FULL);
+    private static final Set<Outcome> RETRYABLE_OUTCOMES = EnumSet.of(Outcome.CONNECT_FAILED, Outcome.FULL, Outcome.ERROR,
             Outcome.RESET, Outcome.TIMED_OUT);
-    private static final List<String> TERMS = List.of("total", "attempt_timeout", "attempts", "retry_on", "backoff",
+    private static final List<String> POLICY_KEYS = List.of("total", "attempt_timeout", "attempts", "retry_on", "backoff",
             "backoff_max", "retry_budget", "second_copy", "retry_after", "resend_within");
-    private static final List<String> ROUTE = List.of("method", "path", "class");
-    private static final long LEAST_NANOS = TimeUnit.MILLISECONDS.toNanos(1);
+    private static final List<String> ROUTE_KEYS = List.of("method", "path", "class");
+    private static final long MILLISECOND_NANOS = TimeUnit.MILLISECONDS.toNanos(1);
 
     /** Allows only loopback addresses and Unix sockets, because everyone who can connect can read all metrics. */
-    private static final Pattern ADMIN = Pattern.compile(
+    private static final Pattern ADMIN_ADDRESS_PATTERN = Pattern.compile(
             "127(\\.(25[0-5]|2[0-4][0-9]|1?[0-9]{1,2})){3}:[0-9]{1,5}|\\[::1]:[0-9]{1,5}|unix:/[!-~]{1,90}");
-    private static final int LAST_PORT = 65_535;
-    private static final long USUAL_SYNC_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
-    private static final Pattern ADDRESS = Pattern.compile("[0-9]{1,3}(\\.[0-9]{1,3}){3}:[0-9]{1,5}");
-    private static final int MOST_ZONES = 16;
-    private static final long USUAL_HOLD_NANOS = TimeUnit.SECONDS.toNanos(1), USUAL_MOST_HOLD_NANOS = TimeUnit.SECONDS.toNanos(60);
-    private static final int MOST_LOOPS = 64, MOST_NODES = 100_000;
+    private static final int MAX_PORT = 65_535;
+    private static final long DEFAULT_SYNC_INTERVAL_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
+    private static final Pattern PEER_ADDRESS_PATTERN = Pattern.compile("[0-9]{1,3}(\\.[0-9]{1,3}){3}:[0-9]{1,5}");
+    private static final int MAX_ZONES = 16;
+    private static final long DEFAULT_HOLD_NANOS = TimeUnit.SECONDS.toNanos(1), DEFAULT_MAX_HOLD_NANOS = TimeUnit.SECONDS.toNanos(60);
+    private static final int MAX_LOOPS = 64, MAX_FLEET_SIZE = 100_000;
 
     private final PlatformConstraints platform;
     private ScalingConfig scalingConfig;
@@ -66,8 +66,8 @@
     private PeersConfig peersConfig;
     private final List<Finding> findings = new ArrayList<>();
     private final List<Route> routes = new ArrayList<>();
-    private final List<Map<String, String>> sources = new ArrayList<>();
-    private final List<Integer> lines = new ArrayList<>();
+    private final List<Map<String, String>> sourcesByRoute = new ArrayList<>();
+    private final List<Integer> routeLines = new ArrayList<>();
 
     private OperatorFile(PlatformConstraints platform) {
         this.platform = platform;
@@ -75,21 +75,21 @@
 
     /** Reads and checks the file. A file that can't be read gives a finding, not an exception. */
     public static OperatorFile read(Path file, PlatformConstraints platform) {
-        OperatorFile read = new OperatorFile(platform);
-        String text = read.text(file);
+        OperatorFile result = new OperatorFile(platform);
+        String text = result.readText(file);
         if (text != null) {
-            read.parse(text);
+            result.parse(text);
         }
-        read.findings.sort(null);
-        return read;
+        result.findings.sort(null);
+        return result;
     }
 
     /** Checks the text of an operator's file. */
     public static OperatorFile parse(String text, PlatformConstraints platform) {
-        OperatorFile read = new OperatorFile(platform);
-        read.parse(text);
-        read.findings.sort(null);
-        return read;
+        OperatorFile result = new OperatorFile(platform);
+        result.parse(text);
+        result.findings.sort(null);
+        return result;
     }
 
     /** Returns all violations in the order of their lines. */
@@ -145,15 +145,15 @@
         return adminAddress;
     }
 
-    private void admin(Table root, Table table) {
-        if (table != null) {
-            table.only(List.of("listen"));
-            adminAddress = table.text("listen");
-            if (!table.has("listen")) {
-                root.fault("admin", Rule.ADMIN_ADDRESS, "listen is missing");
-            } else if (adminAddress != null && !(ADMIN.matcher(adminAddress).matches()
-                    && (adminAddress.startsWith("unix:") || Integer.parseInt(adminAddress.replaceFirst(".*:", "")) <= LAST_PORT))) {
-                table.fault("listen", Rule.ADMIN_ADDRESS, "'" + adminAddress + "'");
+    private void readAdmin(TomlTableReader root, TomlTableReader adminTable) {
+        if (adminTable != null) {
+            adminTable.rejectUnknownKeys(List.of("listen"));
+            adminAddress = adminTable.text("listen");
+            if (!adminTable.has("listen")) {
+                root.addFinding("admin", Rule.ADMIN_ADDRESS, "listen is missing");
+            } else if (adminAddress != null && !(ADMIN_ADDRESS_PATTERN.matcher(adminAddress).matches()
+                    && (adminAddress.startsWith("unix:") || Integer.parseInt(adminAddress.replaceFirst(".*:", "")) <= MAX_PORT))) {
+                adminTable.addFinding("listen", Rule.ADMIN_ADDRESS, "'" + adminAddress + "'");
             }
         }
     }
@@ -170,181 +170,181 @@
         return peersConfig;
     }
 
-    private void fellows(Table root, Table peers, Table zones) {
-        if (peers == null || zones == null) {
-            if (peers != null || zones != null) {
-                root.fault(peers == null ? "zones" : "peers", Rule.ZONES_PLACE, "[peers] and [zones] must be given together");
+    private void readPeers(TomlTableReader root, TomlTableReader peersTable, TomlTableReader zonesTable) {
+        if (peersTable == null || zonesTable == null) {
+            if (peersTable != null || zonesTable != null) {
+                root.addFinding(peersTable == null ? "zones" : "peers", Rule.ZONES_PLACE, "[peers] and [zones] must be given together");
             }
             return;
         }
-        peers.only(List.of("fleet", "listen", "members", "number", "secret"));
-        if (!platform.peers()) {
-            root.fault("peers", Rule.PEERS_NOT_ALLOWED, "the deployment's settings forbid peers");
+        peersTable.rejectUnknownKeys(List.of("fleet", "listen", "members", "number", "secret"));
+        if (!platform.peersAllowed()) {
+            root.addFinding("peers", Rule.PEERS_NOT_ALLOWED, "the deployment's settings forbid peers");
         }
         if (scalingConfig.loopCount() > 1) {
-            root.fault("peers", Rule.PEERS_LOOPS, scalingConfig.loopCount() + " event loops");
+            root.addFinding("peers", Rule.PEERS_LOOPS, scalingConfig.loopCount() + " event loops");
         }
-        List<String> members = peers.has("members") ? peers.texts("members") : List.of();
-        Integer number = peers.whole("number", 0, MOST_NODES);
-        String listen = peers.text("listen");
-        if (members != null && peers.has("members")) {
-            List<String> bad = members.stream().filter(m -> !ADDRESS.matcher(m).matches()).toList();
-            if (!bad.isEmpty() || members.stream().distinct().count() < members.size() || members.size() < 2) {
-                peers.fault("members", Rule.PEERS_PLACE, bad.isEmpty() ? members.size() + " members" : "'" + bad.get(0) + "'");
+        List<String> members = peersTable.has("members") ? peersTable.texts("members") : List.of();
+        Integer memberNumber = peersTable.integer("number", 0, MAX_FLEET_SIZE);
+        String listenAddress = peersTable.text("listen");
+        if (members != null && peersTable.has("members")) {
+            List<String> malformed = members.stream().filter(m -> !PEER_ADDRESS_PATTERN.matcher(m).matches()).toList();
+            if (!malformed.isEmpty() || members.stream().distinct().count() < members.size() || members.size() < 2) {
+                peersTable.addFinding("members", Rule.PEERS_PLACE, malformed.isEmpty() ? members.size() + " members" : "'" + malformed.get(0) + "'");
             }
-            if (number == null || number >= members.size()) {
-                peers.fault(peers.has("number") ? "number" : "members", Rule.PEERS_PLACE, "there is no member " + number);
+            if (memberNumber == null || memberNumber >= members.size()) {
+                peersTable.addFinding(peersTable.has("number") ? "number" : "members", Rule.PEERS_PLACE, "there is no member " + memberNumber);
             }
         }
-        if (peers.has("listen") && listen != null && !ADDRESS.matcher(listen).matches()) {
-            peers.fault("listen", Rule.PEERS_PLACE, "'" + listen + "'");
+        if (peersTable.has("listen") && listenAddress != null && !PEER_ADDRESS_PATTERN.matcher(listenAddress).matches()) {
+            peersTable.addFinding("listen", Rule.PEERS_PLACE, "'" + listenAddress + "'");
         }
-        if (peers.has("members") != peers.has("listen") || peers.has("members") != peers.has("number")) {
-            root.fault("peers", Rule.PEERS_PLACE, "members, listen and number must be given together; without all three the deployment's settings apply");
+        if (peersTable.has("members") != peersTable.has("listen") || peersTable.has("members") != peersTable.has("number")) {
+            root.addFinding("peers", Rule.PEERS_PLACE, "members, listen and number must be given together; without all three the deployment's settings apply");
         }
-        String secret = peers.text("secret");
-        if (secret != null && !Files.isRegularFile(Path.of(secret))) {
-            peers.fault("secret", Rule.FILE_FORM, "there is no file '" + secret + "'");
+        String secretFile = peersTable.text("secret");
+        if (secretFile != null && !Files.isRegularFile(Path.of(secretFile))) {
+            peersTable.addFinding("secret", Rule.FILE_FORM, "there is no file '" + secretFile + "'");
         }
-        String fleet = peers.text("fleet");
-        peersConfig = zones(zones, fleet == null ? "" : fleet, listen, members == null ? List.of() : members,
-                number == null ? -1 : number, secret == null ? null : Path.of(secret));
+        String fleet = peersTable.text("fleet");
+        peersConfig = readZones(zonesTable, fleet == null ? "" : fleet, listenAddress, members == null ? List.of() : members,
+                memberNumber == null ? -1 : memberNumber, secretFile == null ? null : Path.of(secretFile));
     }
 
-    private PeersConfig zones(Table zones, String fleet, String listen, List<String> members, int number, Path secret) {
-        zones.only(List.of("names", "gateways", "regions", "most_out", "hold", "hold_max"));
-        List<String> names = zones.texts("names");
-        names = names == null ? List.of() : names;
-        if (names.size() < 2 || names.size() > MOST_ZONES || names.stream().distinct().count() < names.size()
-                || !names.contains(platform.zone())) {
-            zones.fault("names", Rule.ZONES_PLACE, names + "; this gateway's zone is '" + platform.zone() + "'");
+    private PeersConfig readZones(TomlTableReader zonesTable, String fleet, String listenAddress, List<String> members, int memberNumber, Path secretFile) {
+        zonesTable.rejectUnknownKeys(List.of("names", "gateways", "regions", "most_out", "hold", "hold_max"));
+        List<String> zoneNames = zonesTable.texts("names");
+        zoneNames = zoneNames == null ? List.of() : zoneNames;
+        if (zoneNames.size() < 2 || zoneNames.size() > MAX_ZONES || zoneNames.stream().distinct().count() < zoneNames.size()
+                || !zoneNames.contains(platform.zone())) {
+            zonesTable.addFinding("names", Rule.ZONES_PLACE, zoneNames + "; this gateway's zone is '" + platform.zone() + "'");
         }
-        Map<String, Integer> gateways = byZone(zones.table("gateways"));
-        for (String zone : gateways.keySet()) {
-            if (!names.contains(zone)) {
-                zones.fault("gateways", Rule.ZONES_PLACE, "'" + zone + "' is not one of " + names);
+        Map<String, Integer> gatewaysByZone = readCountsByZone(zonesTable.table("gateways"));
+        for (String zone : gatewaysByZone.keySet()) {
+            if (!zoneNames.contains(zone)) {
+                zonesTable.addFinding("gateways", Rule.ZONES_PLACE, "'" + zone + "' is not one of " + zoneNames);
             }
         }
-        Integer mostOut = zones.whole("most_out", 1, MOST_ZONES);
-        List<Integer> regions = regions(zones, names);
-        int places = (int) regions.stream().distinct().count();
-        if (mostOut != null && mostOut >= places) {
-            zones.fault("most_out", Rule.ZONES_MOST_OUT, mostOut + " of " + places);
+        Integer maxRegionsOut = zonesTable.integer("most_out", 1, MAX_ZONES);
+        List<Integer> regionByZone = readRegions(zonesTable, zoneNames);
+        int regionCount = (int) regionByZone.stream().distinct().count();
+        if (maxRegionsOut != null && maxRegionsOut >= regionCount) {
+            zonesTable.addFinding("most_out", Rule.ZONES_MOST_OUT, maxRegionsOut + " of " + regionCount);
         }
-        long hold = time(zones, "hold", USUAL_HOLD_NANOS);
-        long most = time(zones, "hold_max", Math.max(hold, USUAL_MOST_HOLD_NANOS));
-        if (hold > most) {
-            zones.fault("hold", Rule.ZONES_HOLD, millis(hold) + " is longer than hold_max, " + millis(most));
+        long holdNanos = durationOrDefault(zonesTable, "hold", DEFAULT_HOLD_NANOS);
+        long maxHoldNanos = durationOrDefault(zonesTable, "hold_max", Math.max(holdNanos, DEFAULT_MAX_HOLD_NANOS));
+        if (holdNanos > maxHoldNanos) {
+            zonesTable.addFinding("hold", Rule.ZONES_HOLD, formatNanos(holdNanos) + " is longer than hold_max, " + formatNanos(maxHoldNanos));
         }
-        return new PeersConfig(fleet, listen, members, number, secret, names,
-                names.stream().map(zone -> gateways.getOrDefault(zone, 0)).toList(),
-                regions, mostOut == null ? Math.max(1, (places - 1) / 2) : mostOut, hold, most);
+        return new PeersConfig(fleet, listenAddress, members, memberNumber, secretFile, zoneNames,
+                zoneNames.stream().map(zone -> gatewaysByZone.getOrDefault(zone, 0)).toList(),
+                regionByZone, maxRegionsOut == null ? Math.max(1, (regionCount - 1) / 2) : maxRegionsOut, holdNanos, maxHoldNanos);
     }
 
     /** Returns the number of each zone's region, from 0. Without configured regions each zone is a region of its own. */
-    private static List<Integer> regions(Table zones, List<String> names) {
-        Table table = zones.table("regions");
-        Map<String, Integer> of = new HashMap<>();
-        int number = 0;
-        for (String region : table == null ? Set.<String>of() : new TreeSet<>(table.keys())) {
-            List<String> members = table.texts(region);
-            for (String zone : members == null ? List.<String>of() : members) {
-                if (!names.contains(zone) || of.putIfAbsent(zone, number) != null) {
-                    table.fault(region, Rule.ZONES_REGIONS, "'" + zone + "' is not one of " + names + ", or is listed more than once");
+    private static List<Integer> readRegions(TomlTableReader zonesTable, List<String> zoneNames) {
+        TomlTableReader regionsTable = zonesTable.table("regions");
+        Map<String, Integer> regionByZone = new HashMap<>();
+        int regionNumber = 0;
+        for (String region : regionsTable == null ? Set.<String>of() : new TreeSet<>(regionsTable.keys())) {
+            List<String> regionZones = regionsTable.texts(region);
+            for (String zone : regionZones == null ? List.<String>of() : regionZones) {
+                if (!zoneNames.contains(zone) || regionByZone.putIfAbsent(zone, regionNumber) != null) {
+                    regionsTable.addFinding(region, Rule.ZONES_REGIONS, "'" + zone + "' is not one of " + zoneNames + ", or is listed more than once");
                 }
             }
-            number++;
+            regionNumber++;
         }
-        if (table != null && (number < 2 || of.size() < names.size())) {
-            zones.fault("regions", Rule.ZONES_REGIONS, number + " regions with " + of.size() + " of " + names.size() + " zones");
+        if (regionsTable != null && (regionNumber < 2 || regionByZone.size() < zoneNames.size())) {
+            zonesTable.addFinding("regions", Rule.ZONES_REGIONS, regionNumber + " regions with " + regionByZone.size() + " of " + zoneNames.size() + " zones");
         }
-        return IntStream.range(0, names.size()).mapToObj(i -> table == null ? i : of.getOrDefault(names.get(i), 0)).toList();
+        return IntStream.range(0, zoneNames.size()).mapToObj(i -> regionsTable == null ? i : regionByZone.getOrDefault(zoneNames.get(i), 0)).toList();
     }
 
-    private static long time(Table table, String key, long absent) {
-        Long time = table.duration(key);
-        if (time != null && time < LEAST_NANOS) {
-            table.fault(key, Rule.TIME_TOO_SHORT, "the duration is shorter than 1ms");
+    private static long durationOrDefault(TomlTableReader table, String key, long defaultNanos) {
+        Long nanos = table.duration(key);
+        if (nanos != null && nanos < MILLISECOND_NANOS) {
+            table.addFinding(key, Rule.TIME_TOO_SHORT, "the duration is shorter than 1ms");
         }
-        return time == null ? absent : time;
+        return nanos == null ? defaultNanos : nanos;
     }
 
-    private void ledger(Table ledger) {
-        if (ledger != null) {
-            ledger.only(List.of("log", "directory", "sync"));
-            String directory = ledger.text("directory");
+    private void readLedger(TomlTableReader ledgerTable) {
+        if (ledgerTable != null) {
+            ledgerTable.rejectUnknownKeys(List.of("log", "directory", "sync"));
+            String directory = ledgerTable.text("directory");
             if (directory != null && !Files.isDirectory(Path.of(directory))) {
-                ledger.fault("directory", Rule.NO_DIRECTORY, "'" + directory + "'");
+                ledgerTable.addFinding("directory", Rule.NO_DIRECTORY, "'" + directory + "'");
             }
-            if (ledger.has("sync") && !ledger.has("directory")) {
-                ledger.fault("sync", Rule.NO_DIRECTORY, "sync needs a directory");
+            if (ledgerTable.has("sync") && !ledgerTable.has("directory")) {
+                ledgerTable.addFinding("sync", Rule.NO_DIRECTORY, "sync needs a directory");
             }
-            ledgerConfig = new LedgerConfig(time(ledger, "log", 0), directory == null ? null : Path.of(directory),
-                    time(ledger, "sync", USUAL_SYNC_NANOS));
+            ledgerConfig = new LedgerConfig(durationOrDefault(ledgerTable, "log", 0), directory == null ? null : Path.of(directory),
+                    durationOrDefault(ledgerTable, "sync", DEFAULT_SYNC_INTERVAL_NANOS));
         }
     }
 
-    private ScalingConfig growth(Table root, Table gateway, Table subset) {
-        Integer loops = null;
+    private ScalingConfig readScaling(TomlTableReader root, TomlTableReader gatewayTable, TomlTableReader subsetTable) {
+        Integer loopCount = null;
         String listeners = null;
-        if (gateway != null) {
-            gateway.only(List.of("loops", "listeners"));
-            loops = gateway.whole("loops", 1, MOST_LOOPS);
-            listeners = gateway.text("listeners");
+        if (gatewayTable != null) {
+            gatewayTable.rejectUnknownKeys(List.of("loops", "listeners"));
+            loopCount = gatewayTable.integer("loops", 1, MAX_LOOPS);
+            listeners = gatewayTable.text("listeners");
             if (listeners != null && !listeners.equals("one") && !listeners.equals("each")) {
-                gateway.fault("listeners", Rule.LISTENERS_UNKNOWN, "'" + listeners + "'");
+                gatewayTable.addFinding("listeners", Rule.LISTENERS_UNKNOWN, "'" + listeners + "'");
             }
         }
-        int size = 0;
-        Map<String, Integer> gateways = Map.of(platform.zone(), platform.gateways());
-        int number = platform.number();
-        if (subset != null) {
-            subset.only(List.of("nodes", "gateways", "number"));
-            Integer nodes = subset.whole("nodes", 1, MOST_NODES);
-            if (!subset.has("nodes")) {
-                root.fault("subset", Rule.SUBSET_PLACE, "nodes is missing");
+        int subsetSize = 0;
+        Map<String, Integer> gatewaysByZone = Map.of(platform.zone(), platform.gatewayCount());
+        int numberInZone = platform.gatewayNumber();
+        if (subsetTable != null) {
+            subsetTable.rejectUnknownKeys(List.of("nodes", "gateways", "number"));
+            Integer nodes = subsetTable.integer("nodes", 1, MAX_FLEET_SIZE);
+            if (!subsetTable.has("nodes")) {
+                root.addFinding("subset", Rule.SUBSET_PLACE, "nodes is missing");
             }
-            size = nodes == null ? 0 : nodes;
-            if (subset.has("gateways") != subset.has("number")) {
-                subset.fault(subset.has("gateways") ? "gateways" : "number", Rule.SUBSET_PLACE,
+            subsetSize = nodes == null ? 0 : nodes;
+            if (subsetTable.has("gateways") != subsetTable.has("number")) {
+                subsetTable.addFinding(subsetTable.has("gateways") ? "gateways" : "number", Rule.SUBSET_PLACE,
                         "gateways by zone and the number of this gateway must be given together");
-            } else if (subset.has("gateways")) {
-                gateways = byZone(subset.table("gateways"));
-                Integer own = subset.whole("number", 0, MOST_NODES);
-                number = own == null ? 0 : own;
-                Integer here = gateways.get(platform.zone());
-                if (here == null || number >= here) {
-                    subset.fault("number", Rule.SUBSET_PLACE, "there is no gateway " + number + " of zone '"
-                            + platform.zone() + "' among " + gateways);
+            } else if (subsetTable.has("gateways")) {
+                gatewaysByZone = readCountsByZone(subsetTable.table("gateways"));
+                Integer configuredNumber = subsetTable.integer("number", 0, MAX_FLEET_SIZE);
+                numberInZone = configuredNumber == null ? 0 : configuredNumber;
+                Integer gatewaysInZone = gatewaysByZone.get(platform.zone());
+                if (gatewaysInZone == null || numberInZone >= gatewaysInZone) {
+                    subsetTable.addFinding("number", Rule.SUBSET_PLACE, "there is no gateway " + numberInZone + " of zone '"
+                            + platform.zone() + "' among " + gatewaysByZone);
                 }
             }
         }
-        return new ScalingConfig(loops == null ? 1 : loops, "each".equals(listeners), size, gateways, platform.zone(), number);
+        return new ScalingConfig(loopCount == null ? 1 : loopCount, "each".equals(listeners), subsetSize, gatewaysByZone, platform.zone(), numberInZone);
     }
 
-    private static Map<String, Integer> byZone(Table table) {
+    private static Map<String, Integer> readCountsByZone(TomlTableReader table) {
         Map<String, Integer> counts = new TreeMap<>();
         if (table != null) {
             for (String zone : table.keys()) {
-                Integer count = table.whole(zone, 1, MOST_NODES);
+                Integer count = table.integer(zone, 1, MAX_FLEET_SIZE);
                 counts.put(zone, count == null ? 1 : count);
             }
         }
         return counts;
     }
 
-    private void fault(Rule rule, String what) {
-        findings.add(new Finding(0, "", rule, what));
+    private void addFinding(Rule rule, String problem) {
+        findings.add(new Finding(0, "", rule, problem));
     }
 
-    private String text(Path file) {
+    private String readText(Path file) {
         try {
             if (!Files.isRegularFile(file)) {
-                fault(Rule.FILE_FORM, Files.exists(file) ? "not a regular file" : "the file does not exist");
+                addFinding(Rule.FILE_FORM, Files.exists(file) ? "not a regular file" : "the file does not exist");
                 return null;
             }
-            if (Files.size(file) > LARGEST) {
-                fault(Rule.FILE_FORM, "the file has " + Files.size(file) + " bytes");
+            if (Files.size(file) > MAX_FILE_BYTES) {
+                addFinding(Rule.FILE_FORM, "the file has " + Files.size(file) + " bytes");
                 return null;
             }
             String text = StandardCharsets.UTF_8.newDecoder().decode(ByteBuffer.wrap(Files.readAllBytes(file))).toString();
@@ -352,14 +352,14 @@
             text = !text.isEmpty() && text.charAt(0) == BYTE_ORDER_MARK ? text.substring(1) : text;
             if (text.isBlank()) {
                 // Rejects an empty file: one truncated to nothing would otherwise remove all settings.
-                fault(Rule.FILE_FORM, "the file is empty");
+                addFinding(Rule.FILE_FORM, "the file is empty");
                 return null;
             }
             return text;
         } catch (CharacterCodingException e) {
-            fault(Rule.FILE_FORM, "the file is not UTF-8");
+            addFinding(Rule.FILE_FORM, "the file is not UTF-8");
         } catch (IOException e) {
-            fault(Rule.FILE_FORM, "the file can't be read: " + e.getMessage());
+            addFinding(Rule.FILE_FORM, "the file can't be read: " + e.getMessage());
         }
         return null;
     }
@@ -371,55 +371,55 @@
                     error.getMessage().lines().findFirst().orElse("unreadable"))));
             return;
         }
-        Table root = new Table(toml, "", findings);
-        root.only(List.of("class", "route", "gateway", "subset", "ledger", "admin", "peers", "zones"));
-        admin(root, root.table("admin"));
-        ledger(root.table("ledger"));
-        scalingConfig = growth(root, root.table("gateway"), root.table("subset"));
-        fellows(root, root.table("peers"), root.table("zones"));
-        Map<String, Table> classes = new LinkedHashMap<>();
-        Table byName = root.table("class");
-        if (byName != null) {
-            for (String name : byName.keys()) {
-                if (platform.find(name) == null) {
-                    byName.fault(name, Rule.UNKNOWN_CLASS, "the deployment has the classes " + names());
+        TomlTableReader root = new TomlTableReader(toml, "", findings);
+        root.rejectUnknownKeys(List.of("class", "route", "gateway", "subset", "ledger", "admin", "peers", "zones"));
+        readAdmin(root, root.table("admin"));
+        readLedger(root.table("ledger"));
+        scalingConfig = readScaling(root, root.table("gateway"), root.table("subset"));
+        readPeers(root, root.table("peers"), root.table("zones"));
+        Map<String, TomlTableReader> classTables = new LinkedHashMap<>();
+        TomlTableReader classSection = root.table("class");
+        if (classSection != null) {
+            for (String name : classSection.keys()) {
+                if (platform.findClass(name) == null) {
+                    classSection.addFinding(name, Rule.UNKNOWN_CLASS, "the deployment has the classes " + classNames());
                 }
-                Table table = byName.table(name);
+                TomlTableReader table = classSection.table(name);
                 if (table != null) {
-                    table.only(TERMS);
-                    classes.put(name, table);
+                    table.rejectUnknownKeys(POLICY_KEYS);
+                    classTables.put(name, table);
                 }
             }
         }
-        List<Table> tables = root.tables("route");
-        if (tables.size() > MOST_ROUTES) {
-            root.fault("route", Rule.NUMBER_RANGE, tables.size() + " routes exceed the maximum of " + MOST_ROUTES);
+        List<TomlTableReader> routeTables = root.tables("route");
+        if (routeTables.size() > MAX_ROUTES) {
+            root.addFinding("route", Rule.NUMBER_RANGE, routeTables.size() + " routes exceed the maximum of " + MAX_ROUTES);
             return;
         }
-        tables.forEach(table -> route(table, classes));
-        for (RequestClass c : platform.classes()) {
-            Table own = classes.get(c.name());
-            resolve(c, null, null, own == null ? List.of() : List.of(own), own == null ? 0 : firstLine(own));
+        routeTables.forEach(table -> readRoute(table, classTables));
+        for (RequestClass requestClass : platform.classes()) {
+            TomlTableReader classTable = classTables.get(requestClass.name());
+            resolve(requestClass, null, null, classTable == null ? List.of() : List.of(classTable), classTable == null ? 0 : firstLine(classTable));
         }
-        compare();
+        checkOverlaps();
     }
 
-    private String names() {
+    private String classNames() {
         return String.join(", ", platform.classes().stream().map(RequestClass::name).toList());
     }
 
-    private static int firstLine(Table table) {
-        return table.keys().stream().mapToInt(table::line).filter(line -> line > 0).min().orElse(0);
+    private static int firstLine(TomlTableReader table) {
+        return table.keys().stream().mapToInt(table::lineOf).filter(line -> line > 0).min().orElse(0);
     }
 
-    private void route(Table table, Map<String, Table> classes) {
-        Set<String> known = new TreeSet<>(TERMS);
-        known.addAll(ROUTE);
-        table.only(known);
+    private void readRoute(TomlTableReader table, Map<String, TomlTableReader> classTables) {
+        Set<String> allowedKeys = new TreeSet<>(POLICY_KEYS);
+        allowedKeys.addAll(ROUTE_KEYS);
+        table.rejectUnknownKeys(allowedKeys);
         String method = table.text("method");
         String path = table.text("path");
-        String name = table.text("class");
-        for (String key : ROUTE) {
+        String className = table.text("class");
+        for (String key : ROUTE_KEYS) {
             if (!table.has(key)) {
                 findings.add(new Finding(firstLine(table), "route", Rule.ROUTE_INCOMPLETE, "the route lacks " + key));
             }
@@ -429,169 +429,169 @@
             try {
                 pattern = PathPattern.parse(path);
             } catch (IllegalArgumentException e) {
-                table.fault("path", Rule.PATH_FORM, "'" + path + "': " + e.getMessage());
+                table.addFinding("path", Rule.PATH_FORM, "'" + path + "': " + e.getMessage());
             }
         }
-        RequestClass c = name == null ? null : platform.find(name);
-        if (name != null && c == null) {
-            table.fault("class", Rule.UNKNOWN_CLASS, "'" + name + "'; the deployment has the classes " + names());
+        RequestClass requestClass = className == null ? null : platform.findClass(className);
+        if (className != null && requestClass == null) {
+            table.addFinding("class", Rule.UNKNOWN_CLASS, "'" + className + "'; the deployment has the classes " + classNames());
         }
-        boolean carried = method != null && (method.equals("GET") || method.equals("POST"));
-        if (method != null && !carried) {
-            table.fault("method", Rule.METHOD_UNKNOWN, "'" + method + "'");
+        boolean methodSupported = method != null && (method.equals("GET") || method.equals("POST"));
+        if (method != null && !methodSupported) {
+            table.addFinding("method", Rule.METHOD_UNKNOWN, "'" + method + "'");
         }
-        if (carried && c != null) {
-            boolean safe = c.effect() == Effect.SAFE;
+        if (methodSupported && requestClass != null) {
+            boolean safe = requestClass.effect() == Effect.SAFE;
             if (method.equals("GET") && !safe) {
-                table.fault("method", Rule.UNSAFE_ON_GET, "class " + name + " is " + word(c.effect()));
+                table.addFinding("method", Rule.UNSAFE_ON_GET, "class " + className + " is " + label(requestClass.effect()));
             } else if (method.equals("POST") && safe) {
-                table.fault("method", Rule.SAFE_ON_POST, "class " + name + " is safe");
+                table.addFinding("method", Rule.SAFE_ON_POST, "class " + className + " is safe");
             }
         }
-        if (c != null) {
-            Table own = classes.get(name);
-            resolve(c, method, pattern, own == null ? List.of(table) : List.of(table, own), firstLine(table));
+        if (requestClass != null) {
+            TomlTableReader classTable = classTables.get(className);
+            resolve(requestClass, method, pattern, classTable == null ? List.of(table) : List.of(table, classTable), firstLine(table));
         }
     }
 
-    private static String word(Enum<?> value) {
+    private static String label(Enum<?> value) {
         return value.name().toLowerCase(Locale.ROOT).replace('_', '-');
     }
 
     /** Returns the first table that has the key, or null. The route's own table comes before the one of its class. */
-    private static Table holder(List<Table> tables, String key) {
+    private static TomlTableReader findTableWith(List<TomlTableReader> tables, String key) {
         return tables.stream().filter(table -> table.has(key)).findFirst().orElse(null);
     }
 
-    private void resolve(RequestClass c, String method, PathPattern pattern, List<Table> tables, int line) {
+    private void resolve(RequestClass requestClass, String method, PathPattern pattern, List<TomlTableReader> tables, int line) {
         // Findings in a class's table are reported when the class itself is resolved, not again for its routes.
-        int before = findings.size();
-        Resolver resolver = new Resolver(c, tables);
-        RouteSettings terms = resolver.terms();
+        int findingsBefore = findings.size();
+        RouteResolver resolver = new RouteResolver(requestClass, tables);
+        RouteSettings terms = resolver.resolve();
         if (pattern == null && method != null) {
             return;
         }
         boolean inherited = tables.size() == 2;
         if (inherited) {
-            dropRepeated(before);
+            dropInheritedFindings(findingsBefore);
         }
-        routes.add(new Route(method, pattern, c.name(), terms));
-        sources.add(resolver.sources);
-        lines.add(line);
+        routes.add(new Route(method, pattern, requestClass.name(), terms));
+        sourcesByRoute.add(resolver.sourceByKey);
+        routeLines.add(line);
     }
 
     /** Removes the findings in a class's table that a route inherits; they are reported once, for the class itself. */
-    private void dropRepeated(int before) {
-        List<Finding> own = findings.subList(before, findings.size()).stream()
+    private void dropInheritedFindings(int findingsBefore) {
+        List<Finding> ownFindings = findings.subList(findingsBefore, findings.size()).stream()
                 .filter(finding -> !finding.key().startsWith("class.")).toList();
-        findings.subList(before, findings.size()).clear();
-        findings.addAll(own);
+        findings.subList(findingsBefore, findings.size()).clear();
+        findings.addAll(ownFindings);
     }
 
     /** Resolves the policy of one route from its own table, the table of its class and the defaults. */
-    private final class Resolver {
-        private final RequestClass c;
-        private final List<Table> tables;
-        private final Map<String, String> sources = new LinkedHashMap<>();
+    private final class RouteResolver {
+        private final RequestClass requestClass;
+        private final List<TomlTableReader> tables;
+        private final Map<String, String> sourceByKey = new LinkedHashMap<>();
 
-        Resolver(RequestClass c, List<Table> tables) {
-            this.c = c;
+        RouteResolver(RequestClass requestClass, List<TomlTableReader> tables) {
+            this.requestClass = requestClass;
             this.tables = tables;
         }
 
-        private Table holder(String key) {
-            Table holder = OperatorFile.holder(tables, key);
-            sources.put(key, holder == null ? "default" : (holder.isOfClass() ? "class, line " : "route, line ")
-                    + holder.line(key));
-            return holder;
+        private TomlTableReader resolveTable(String key) {
+            TomlTableReader table = OperatorFile.findTableWith(tables, key);
+            sourceByKey.put(key, table == null ? "default" : (table.isClassTable() ? "class, line " : "route, line ")
+                    + table.lineOf(key));
+            return table;
         }
 
         /** Adds a finding at the key that set the value; if the value is a default, at the first line of the route or class. */
-        private void fault(String key, Rule rule, String what) {
-            Table holder = OperatorFile.holder(tables, key);
-            if (holder != null) {
-                holder.fault(key, rule, what);
+        private void addFinding(String key, Rule rule, String problem) {
+            TomlTableReader table = OperatorFile.findTableWith(tables, key);
+            if (table != null) {
+                table.addFinding(key, rule, problem);
             } else {
-                findings.add(new Finding(tables.isEmpty() ? 0 : firstLine(tables.get(0)), "class " + c.name() + ", " + key,
-                        rule, what));
-            }
-        }
-
-        private long duration(String key, long absent, long least) {
-            Table holder = holder(key);
-            Long value = holder == null ? null : holder.duration(key);
-            if (value != null && value < least) {
-                fault(key, Rule.TIME_TOO_SHORT, "the duration is shorter than 1ms");
-            }
-            return value == null ? absent : value;
-        }
-
-        RouteSettings terms() {
-            long total = duration("total", c.deadlineNanos(), LEAST_NANOS);
-            if (total > c.deadlineNanos()) {
-                fault("total", Rule.LONGER_THAN_CLIENT, millis(total) + " is longer than the class's deadline of "
-                        + millis(c.deadlineNanos()));
-            }
-            int attempts = attempts();
-            long backoff = duration("backoff", 0, 0);
-            long mostBackoff = duration("backoff_max", backoff * 8, 0);
-            boolean ownTimeout = OperatorFile.holder(tables, "attempt_timeout") != null;
-            long attempt = duration("attempt_timeout", total, LEAST_NANOS);
-            if (attempt > total) {
-                fault("attempt_timeout", Rule.ATTEMPT_BEYOND_TOTAL, millis(attempt) + " is longer than the total time of " + millis(total));
-            }
-            Set<Outcome> retryOn = retryOn();
-            BudgetSettings retries = allowance("retry_budget", USUAL_RETRIES);
-            HedgeSettings copy = copy(attempt, total, attempts);
-            boolean timed = retryOn.contains(Outcome.TIMED_OUT);
-            long waits = waits(attempts, backoff, mostBackoff);
-            if (ownTimeout && attempt <= total && attempts * attempt + waits > total) {
-                fault("attempt_timeout", Rule.LONGER_THAN_TOTAL, attempts + " x " + millis(attempt) + " and "
-                        + millis(waits) + " of backoff are longer than the total time of " + millis(total));
-            } else if (!ownTimeout && timed && attempts > 1) {
-                fault("retry_on", Rule.LONGER_THAN_TOTAL, "after a timeout nothing is left of the total time; set "
+                findings.add(new Finding(tables.isEmpty() ? 0 : firstLine(tables.get(0)), "class " + requestClass.name() + ", " + key,
+                        rule, problem));
+            }
+        }
+
+        private long resolveDuration(String key, long defaultNanos, long minNanos) {
+            TomlTableReader table = resolveTable(key);
+            Long value = table == null ? null : table.duration(key);
+            if (value != null && value < minNanos) {
+                addFinding(key, Rule.TIME_TOO_SHORT, "the duration is shorter than 1ms");
+            }
+            return value == null ? defaultNanos : value;
+        }
+
+        RouteSettings resolve() {
+            long totalNanos = resolveDuration("total", requestClass.deadlineNanos(), MILLISECOND_NANOS);
+            if (totalNanos > requestClass.deadlineNanos()) {
+                addFinding("total", Rule.LONGER_THAN_CLIENT, formatNanos(totalNanos) + " is longer than the class's deadline of "
+                        + formatNanos(requestClass.deadlineNanos()));
+            }
+            int maxAttempts = resolveMaxAttempts();
+            long backoffNanos = resolveDuration("backoff", 0, 0);
+            long maxBackoffNanos = resolveDuration("backoff_max", backoffNanos * 8, 0);
+            boolean hasAttemptTimeout = OperatorFile.findTableWith(tables, "attempt_timeout") != null;
+            long attemptTimeoutNanos = resolveDuration("attempt_timeout", totalNanos, MILLISECOND_NANOS);
+            if (attemptTimeoutNanos > totalNanos) {
+                addFinding("attempt_timeout", Rule.ATTEMPT_BEYOND_TOTAL, formatNanos(attemptTimeoutNanos) + " is longer than the total time of " + formatNanos(totalNanos));
+            }
+            Set<Outcome> retryOn = resolveRetryOn();
+            BudgetSettings retryBudget = resolveBudget("retry_budget", DEFAULT_RETRY_BUDGET);
+            HedgeSettings hedge = resolveHedge(attemptTimeoutNanos, totalNanos, maxAttempts);
+            boolean retriesOnTimeout = retryOn.contains(Outcome.TIMED_OUT);
+            long totalBackoffNanos = sumBackoffs(maxAttempts, backoffNanos, maxBackoffNanos);
+            if (hasAttemptTimeout && attemptTimeoutNanos <= totalNanos && maxAttempts * attemptTimeoutNanos + totalBackoffNanos > totalNanos) {
+                addFinding("attempt_timeout", Rule.LONGER_THAN_TOTAL, maxAttempts + " x " + formatNanos(attemptTimeoutNanos) + " and "
+                        + formatNanos(totalBackoffNanos) + " of backoff are longer than the total time of " + formatNanos(totalNanos));
+            } else if (!hasAttemptTimeout && retriesOnTimeout && maxAttempts > 1) {
+                addFinding("retry_on", Rule.LONGER_THAN_TOTAL, "after a timeout nothing is left of the total time; set "
                         + "attempt_timeout");
-            } else if (!ownTimeout && waits >= total) {
-                fault("backoff", Rule.LONGER_THAN_TOTAL, millis(waits) + " of backoff leave nothing of the total time of "
-                        + millis(total));
+            } else if (!hasAttemptTimeout && totalBackoffNanos >= totalNanos) {
+                addFinding("backoff", Rule.LONGER_THAN_TOTAL, formatNanos(totalBackoffNanos) + " of backoff leave nothing of the total time of "
+                        + formatNanos(totalNanos));
             }
-            keyed(total, attempts, copy);
-            return new RouteSettings(total, Math.min(attempt, total), attempts, retryOn, backoff, mostBackoff, retries, copy,
-                    advice());
+            checkKeyed(totalNanos, maxAttempts, hedge);
+            return new RouteSettings(totalNanos, Math.min(attemptTimeoutNanos, totalNanos), maxAttempts, retryOn, backoffNanos, maxBackoffNanos, retryBudget, hedge,
+                    resolveRetryAfter());
         }
 
-        private int attempts() {
-            Table holder = holder("attempts");
-            Integer value = holder == null ? null : holder.whole("attempts", 1, 60);
-            if (value != null && value > platform.mostAttempts()) {
-                fault("attempts", Rule.TOO_MANY_ATTEMPTS, value + " attempts; the deployment allows "
-                        + platform.mostAttempts());
+        private int resolveMaxAttempts() {
+            TomlTableReader table = resolveTable("attempts");
+            Integer value = table == null ? null : table.integer("attempts", 1, 60);
+            if (value != null && value > platform.maxAttempts()) {
+                addFinding("attempts", Rule.TOO_MANY_ATTEMPTS, value + " attempts; the deployment allows "
+                        + platform.maxAttempts());
             }
-            return value == null ? Math.min(USUAL_ATTEMPTS, platform.mostAttempts()) : value;
+            return value == null ? Math.min(DEFAULT_MAX_ATTEMPTS, platform.maxAttempts()) : value;
         }
 
-        private long waits(int attempts, long backoff, long most) {
+        private long sumBackoffs(int maxAttempts, long backoffNanos, long maxBackoffNanos) {
             long sum = 0;
-            for (int retry = 1; retry < attempts; retry++) {
-                sum += Math.min(most, backoff << Math.min(20, retry - 1));
+            for (int retry = 1; retry < maxAttempts; retry++) {
+                sum += Math.min(maxBackoffNanos, backoffNanos << Math.min(20, retry - 1));
             }
             return sum;
         }
 
-        private Set<Outcome> retryOn() {
-            Table holder = holder("retry_on");
-            List<String> texts = holder == null ? null : holder.texts("retry_on");
-            boolean unsafe = c.effect() == Effect.UNSAFE;
+        private Set<Outcome> resolveRetryOn() {
+            TomlTableReader table = resolveTable("retry_on");
+            List<String> texts = table == null ? null : table.texts("retry_on");
+            boolean unsafe = requestClass.effect() == Effect.UNSAFE;
             if (texts == null) {
-                return unsafe ? NEVER_RAN : EnumSet.of(Outcome.CONNECT_FAILED, Outcome.FULL, Outcome.ERROR, Outcome.RESET);
+                return unsafe ? NEVER_RAN_OUTCOMES : EnumSet.of(Outcome.CONNECT_FAILED, Outcome.FULL, Outcome.ERROR, Outcome.RESET);
             }
             Set<Outcome> outcomes = EnumSet.noneOf(Outcome.class);
             for (String text : texts) {
-                Outcome outcome = ANY.stream().filter(o -> word(o).equals(text)).findFirst().orElse(null);
+                Outcome outcome = RETRYABLE_OUTCOMES.stream().filter(o -> label(o).equals(text)).findFirst().orElse(null);
                 if (outcome == null) {
-                    fault("retry_on", Rule.UNKNOWN_OUTCOME, "'" + text + "'");
+                    addFinding("retry_on", Rule.UNKNOWN_OUTCOME, "'" + text + "'");
                 } else if (unsafe && !outcome.provesItNeverRan()) {
-                    fault("retry_on", Rule.RETRY_MAY_RUN_TWICE, "after '" + text + "' a " + c.name()
+                    addFinding("retry_on", Rule.RETRY_MAY_RUN_TWICE, "after '" + text + "' a " + requestClass.name()
                             + " may have run, but must not run twice");
                 } else {
                     outcomes.add(outcome);
@@ -600,96 +600,96 @@
             return outcomes;
         }
 
-        private BudgetSettings allowance(String key, BudgetSettings absent) {
-            Table holder = holder(key);
-            Table budget = holder == null ? null : holder.table(key);
-            return budget == null ? absent : allowance(budget, absent);
+        private BudgetSettings resolveBudget(String key, BudgetSettings defaultBudget) {
+            TomlTableReader table = resolveTable(key);
+            TomlTableReader budgetTable = table == null ? null : table.table(key);
+            return budgetTable == null ? defaultBudget : resolveBudget(budgetTable, defaultBudget);
         }
 
-        private BudgetSettings allowance(Table budget, BudgetSettings absent) {
-            budget.only(List.of("share", "floor_per_s"));
-            Double share = budget.number("share", 0, 1, Rule.BUDGET_RANGE);
-            Double floor = budget.number("floor_per_s", 0, 1000, Rule.BUDGET_RANGE);
-            return new BudgetSettings(share == null ? absent.requestFraction() : share,
-                    floor == null ? absent.minPerSecond() : floor);
+        private BudgetSettings resolveBudget(TomlTableReader budgetTable, BudgetSettings defaultBudget) {
+            budgetTable.rejectUnknownKeys(List.of("share", "floor_per_s"));
+            Double share = budgetTable.number("share", 0, 1, Rule.BUDGET_RANGE);
+            Double floor = budgetTable.number("floor_per_s", 0, 1000, Rule.BUDGET_RANGE);
+            return new BudgetSettings(share == null ? defaultBudget.requestFraction() : share,
+                    floor == null ? defaultBudget.minPerSecond() : floor);
         }
 
-        private HedgeSettings copy(long attempt, long total, int attempts) {
-            Table holder = holder("second_copy");
-            Table copy = holder == null ? null : holder.table("second_copy");
-            if (copy == null) {
+        private HedgeSettings resolveHedge(long attemptTimeoutNanos, long totalNanos, int maxAttempts) {
+            TomlTableReader table = resolveTable("second_copy");
+            TomlTableReader hedgeTable = table == null ? null : table.table("second_copy");
+            if (hedgeTable == null) {
                 return null;
             }
-            copy.only(List.of("after", "at_percentile", "samples", "budget"));
-            if (c.effect() == Effect.UNSAFE) {
-                fault("second_copy", Rule.COPY_OF_UNSAFE, "class " + c.name() + " must not run twice");
-            } else if (!platform.copies()) {
-                fault("second_copy", Rule.COPY_NOT_ALLOWED, "the deployment allows one attempt at a time");
+            hedgeTable.rejectUnknownKeys(List.of("after", "at_percentile", "samples", "budget"));
+            if (requestClass.effect() == Effect.UNSAFE) {
+                addFinding("second_copy", Rule.COPY_OF_UNSAFE, "class " + requestClass.name() + " must not run twice");
+            } else if (!platform.hedgingAllowed()) {
+                addFinding("second_copy", Rule.COPY_NOT_ALLOWED, "the deployment allows one attempt at a time");
             }
-            if (copy.has("after") == copy.has("at_percentile")) {
-                fault("second_copy", Rule.COPY_TIME, copy.has("after") ? "both after and at_percentile are set" : "neither after nor at_percentile is set");
+            if (hedgeTable.has("after") == hedgeTable.has("at_percentile")) {
+                addFinding("second_copy", Rule.COPY_TIME, hedgeTable.has("after") ? "both after and at_percentile are set" : "neither after nor at_percentile is set");
             }
-            if (attempts < 2) {
-                fault("second_copy", Rule.COPY_ALONE, "attempts is 1");
+            if (maxAttempts < 2) {
+                addFinding("second_copy", Rule.COPY_ALONE, "attempts is 1");
             }
-            Long after = copy.duration("after");
-            if (after != null && after < LEAST_NANOS) {
-                copy.fault("after", Rule.TIME_TOO_SHORT, "the second copy would be sent at the same time as the first attempt");
+            Long afterNanos = hedgeTable.duration("after");
+            if (afterNanos != null && afterNanos < MILLISECOND_NANOS) {
+                hedgeTable.addFinding("after", Rule.TIME_TOO_SHORT, "the second copy would be sent at the same time as the first attempt");
             }
-            if (after != null && after >= Math.min(attempt, total)) {
-                copy.fault("after", Rule.COPY_TOO_LATE, millis(after) + ", but the first attempt times out after "
-                        + millis(Math.min(attempt, total)));
+            if (afterNanos != null && afterNanos >= Math.min(attemptTimeoutNanos, totalNanos)) {
+                hedgeTable.addFinding("after", Rule.COPY_TOO_LATE, formatNanos(afterNanos) + ", but the first attempt times out after "
+                        + formatNanos(Math.min(attemptTimeoutNanos, totalNanos)));
             }
-            Double percentile = copy.number("at_percentile", 1, 99.99, Rule.NUMBER_RANGE);
-            Integer samples = copy.whole("samples", 1, MOST_SAMPLES);
-            int held = samples == null ? USUAL_SAMPLES : samples;
-            if (percentile != null && held * (1 - percentile / 100) < BEYOND - 1e-9) {
-                copy.fault("at_percentile", Rule.PERCENTILE_UNKNOWABLE, "of " + held + " samples, fewer than " + BEYOND
+            Double percentile = hedgeTable.number("at_percentile", 1, 99.99, Rule.NUMBER_RANGE);
+            Integer samples = hedgeTable.integer("samples", 1, MAX_HEDGE_SAMPLES);
+            int sampleCount = samples == null ? DEFAULT_HEDGE_SAMPLES : samples;
+            if (percentile != null && sampleCount * (1 - percentile / 100) < MIN_SAMPLES_BEYOND_PERCENTILE - 1e-9) {
+                hedgeTable.addFinding("at_percentile", Rule.PERCENTILE_UNKNOWABLE, "of " + sampleCount + " samples, fewer than " + MIN_SAMPLES_BEYOND_PERCENTILE
                         + " lie beyond " + percentile);
             }
-            Table budget = copy.table("budget");
-            return new HedgeSettings(after == null ? 0 : after, percentile == null ? 0 : percentile, held,
-                    budget == null ? USUAL_COPIES : allowance(budget, USUAL_COPIES));
+            TomlTableReader budgetTable = hedgeTable.table("budget");
+            return new HedgeSettings(afterNanos == null ? 0 : afterNanos, percentile == null ? 0 : percentile, sampleCount,
+                    budgetTable == null ? DEFAULT_HEDGE_BUDGET : resolveBudget(budgetTable, DEFAULT_HEDGE_BUDGET));
         }
 
-        private void keyed(long total, int attempts, HedgeSettings copy) {
-            Table holder = holder("resend_within");
-            String within = holder == null ? null : holder.text("resend_within");
-            if (within != null) {
-                DedupGroup group = switch (within) {
+        private void checkKeyed(long totalNanos, int maxAttempts, HedgeSettings hedge) {
+            TomlTableReader table = resolveTable("resend_within");
+            String groupName = table == null ? null : table.text("resend_within");
+            if (groupName != null) {
+                DedupGroup group = switch (groupName) {
                     case "all" -> DedupGroup.ALL;
                     case "zone" -> DedupGroup.ZONE;
                     case "cell" -> DedupGroup.CELL;
                     default -> null;
                 };
                 if (group == null) {
-                    fault("resend_within", Rule.WRONG_TYPE, "'" + within + "' is neither all, zone nor cell");
-                } else if (c.effect() == Effect.KEYED && group.compareTo(c.dedupGroup()) < 0) {
-                    fault("resend_within", Rule.KEYED_OUTSIDE_GROUP, "a repeat is dropped only if it stays within one "
-                            + word(c.dedupGroup()) + ", the class's dedup group");
+                    addFinding("resend_within", Rule.WRONG_TYPE, "'" + groupName + "' is neither all, zone nor cell");
+                } else if (requestClass.effect() == Effect.KEYED && group.compareTo(requestClass.dedupGroup()) < 0) {
+                    addFinding("resend_within", Rule.KEYED_OUTSIDE_GROUP, "a repeat is dropped only if it stays within one "
+                            + label(requestClass.dedupGroup()) + ", the class's dedup group");
                 }
             }
             // A class that the file does not mention is not checked: there the decision module itself keeps to the dedup window.
-            boolean resends = !tables.isEmpty() && (attempts > 1 || copy != null);
-            if (c.effect() == Effect.KEYED && resends && total > c.dedupWindowNanos()) {
-                fault("total", Rule.KEYED_PAST_WINDOW, millis(total) + " is longer than the time for which repeats are dropped, "
-                        + millis(c.dedupWindowNanos()));
+            boolean mayResend = !tables.isEmpty() && (maxAttempts > 1 || hedge != null);
+            if (requestClass.effect() == Effect.KEYED && mayResend && totalNanos > requestClass.dedupWindowNanos()) {
+                addFinding("total", Rule.KEYED_PAST_WINDOW, formatNanos(totalNanos) + " is longer than the time for which repeats are dropped, "
+                        + formatNanos(requestClass.dedupWindowNanos()));
             }
         }
 
-        private long advice() {
-            long advice = duration("retry_after", 0, 0);
-            if (advice > platform.mostAdviceNanos()) {
-                fault("retry_after", Rule.ADVICE_NOT_ALLOWED, platform.mostAdviceNanos() == 0
+        private long resolveRetryAfter() {
+            long retryAfterNanos = resolveDuration("retry_after", 0, 0);
+            if (retryAfterNanos > platform.maxRetryAfterNanos()) {
+                addFinding("retry_after", Rule.ADVICE_NOT_ALLOWED, platform.maxRetryAfterNanos() == 0
                         ? "the deployment allows no Retry-After"
-                        : "clients honor at most " + millis(platform.mostAdviceNanos()) + " of Retry-After");
+                        : "clients honor at most " + formatNanos(platform.maxRetryAfterNanos()) + " of Retry-After");
             }
-            return advice;
+            return retryAfterNanos;
         }
     }
 
     /** Adds a finding for each pair of routes that match the same requests. */
-    private void compare() {
+    private void checkOverlaps() {
         for (int i = 0; i < routes.size(); i++) {
             for (int j = 0; j < i; j++) {
                 Route a = routes.get(j);
@@ -700,64 +700,64 @@
                 PathPattern p = a.pattern();
                 PathPattern q = b.pattern();
                 if (p.segments().equals(q.segments())) {
-                    findings.add(new Finding(lines.get(i), "route", Rule.ROUTE_SHADOWED, b + " is never used: " + a
-                            + " in line " + lines.get(j) + " matches the same requests"));
+                    findings.add(new Finding(routeLines.get(i), "route", Rule.ROUTE_SHADOWED, b + " is never used: " + a
+                            + " in line " + routeLines.get(j) + " matches the same requests"));
                 } else if (p.overlaps(q) && !p.isMoreSpecificThan(q) && !q.isMoreSpecificThan(p)) {
-                    findings.add(new Finding(lines.get(i), "route", Rule.ROUTES_OVERLAP, b + " and " + a + " in line "
-                            + lines.get(j) + " match the same requests"));
+                    findings.add(new Finding(routeLines.get(i), "route", Rule.ROUTES_OVERLAP, b + " and " + a + " in line "
+                            + routeLines.get(j) + " match the same requests"));
                 }
             }
         }
     }
 
-    private static String millis(long nanos) {
-        return nanos % LEAST_NANOS == 0 ? nanos / LEAST_NANOS + "ms" : nanos / 1000 + "us";
+    private static String formatNanos(long nanos) {
+        return nanos % MILLISECOND_NANOS == 0 ? nanos / MILLISECOND_NANOS + "ms" : nanos / 1000 + "us";
     }
 
     /** Returns a text with the settings and the policy of each route, and the source of each value: default or a line. */
     public String explain() {
-        List<String> text = new ArrayList<>(scalingConfig.explained());
+        List<String> output = new ArrayList<>(scalingConfig.describe());
         if (ledgerConfig != null) {
-            text.add("ledger of requests and attempts"
-                    + (ledgerConfig.logIntervalNanos() == 0 ? "" : ", logged every " + millis(ledgerConfig.logIntervalNanos()))
+            output.add("ledger of requests and attempts"
+                    + (ledgerConfig.logIntervalNanos() == 0 ? "" : ", logged every " + formatNanos(ledgerConfig.logIntervalNanos()))
                     + (ledgerConfig.directory() == null ? "" : ", with a journal in " + ledgerConfig.directory() + ", synced within "
-                    + millis(ledgerConfig.syncIntervalNanos())));
+                    + formatNanos(ledgerConfig.syncIntervalNanos())));
         }
         if (peersConfig != null) {
-            text.add("exchanges datagrams with " + (peersConfig.members().isEmpty() ? "the peers in the deployment's settings" : (peersConfig.members().size() - 1) + " others")
+            output.add("exchanges datagrams with " + (peersConfig.members().isEmpty() ? "the peers in the deployment's settings" : (peersConfig.members().size() - 1) + " others")
                     + (peersConfig.secretFile() == null ? ", without a secret" : "") + "; evacuates up to " + peersConfig.maxRegionsOut() + " of zones "
-                    + String.join(", ", peersConfig.zones()) + ", for " + millis(peersConfig.holdNanos()) + " to "
-                    + millis(peersConfig.maxHoldNanos()));
+                    + String.join(", ", peersConfig.zones()) + ", for " + formatNanos(peersConfig.holdNanos()) + " to "
+                    + formatNanos(peersConfig.maxHoldNanos()));
         }
         if (adminAddress != null) {
-            text.add("metrics are served at " + adminAddress);
+            output.add("metrics are served at " + adminAddress);
         }
         for (int i = 0; i < routes.size(); i++) {
             Route route = routes.get(i);
             RouteSettings terms = route.settings();
-            Map<String, String> from = sources.get(i);
-            text.add(route + (route.pattern() == null ? "" : "  (class " + route.requestClass() + ")"));
-            row(text, "total", millis(terms.totalTimeoutNanos()), from);
-            row(text, "attempt_timeout", millis(terms.attemptTimeoutNanos()), from);
-            row(text, "attempts", String.valueOf(terms.maxAttempts()), from);
-            row(text, "retry_on", String.join(", ", terms.retryOn().stream().sorted().map(OperatorFile::word).toList()),
-                    from);
-            row(text, "backoff", millis(terms.baseBackoffNanos()) + ", up to " + millis(terms.maxBackoffNanos()), from);
-            row(text, "retry_budget", allowance(terms.retryBudget()), from);
-            HedgeSettings copy = terms.hedge();
-            row(text, "second_copy", copy == null ? "none" : (copy.percentile() > 0 ? "at percentile "
-                    + copy.percentile() + " of " + copy.sampleCount() : "after " + millis(copy.delayNanos())) + ", "
-                    + allowance(copy.budget()), from);
-            row(text, "retry_after", terms.retryAfterNanos() == 0 ? "none" : millis(terms.retryAfterNanos()), from);
-        }
-        return String.join("\n", text);
-    }
-
-    private static String allowance(BudgetSettings allowance) {
-        return allowance.requestFraction() + " of the requests and " + allowance.minPerSecond() + " a second";
-    }
-
-    private static void row(List<String> text, String key, String value, Map<String, String> from) {
-        text.add(String.format(Locale.ROOT, "  %-16s %-60s %s", key, value, from.get(key)));
+            Map<String, String> sourceByKey = sourcesByRoute.get(i);
+            output.add(route + (route.pattern() == null ? "" : "  (class " + route.requestClass() + ")"));
+            appendRow(output, "total", formatNanos(terms.totalTimeoutNanos()), sourceByKey);
+            appendRow(output, "attempt_timeout", formatNanos(terms.attemptTimeoutNanos()), sourceByKey);
+            appendRow(output, "attempts", String.valueOf(terms.maxAttempts()), sourceByKey);
+            appendRow(output, "retry_on", String.join(", ", terms.retryOn().stream().sorted().map(OperatorFile::label).toList()),
+                    sourceByKey);
+            appendRow(output, "backoff", formatNanos(terms.baseBackoffNanos()) + ", up to " + formatNanos(terms.maxBackoffNanos()), sourceByKey);
+            appendRow(output, "retry_budget", formatBudget(terms.retryBudget()), sourceByKey);
+            HedgeSettings hedge = terms.hedge();
+            appendRow(output, "second_copy", hedge == null ? "none" : (hedge.percentile() > 0 ? "at percentile "
+                    + hedge.percentile() + " of " + hedge.sampleCount() : "after " + formatNanos(hedge.delayNanos())) + ", "
+                    + formatBudget(hedge.budget()), sourceByKey);
+            appendRow(output, "retry_after", terms.retryAfterNanos() == 0 ? "none" : formatNanos(terms.retryAfterNanos()), sourceByKey);
+        }
+        return String.join("\n", output);
+    }
+
+    private static String formatBudget(BudgetSettings budget) {
+        return budget.requestFraction() + " of the requests and " + budget.minPerSecond() + " a second";
+    }
+
+    private static void appendRow(List<String> output, String key, String value, Map<String, String> sourceByKey) {
+        output.add(String.format(Locale.ROOT, "  %-16s %-60s %s", key, value, sourceByKey.get(key)));
     }
 }
--- a/src/main/java/cinderhollow/operator/Rule.java
+++ b/src/main/java/cinderhollow/operator/Rule.java
@@ -101,7 +101,7 @@
     }
 
     /** Returns the rule's name in messages and in the operators' documentation: lower case with hyphens. */
-    public String word() {
+    public String label() {
         return name().toLowerCase(Locale.ROOT).replace('_', '-');
     }
 }
--- a/src/main/java/cinderhollow/operator/ScalingConfig.java
+++ b/src/main/java/cinderhollow/operator/ScalingConfig.java
@@ -21,15 +21,15 @@
     }
 
     /** Returns one line for each setting that differs from its default. */
-    List<String> explained() {
-        List<String> text = new ArrayList<>();
+    List<String> describe() {
+        List<String> lines = new ArrayList<>();
         if (loopCount > 1) {
-            text.add(loopCount + " event loops, " + (listenerPerLoop ? "each with a listener of its own" : "one listener"));
+            lines.add(loopCount + " event loops, " + (listenerPerLoop ? "each with a listener of its own" : "one listener"));
         }
         if (subsetSize > 0) {
-            text.add("uses a subset of about " + subsetSize + " nodes, as gateway " + numberInZone + " of zone '" + zone + "' among "
+            lines.add("uses a subset of about " + subsetSize + " nodes, as gateway " + numberInZone + " of zone '" + zone + "' among "
                     + gatewaysByZone);
         }
-        return text;
+        return lines;
     }
 }
--- a/src/main/java/cinderhollow/operator/Table.java
+++ b/src/main/java/cinderhollow/operator/TomlTableReader.java
@@ -14,23 +14,23 @@
  * Reads the values of one TOML table of the operator's file. A missing key gives null; a value that can't be used adds a
  * {@link Finding} with the key's line and also gives null.
  */
-final class Table {
-    private static final Pattern DURATION = Pattern.compile("([0-9]{1,9}(?:\\.[0-9]{1,6})?)(us|ms|s|m|h)");
-    private static final double LONGEST_NANOS = 3_600e9;
+final class TomlTableReader {
+    private static final Pattern DURATION_PATTERN = Pattern.compile("([0-9]{1,9}(?:\\.[0-9]{1,6})?)(us|ms|s|m|h)");
+    private static final double MAX_DURATION_NANOS = 3_600e9;
 
     private final TomlTable toml;
-    private final String name;
+    private final String path;
     private final List<Finding> findings;
 
-    Table(TomlTable toml, String name, List<Finding> findings) {
+    TomlTableReader(TomlTable toml, String path, List<Finding> findings) {
         this.toml = toml;
-        this.name = name;
+        this.path = path;
         this.findings = findings;
     }
 
     /** Returns whether this is the table of a request class, {@code [class.NAME]}. */
-    boolean isOfClass() {
-        return name.startsWith("class.");
+    boolean isClassTable() {
+        return path.startsWith("class.");
     }
 
     Set<String> keys() {
@@ -42,50 +42,50 @@
     }
 
     /** Returns the line of the key in the file, or 0 if the key is missing or its position is unknown. */
-    int line(String key) {
-        TomlPosition at = has(key) ? toml.inputPositionOf(List.of(key)) : null;
-        return at == null ? 0 : at.line();
+    int lineOf(String key) {
+        TomlPosition position = has(key) ? toml.inputPositionOf(List.of(key)) : null;
+        return position == null ? 0 : position.line();
     }
 
     /** Adds a finding about the key, with the key's line. */
-    void fault(String key, Rule rule, String what) {
-        findings.add(new Finding(line(key), name.isEmpty() ? key : name + "." + key, rule, what));
+    void addFinding(String key, Rule rule, String problem) {
+        findings.add(new Finding(lineOf(key), path.isEmpty() ? key : path + "." + key, rule, problem));
     }
 
     /** Adds a finding for each key that is not allowed here; it names the allowed key with the smallest edit distance. */
-    void only(Collection<String> known) {
+    void rejectUnknownKeys(Collection<String> allowedKeys) {
         for (String key : keys()) {
-            if (!known.contains(key)) {
-                String nearest = known.stream().min((a, b) -> Integer.compare(distance(key, a), distance(key, b)))
+            if (!allowedKeys.contains(key)) {
+                String nearest = allowedKeys.stream().min((a, b) -> Integer.compare(editDistance(key, a), editDistance(key, b)))
                         .orElse("");
-                fault(key, Rule.UNKNOWN_KEY, "unknown key; the most similar one is '" + nearest + "'");
+                addFinding(key, Rule.UNKNOWN_KEY, "unknown key; the most similar one is '" + nearest + "'");
             }
         }
     }
 
     /** Returns the Levenshtein distance: how many letters to insert, delete or replace to turn one text into the other. */
-    static int distance(String a, String b) {
+    static int editDistance(String a, String b) {
         int[] row = new int[b.length() + 1];
         for (int j = 0; j <= b.length(); j++) {
             row[j] = j;
         }
         for (int i = 1; i <= a.length(); i++) {
-            int corner = row[0];
+            int diagonal = row[0];
             row[0] = i;
             for (int j = 1; j <= b.length(); j++) {
                 int above = row[j];
-                int changed = corner + (a.charAt(i - 1) == b.charAt(j - 1) ? 0 : 1);
-                row[j] = Math.min(changed, 1 + Math.min(above, row[j - 1]));
-                corner = above;
+                int substitutionCost = diagonal + (a.charAt(i - 1) == b.charAt(j - 1) ? 0 : 1);
+                row[j] = Math.min(substitutionCost, 1 + Math.min(above, row[j - 1]));
+                diagonal = above;
             }
         }
         return row[b.length()];
     }
 
-    private <T> T value(String key, Class<T> type, String kind) {
+    private <T> T value(String key, Class<T> type, String expected) {
         Object value = has(key) ? toml.get(List.of(key)) : null;
         if (value != null && !type.isInstance(value)) {
-            fault(key, Rule.WRONG_TYPE, "expected " + kind);
+            addFinding(key, Rule.WRONG_TYPE, "expected " + expected);
             return null;
         }
         return type.cast(value);
@@ -95,20 +95,20 @@
         return value(key, String.class, "a string");
     }
 
-    Table table(String key) {
+    TomlTableReader table(String key) {
         TomlTable value = value(key, TomlTable.class, "a table");
-        return value == null ? null : new Table(value, name.isEmpty() ? key : name + "." + key, findings);
+        return value == null ? null : new TomlTableReader(value, path.isEmpty() ? key : path + "." + key, findings);
     }
 
     /** Returns the tables of an array of tables; in findings they are named {@code key[1]}, {@code key[2]} and so on. */
-    List<Table> tables(String key) {
+    List<TomlTableReader> tables(String key) {
         TomlArray array = value(key, TomlArray.class, "an array of tables, as [[" + key + "]]");
-        List<Table> tables = new ArrayList<>();
+        List<TomlTableReader> tables = new ArrayList<>();
         for (int i = 0; array != null && i < array.size(); i++) {
             if (array.get(i) instanceof TomlTable table) {
-                tables.add(new Table(table, key + "[" + (i + 1) + "]", findings));
+                tables.add(new TomlTableReader(table, key + "[" + (i + 1) + "]", findings));
             } else {
-                fault(key, Rule.WRONG_TYPE, "expected an array of tables, as [[" + key + "]]");
+                addFinding(key, Rule.WRONG_TYPE, "expected an array of tables, as [[" + key + "]]");
             }
         }
         return tables;
@@ -125,7 +125,7 @@
             if (array.get(i) instanceof String text) {
                 texts.add(text);
             } else {
-                fault(key, Rule.WRONG_TYPE, "expected an array of strings");
+                addFinding(key, Rule.WRONG_TYPE, "expected an array of strings");
             }
         }
         return texts;
@@ -137,9 +137,9 @@
         if (value == null) {
             return null;
         }
-        Matcher matcher = value instanceof String text ? DURATION.matcher(text) : null;
+        Matcher matcher = value instanceof String text ? DURATION_PATTERN.matcher(text) : null;
         if (matcher == null || !matcher.matches()) {
-            fault(key, Rule.DURATION_FORM, "'" + value + "' is not a duration with a unit");
+            addFinding(key, Rule.DURATION_FORM, "'" + value + "' is not a duration with a unit");
             return null;
         }
         double nanos = Double.parseDouble(matcher.group(1)) * switch (matcher.group(2)) {
@@ -149,18 +149,18 @@
             case "m" -> 60e9;
             default -> 3_600e9;
         };
-        if (nanos > LONGEST_NANOS) {
-            fault(key, Rule.DURATION_FORM, "'" + value + "' is longer than the maximum of 1h");
+        if (nanos > MAX_DURATION_NANOS) {
+            addFinding(key, Rule.DURATION_FORM, "'" + value + "' is longer than the maximum of 1h");
             return null;
         }
         return Math.round(nanos);
     }
 
     /** Returns an integer, or null if it is missing, no integer or outside the range, both ends included. */
-    Integer whole(String key, int least, int most) {
+    Integer integer(String key, int min, int max) {
         Long value = value(key, Long.class, "an integer");
-        if (value != null && (value < least || value > most)) {
-            fault(key, Rule.NUMBER_RANGE, value + " is not in the range from " + least + " to " + most);
+        if (value != null && (value < min || value > max)) {
+            addFinding(key, Rule.NUMBER_RANGE, value + " is not in the range from " + min + " to " + max);
             return null;
         }
         return value == null ? null : value.intValue();
@@ -170,18 +170,18 @@
      * Returns a number with or without a fraction, or null. A number outside the range is a finding under the given rule; NaN
      * and infinity are outside every range.
      */
-    Double number(String key, double least, double most, Rule rule) {
+    Double number(String key, double min, double max, Rule rule) {
         Object value = has(key) ? toml.get(List.of(key)) : null;
         if (value == null) {
             return null;
         }
         if (!(value instanceof Long) && !(value instanceof Double)) {
-            fault(key, Rule.WRONG_TYPE, "expected a number");
+            addFinding(key, Rule.WRONG_TYPE, "expected a number");
             return null;
         }
         double number = ((Number) value).doubleValue();
-        if (!(number >= least && number <= most)) {
-            fault(key, rule, value + " is not in the range from " + least + " to " + most);
+        if (!(number >= min && number <= max)) {
+            addFinding(key, rule, value + " is not in the range from " + min + " to " + max);
             return null;
         }
         return number;
--- a/src/main/java/cinderhollow/sim/Wire.java
+++ b/src/main/java/cinderhollow/sim/Wire.java
@@ -20,18 +20,18 @@
  */
 public final class Wire {
     private static final HexFormat HEX = HexFormat.of();
-    private static final int SLOTS = 16;
+    private static final int SLOT_COUNT = 16;
 
     /** Thrown for input that violates the line protocol; the message has the line number and the problem. */
     public static final class MalformedInput extends RuntimeException {
         private static final long serialVersionUID = 1L;
 
-        MalformedInput(long line, String what) {
-            super("line " + line + ": " + what);
+        MalformedInput(long line, String problem) {
+            super("line " + line + ": " + problem);
         }
     }
 
-    private final LineReader in;
+    private final LineReader lineReader;
     private final OutputStream out;
     private final StringBuilder reply = new StringBuilder(1 << 16);
     private final Map<Integer, Gateway> gateways = new HashMap<>();
@@ -40,9 +40,9 @@
 
     /** Creates a wire that reads batches from {@code in} and writes the answers to {@code out}. */
     public Wire(InputStream in, OutputStream out) {
-        this.in = new LineReader(in);
+        this.lineReader = new LineReader(in);
         this.out = out;
-        for (int i = 0; i < SLOTS; i++) {
+        for (int i = 0; i < SLOT_COUNT; i++) {
             slots.add(null);
         }
     }
@@ -54,20 +54,20 @@
                 continue;
             }
             expectTag("BATCH");
-            answer(fields.number("time_ns"), fields.number("turn"));
+            answerBatch(fields.number("time_ns"), fields.number("turn"));
         }
     }
 
-    private void answer(long now, long turn) throws IOException {
+    private void answerBatch(long now, long turn) throws IOException {
         reply.setLength(0);
         while (true) {
             if (!readFields()) {
-                throw new MalformedInput(in.lines, "the input ends within a batch");
+                throw new MalformedInput(lineReader.lineNumber, "the input ends within a batch");
             }
             if (fields.tag.equals("EOB")) {
                 break;
             }
-            take(now);
+            handleMessage(now);
         }
         reply.append("NEXT\tturn=").append(turn).append('\n');
         out.write(reply.toString().getBytes(StandardCharsets.UTF_8));
@@ -75,101 +75,101 @@
     }
 
     private boolean readFields() throws IOException {
-        String line = in.next();
+        String line = lineReader.readLine();
         if (line == null) {
             return false;
         }
-        fields.parse(line, in.lines);
+        fields.parse(line, lineReader.lineNumber);
         return true;
     }
 
     private void expectTag(String tag) {
         if (!fields.tag.equals(tag)) {
-            throw new MalformedInput(in.lines, "expected " + tag + ", found '" + fields.tag + "'");
+            throw new MalformedInput(lineReader.lineNumber, "expected " + tag + ", found '" + fields.tag + "'");
         }
     }
 
-    private void take(long now) throws IOException {
+    private void handleMessage(long now) throws IOException {
         switch (fields.tag) {
             case "POOL" -> readPool();
-            case "BEGIN" -> begin();
+            case "BEGIN" -> beginGateway();
             case "RETIRE" -> {
-                gateway();
+                requireGateway();
                 gateways.remove(fields.integer("gateway"));
             }
             case "FLEET", "ASK", "EXPIRED", "STREAMING", "PING_RESULT", "WHISPER", "DONE", "REMINDER" -> {
-                Gateway gateway = gateway();
-                gateway.take(now, event(gateway));
+                Gateway gateway = requireGateway();
+                gateway.handleEvent(now, readEvent(gateway));
             }
-            default -> throw new MalformedInput(in.lines, "unknown message '" + fields.tag + "'");
+            default -> throw new MalformedInput(lineReader.lineNumber, "unknown message '" + fields.tag + "'");
         }
     }
 
-    private Gateway gateway() {
+    private Gateway requireGateway() {
         Gateway gateway = gateways.get(fields.integer("gateway"));
         if (gateway == null) {
-            throw new MalformedInput(in.lines, fields.tag + " for unknown gateway " + fields.text("gateway"));
+            throw new MalformedInput(lineReader.lineNumber, fields.tag + " for unknown gateway " + fields.text("gateway"));
         }
         return gateway;
     }
 
-    private void begin() {
+    private void beginGateway() {
         int number = fields.integer("gateway");
         long seed = fields.number("prng");
-        gateways.put(number, new Gateway(number, settings(), seed, reportColumns(), reply));
+        gateways.put(number, new Gateway(number, readSettings(), seed, readReportColumns(), reply));
     }
 
-    private Settings settings() {
+    private Settings readSettings() {
         try {
-            return new SettingsReader(fields.all()).read();
+            return new SettingsReader(fields.toMap()).read();
         } catch (IllegalArgumentException e) {
-            throw new MalformedInput(in.lines, e.getMessage());
+            throw new MalformedInput(lineReader.lineNumber, e.getMessage());
         }
     }
 
-    private ReportColumn[] reportColumns() {
+    private ReportColumn[] readReportColumns() {
         String[] names = fields.text("report.columns", "").split(",");
         ReportColumn[] columns = new ReportColumn[names.length];
         for (int i = 0; i < names.length; i++) {
-            columns[i] = ReportColumn.named(names[i]);
+            columns[i] = ReportColumn.fromWireName(names[i]);
         }
         return columns;
     }
 
-    private Event event(Gateway gateway) {
+    private Event readEvent(Gateway gateway) {
         return switch (fields.tag) {
-            case "FLEET" -> listReceived();
-            case "ASK" -> new RequestArrived(fields.text("rid"), fields.text("band"), tenant(),
+            case "FLEET" -> readListReceived();
+            case "ASK" -> new RequestArrived(fields.text("rid"), fields.text("band"), readTenant(),
                     fields.optional("item"), fields.number("expires_in_ns"),
                     fields.number("weight_hint_ns", 0), fields.number("is_retry", 0) == 1);
             case "EXPIRED" -> new ClientLeft(fields.text("rid"));
             case "STREAMING" -> new StreamStarted(fields.text("rid"), fields.integer("send_no"),
                     fields.text("host"));
-            case "PING_RESULT" -> new ProbeEnded(fields.text("host"), outcome(), fields.number("delay_seen_ns"),
-                    load(gateway));
-            case "WHISPER" -> new PeerMessageReceived(fields.integer("neighbour"), body());
+            case "PING_RESULT" -> new ProbeEnded(fields.text("host"), readOutcome(), fields.number("delay_seen_ns"),
+                    readLoadReport(gateway));
+            case "WHISPER" -> new PeerMessageReceived(fields.integer("neighbour"), readBody());
             case "DONE" -> new AttemptEnded(fields.text("rid"), fields.integer("send_no"),
-                    fields.text("host"), outcome(), fields.number("delay_seen_ns"),
-                    fields.number("over", 0) == 1, load(gateway));
+                    fields.text("host"), readOutcome(), fields.number("delay_seen_ns"),
+                    fields.number("over", 0) == 1, readLoadReport(gateway));
             default -> new TimerFired(fields.number("nonce"));
         };
     }
 
-    private String tenant() {
+    private String readTenant() {
         String tenant = fields.optional("realm");
         return "0".equals(tenant) ? null : tenant;
     }
 
-    private byte[] body() {
+    private byte[] readBody() {
         String hex = fields.text("body");
         try {
             return hex.equals("-") ? new byte[0] : HEX.parseHex(hex);
         } catch (IllegalArgumentException e) {
-            throw new MalformedInput(in.lines, "body is not hex: '" + hex + "'");
+            throw new MalformedInput(lineReader.lineNumber, "body is not hex: '" + hex + "'");
         }
     }
 
-    private Outcome outcome() {
+    private Outcome readOutcome() {
         String code = fields.text("outcome");
         return switch (code) {
             case "pass" -> Outcome.SERVED;
@@ -180,11 +180,11 @@
             case "cut" -> Outcome.RESET;
             case "undone" -> Outcome.CANCELLED;
             case "stale_send" -> Outcome.NOT_SENT;
-            default -> throw new MalformedInput(in.lines, "unknown outcome '" + code + "'");
+            default -> throw new MalformedInput(lineReader.lineNumber, "unknown outcome '" + code + "'");
         };
     }
 
-    private LoadReport load(Gateway gateway) {
+    private LoadReport readLoadReport(Gateway gateway) {
         String row = fields.optional("load");
         if (row == null || row.isEmpty()) {
             return null;
@@ -194,67 +194,67 @@
         String[] parts = row.split(",", -1);
         for (int i = 0; i < parts.length && i < gateway.reportColumns.length; i++) {
             if (gateway.reportColumns[i] != null) {
-                values[gateway.reportColumns[i].ordinal()] = decimal(parts[i], "load", in.lines);
+                values[gateway.reportColumns[i].ordinal()] = parseDouble(parts[i], "load", lineReader.lineNumber);
             }
         }
         return new LoadReport(values[0], values[1], values[2], values[3], values[4], values[5]);
     }
 
-    private Event listReceived() {
+    private Event readListReceived() {
         int scope = fields.integer("scope");
         ListKind kind = switch (scope) {
             case 0 -> ListKind.FAILED;
             case 1 -> ListKind.WHOLE;
             case 2 -> ListKind.CHANGES;
             case 3 -> ListKind.CACHED;
-            default -> throw new MalformedInput(in.lines, "unknown scope " + scope);
+            default -> throw new MalformedInput(lineReader.lineNumber, "unknown scope " + scope);
         };
         if (kind == ListKind.FAILED) {
             return new ListReceived(kind, List.of());
         }
-        List<ServerInfo> servers = slots.get(slot());
+        List<ServerInfo> servers = slots.get(readSlot());
         if (servers == null) {
-            throw new MalformedInput(in.lines, "FLEET names slot " + fields.text("slot") + ", never filled");
+            throw new MalformedInput(lineReader.lineNumber, "FLEET names slot " + fields.text("slot") + ", never filled");
         }
         return new ListReceived(kind, servers);
     }
 
-    private int slot() {
+    private int readSlot() {
         int slot = fields.integer("slot");
-        if (slot < 0 || slot >= SLOTS) {
-            throw new MalformedInput(in.lines, "slot " + slot + " is not in 0 to " + (SLOTS - 1));
+        if (slot < 0 || slot >= SLOT_COUNT) {
+            throw new MalformedInput(lineReader.lineNumber, "slot " + slot + " is not in 0 to " + (SLOT_COUNT - 1));
         }
         return slot;
     }
 
     private void readPool() throws IOException {
-        int slot = slot();
+        int slot = readSlot();
         long rows = fields.number("rows_in");
         List<ServerInfo> servers = new ArrayList<>();
         for (long i = 0; i < rows; i++) {
             if (!readFields()) {
-                throw new MalformedInput(in.lines, "the input ends within a POOL");
+                throw new MalformedInput(lineReader.lineNumber, "the input ends within a POOL");
             }
             expectTag("ITEM");
             servers.add(new ServerInfo(fields.text("host"), fields.text("dc"),
                     fields.text("kind", ""), fields.integer("group", 0),
-                    readiness(), decimal(fields.text("capacity_hint", "1"), "capacity_hint", in.lines),
+                    readReadiness(), parseDouble(fields.text("capacity_hint", "1"), "capacity_hint", lineReader.lineNumber),
                     fields.number("online_since_ns", 0)));
         }
         slots.set(slot, List.copyOf(servers));
     }
 
-    private Readiness readiness() {
+    private Readiness readReadiness() {
         int status = fields.integer("status");
         return switch (status) {
             case 0 -> Readiness.GONE;
             case 1 -> Readiness.READY;
             case 2 -> Readiness.DRAINING;
-            default -> throw new MalformedInput(in.lines, "unknown status " + status);
+            default -> throw new MalformedInput(lineReader.lineNumber, "unknown status " + status);
         };
     }
 
-    private static double decimal(String value, String name, long line) {
+    private static double parseDouble(String value, String name, long line) {
         try {
             return Double.parseDouble(value);
         } catch (NumberFormatException e) {
@@ -262,7 +262,7 @@
         }
     }
 
-    private static long whole(String value, String name, long line) {
+    private static long parseLong(String value, String name, long line) {
         try {
             return Long.parseLong(value);
         } catch (NumberFormatException e) {
@@ -274,7 +274,7 @@
     private enum ReportColumn {
         TPS, LOAD_SHARE, ERR_PS, CONCURRENT, DEPTH, MEAN_MS;
 
-        static ReportColumn named(String wireName) {
+        static ReportColumn fromWireName(String wireName) {
             for (ReportColumn column : values()) {
                 if (column.name().equalsIgnoreCase(wireName)) {
                     return column;
@@ -299,7 +299,7 @@
             this.choice = new LoadBalancer(settings, seed, this);
         }
 
-        void take(long now, Event event) {
+        void handleEvent(long now, Event event) {
             if (failed) {
                 return;
             }
@@ -307,11 +307,11 @@
                 choice.handle(now, event);
             } catch (RuntimeException e) {
                 failed = true;
-                line("GIVE_IN").append("\tmessage=").append(oneLine(e.toString())).append('\n');
+                startLine("GIVE_IN").append("\tmessage=").append(oneLine(e.toString())).append('\n');
             }
         }
 
-        private StringBuilder line(String tag) {
+        private StringBuilder startLine(String tag) {
             return reply.append(tag).append(prefix);
         }
 
@@ -321,57 +321,57 @@
 
         @Override
         public void send(String request, String server, long timeoutNanos) {
-            line("FORWARD").append("\trid=").append(request).append("\thost=").append(server)
+            startLine("FORWARD").append("\trid=").append(request).append("\thost=").append(server)
                     .append("\ttry_for_ns=").append(timeoutNanos).append('\n');
         }
 
         @Override
-        public void refuse(String request, long pauseNanos) {
-            line("DENY").append("\trid=").append(request).append("\tpause_ns=").append(pauseNanos)
+        public void refuse(String request, long retryAfterNanos) {
+            startLine("DENY").append("\trid=").append(request).append("\tpause_ns=").append(retryAfterNanos)
                     .append('\n');
         }
 
         @Override
         public void fail(String request) {
-            line("GIVE_UP").append("\trid=").append(request).append('\n');
+            startLine("GIVE_UP").append("\trid=").append(request).append('\n');
         }
 
         @Override
         public void cancel(String request, int attempt) {
-            line("UNDO_SEND").append("\trid=").append(request).append("\tsend_no=").append(attempt)
+            startLine("UNDO_SEND").append("\trid=").append(request).append("\tsend_no=").append(attempt)
                     .append('\n');
         }
 
         @Override
         public void probe(String server) {
-            line("INSPECT").append("\thost=").append(server).append('\n');
+            startLine("INSPECT").append("\thost=").append(server).append('\n');
         }
 
         @Override
         public void broadcast(byte[] body) {
-            line("WRITE_PEER").append("\tpeer=all\tbody=")
+            startLine("WRITE_PEER").append("\tpeer=all\tbody=")
                     .append(body.length == 0 ? "-" : HEX.formatHex(body)).append('\n');
         }
 
         @Override
         public void setTimer(long delayNanos, long token) {
-            line("REMIND").append("\toffset_ns=").append(delayNanos).append("\tnonce=").append(token)
+            startLine("REMIND").append("\toffset_ns=").append(delayNanos).append("\tnonce=").append(token)
                     .append('\n');
         }
 
         @Override
         public void subscribe() {
-            line("SUBSCRIBE").append("\tactive=1\n");
+            startLine("SUBSCRIBE").append("\tactive=1\n");
         }
 
         @Override
         public void fetchList() {
-            line("RESOLVE").append('\n');
+            startLine("RESOLVE").append('\n');
         }
 
         @Override
         public void log(String text) {
-            line("WRITE_LOG").append("\tmessage=").append(oneLine(text)).append('\n');
+            startLine("WRITE_LOG").append("\tmessage=").append(oneLine(text)).append('\n');
         }
     }
 
@@ -408,7 +408,7 @@
             values[count++] = text.substring(equals + 1, end);
         }
 
-        Map<String, String> all() {
+        Map<String, String> toMap() {
             Map<String, String> map = new HashMap<>();
             for (int i = 0; i < count; i++) {
                 map.put(names[i], values[i]);
@@ -433,29 +433,29 @@
             return value;
         }
 
-        String text(String name, String absent) {
+        String text(String name, String defaultValue) {
             String value = optional(name);
-            return value == null ? absent : value;
+            return value == null ? defaultValue : value;
         }
 
         long number(String name) {
-            return whole(text(name), name, line);
+            return parseLong(text(name), name, line);
         }
 
-        long number(String name, long absent) {
+        long number(String name, long defaultValue) {
             String value = optional(name);
-            return value == null ? absent : whole(value, name, line);
+            return value == null ? defaultValue : parseLong(value, name, line);
         }
 
         int integer(String name) {
-            return narrow(number(name), name);
+            return toInt(number(name), name);
         }
 
-        int integer(String name, int absent) {
-            return narrow(number(name, absent), name);
+        int integer(String name, int defaultValue) {
+            return toInt(number(name, defaultValue), name);
         }
 
-        private int narrow(long value, String name) {
+        private int toInt(long value, String name) {
             if (value < Integer.MIN_VALUE || value > Integer.MAX_VALUE) {
                 throw new MalformedInput(line, name + " is out of range: " + value);
             }
@@ -469,13 +469,13 @@
         private byte[] buffer = new byte[1 << 16];
         private int start;
         private int end;
-        private long lines;
+        private long lineNumber;
 
         LineReader(InputStream in) {
             this.in = in;
         }
 
-        String next() throws IOException {
+        String readLine() throws IOException {
             int length = 0;
             while (true) {
                 while (start + length < end && buffer[start + length] != '\n') {
@@ -488,7 +488,7 @@
             if (start == end) {
                 return null;
             }
-            lines++;
+            lineNumber++;
             String line = new String(buffer, start, length, StandardCharsets.UTF_8);
             start = Math.min(start + length + 1, end);
             return line;
--- a/src/test/java/cinderhollow/cli/SignalsTest.java
+++ b/src/test/java/cinderhollow/cli/SignalsTest.java
@@ -25,7 +25,7 @@
 
 /** Sends signals to a gateway process that has a request in flight. */
 class SignalsTest {
-    private static final int PATIENCE_MILLIS = 60_000, ENDED_BY_TERM = 143, PART = 100_000;
+    private static final int TIMEOUT_MILLIS = 60_000, SIGTERM_EXIT_CODE = 143, PARTIAL_BODY_BYTES = 100_000;
     private static final String CONFIG = """
             {"seed":"1","limits":{"sockets":1024},"known":{"index":1,"snapshot":true,"endpoints":[{"name":"s","address":"HOST",
             "zone":"a","type":"t","group":0,"status":"up","weight":1.0,"since_ms":0}]},"discovery":"127.0.0.1:1",
@@ -34,8 +34,8 @@
             "deadline_ns":60000000000}],"allowed":{"max_attempts":3,"dial_timeout_ns":2000000000,"conn_idle_ns":15000000000},
             "obligations":{"drain_grace_ns":1000000000}}}""";
 
-    private static Socket patient(Socket socket) throws Exception {
-        socket.setSoTimeout(PATIENCE_MILLIS);
+    private static Socket withTimeout(Socket socket) throws Exception {
+        socket.setSoTimeout(TIMEOUT_MILLIS);
         return socket;
     }
 
@@ -44,9 +44,9 @@
     }
 
     private static boolean isReady(int port, String status) {
-        try (Socket asks = patient(new Socket(Loopback.own(), port))) {
-            asks.getOutputStream().write("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
-            String line = firstLine(asks);
+        try (Socket socket = withTimeout(new Socket(Loopback.own(), port))) {
+            socket.getOutputStream().write("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
+            String line = firstLine(socket);
             return line != null && line.contains(status);
         } catch (Exception e) {
             return false;
@@ -55,29 +55,29 @@
 
     /** A second SIGTERM and a SIGHUP during a shutdown must neither cut off the request in flight nor change the exit code. */
     @Test
-    void aSecondWordToEndAndANewConfigurationTakeNothingFromTheFirst(@TempDir Path folder) throws Exception {
+    void aSecondSigtermAndASighupDoNotDisturbTheShutdown(@TempDir Path folder) throws Exception {
         int port = Loopback.freePort();
-        Path out = folder.resolve("out.log");
-        try (ServerSocket host = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
-            host.setSoTimeout(PATIENCE_MILLIS);
-            Process process = start(folder, port, host, out);
-            try (Socket client = patient(connected(process, port, out))) {
+        Path logFile = folder.resolve("out.log");
+        try (ServerSocket upstreamListener = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
+            upstreamListener.setSoTimeout(TIMEOUT_MILLIS);
+            Process process = start(folder, port, upstreamListener, logFile);
+            try (Socket client = withTimeout(connectWhenReady(process, port, logFile))) {
                 client.getOutputStream().write(("POST /order HTTP/1.1\r\nHost: x\r\nX-Request-ID: r\r\nX-Timeout: 60000m\r\n"
                         + "Content-Length: 1\r\n\r\nx").getBytes(StandardCharsets.US_ASCII));
-                try (Socket asked = patient(host.accept())) {
-                    assertNotNull(firstLine(asked));
+                try (Socket upstreamSocket = withTimeout(upstreamListener.accept())) {
+                    assertNotNull(firstLine(upstreamSocket));
                     process.destroy();
                     Await.until("start of the shutdown", () -> !isReady(port, " 200 "));
                     process.destroy();
                     assertEquals(0, new ProcessBuilder("kill", "-HUP", String.valueOf(process.pid())).start().waitFor());
-                    asked.getOutputStream().write("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok".getBytes(StandardCharsets.US_ASCII));
+                    upstreamSocket.getOutputStream().write("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok".getBytes(StandardCharsets.US_ASCII));
                     String answer = firstLine(client);
                     // On a machine so slow that the shutdown's time limit has passed, the gateway itself answers 502.
-                    assertTrue(answer != null && (answer.contains(" 200 ") || answer.contains(" 502 ")), answer + Files.readString(out));
+                    assertTrue(answer != null && (answer.contains(" 200 ") || answer.contains(" 502 ")), answer + Files.readString(logFile));
                 }
-                assertTrue(process.waitFor(PATIENCE_MILLIS, TimeUnit.MILLISECONDS));
-                assertEquals(ENDED_BY_TERM, process.exitValue());
-                assertEquals(List.of(), Files.readAllLines(out).stream().filter(l -> l.contains("requests open")).toList());
+                assertTrue(process.waitFor(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS));
+                assertEquals(SIGTERM_EXIT_CODE, process.exitValue());
+                assertEquals(List.of(), Files.readAllLines(logFile).stream().filter(l -> l.contains("requests open")).toList());
             } finally {
                 process.destroyForcibly();
             }
@@ -86,19 +86,19 @@
 
     /** HTTP/1.0 clients take the close of the connection as the end of the answer, so a killed process must cause a reset. */
     @Test
-    void aPartOfAnAnswerDoesNotPassForTheWholeWhenTheProcessIsKilled(@TempDir Path folder) throws Exception {
+    void aKillResetsAConnectionWhoseAnswerIsIncomplete(@TempDir Path folder) throws Exception {
         int port = Loopback.freePort();
-        Path out = folder.resolve("out.log");
-        try (ServerSocket host = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
-            host.setSoTimeout(PATIENCE_MILLIS);
-            Process process = start(folder, port, host, out);
-            try (Socket client = patient(connected(process, port, out))) {
+        Path logFile = folder.resolve("out.log");
+        try (ServerSocket upstreamListener = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
+            upstreamListener.setSoTimeout(TIMEOUT_MILLIS);
+            Process process = start(folder, port, upstreamListener, logFile);
+            try (Socket client = withTimeout(connectWhenReady(process, port, logFile))) {
                 client.getOutputStream().write(("POST /order HTTP/1.0\r\nHost: x\r\nX-Request-ID: r\r\nX-Timeout: 60000m\r\n"
                         + "Content-Length: 1\r\n\r\nx").getBytes(StandardCharsets.US_ASCII));
-                try (Socket asked = patient(host.accept())) {
-                    assertNotNull(firstLine(asked));
-                    asked.getOutputStream().write(("HTTP/1.1 200 OK\r\n\r\n" + "y".repeat(PART)).getBytes(StandardCharsets.US_ASCII));
-                    assertEquals(PART, client.getInputStream().readNBytes(PART).length);
+                try (Socket upstreamSocket = withTimeout(upstreamListener.accept())) {
+                    assertNotNull(firstLine(upstreamSocket));
+                    upstreamSocket.getOutputStream().write(("HTTP/1.1 200 OK\r\n\r\n" + "y".repeat(PARTIAL_BODY_BYTES)).getBytes(StandardCharsets.US_ASCII));
+                    assertEquals(PARTIAL_BODY_BYTES, client.getInputStream().readNBytes(PARTIAL_BODY_BYTES).length);
                     process.destroyForcibly();
                     assertThrows(SocketException.class, () -> client.getInputStream().readAllBytes());
                 }
@@ -108,19 +108,19 @@
         }
     }
 
-    private static Process start(Path folder, int port, ServerSocket host, Path out) throws IOException {
-        Path config = Files.writeString(folder.resolve("config.json"), CONFIG.replace("HOST", "127.0.0.1:" + host.getLocalPort()));
+    private static Process start(Path folder, int port, ServerSocket upstreamListener, Path logFile) throws IOException {
+        Path configFile = Files.writeString(folder.resolve("config.json"), CONFIG.replace("HOST", "127.0.0.1:" + upstreamListener.getLocalPort()));
         ProcessBuilder builder = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-cp",
                 System.getProperty("java.class.path"), "cinderhollow.cli.Main", "serve").redirectErrorStream(true)
-                .redirectOutput(out.toFile());
+                .redirectOutput(logFile.toFile());
         builder.environment().putAll(Map.of("LB_LISTEN", Loopback.own().getHostAddress() + ":" + port, "LB_DISCOVERY",
-                "127.0.0.1:1", "LB_CONFIG", config.toString()));
+                "127.0.0.1:1", "LB_CONFIG", configFile.toString()));
         return builder.start();
     }
 
-    private static Socket connected(Process process, int port, Path out) throws Exception {
+    private static Socket connectWhenReady(Process process, int port, Path logFile) throws Exception {
         Await.until("ready", () -> {
-            assertTrue(process.isAlive(), Files.readString(out));
+            assertTrue(process.isAlive(), Files.readString(logFile));
             return isReady(port, " 200 ");
         });
         return new Socket(Loopback.own(), port);
--- a/src/test/java/cinderhollow/cli/StartTest.java
+++ b/src/test/java/cinderhollow/cli/StartTest.java
@@ -27,42 +27,42 @@
             "obligations":{"drain_grace_ns":1000000000}}}""";
 
     /** Runs {@code serve} until it is ready, ends it, and returns its output. */
-    private static String serve(Path folder, List<String> before, List<String> options) throws Exception {
-        Path config = Files.writeString(folder.resolve("config.json"), CONFIG);
-        Path out = folder.resolve("out.log");
+    private static String runServe(Path folder, List<String> commandPrefix, List<String> javaOptions) throws Exception {
+        Path configFile = Files.writeString(folder.resolve("config.json"), CONFIG);
+        Path logFile = folder.resolve("out.log");
         int port = Loopback.freePort();
         String address = Loopback.own().getHostAddress() + ":" + port;
-        List<String> command = new ArrayList<>(before);
+        List<String> command = new ArrayList<>(commandPrefix);
         command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
-        command.addAll(options);
+        command.addAll(javaOptions);
         command.addAll(List.of("-cp", System.getProperty("java.class.path"), "cinderhollow.cli.Main", "serve"));
-        ProcessBuilder builder = new ProcessBuilder(command).redirectErrorStream(true).redirectOutput(out.toFile());
+        ProcessBuilder builder = new ProcessBuilder(command).redirectErrorStream(true).redirectOutput(logFile.toFile());
         builder.environment().putAll(Map.of("LB_LISTEN", address, "LB_DISCOVERY", "127.0.0.1:1",
-                "LB_CONFIG", config.toString()));
+                "LB_CONFIG", configFile.toString()));
         Process process = builder.start();
         try {
             Await.until("ready", () -> {
-                assertTrue(process.isAlive(), Files.readString(out));
-                return ready(address);
+                assertTrue(process.isAlive(), Files.readString(logFile));
+                return isReady(address);
             });
         } finally {
             process.destroy();
             assertTrue(process.waitFor(60, TimeUnit.SECONDS));
         }
-        return Files.readString(out);
+        return Files.readString(logFile);
     }
 
     @Test
-    void aStartThatIgnoresHangUpSaysThatReloadsHaveNoEffect(@TempDir Path folder) throws Exception {
-        List<String> ignoring = List.of("sh", "-c", "trap '' HUP; exec \"$@\"", "sh");
-        assertTrue(serve(folder, ignoring, List.of()).contains("SIGHUP is ignored"));
-        assertFalse(serve(folder, List.of(), List.of()).contains("SIGHUP"));
+    void aStartWithIgnoredSighupLogsThatReloadsHaveNoEffect(@TempDir Path folder) throws Exception {
+        List<String> ignoringSighup = List.of("sh", "-c", "trap '' HUP; exec \"$@\"", "sh");
+        assertTrue(runServe(folder, ignoringSighup, List.of()).contains("SIGHUP is ignored"));
+        assertFalse(runServe(folder, List.of(), List.of()).contains("SIGHUP"));
     }
 
     @Test
     void serveLoadsNoClassOfTheLabOrOfTheCommandLine(@TempDir Path folder) throws Exception {
         Path classes = folder.resolve("classes.log");
-        serve(folder, List.of(), List.of("-Xlog:class+load:file=" + classes));
+        runServe(folder, List.of(), List.of("-Xlog:class+load:file=" + classes));
         List<String> lines = Files.readAllLines(classes);
         assertTrue(lines.stream().anyMatch(line -> line.contains("cinderhollow.daemon.Gateway ")));
         assertEquals(List.of(), lines.stream().filter(line -> line.contains("picocli.")
@@ -81,11 +81,11 @@
                 || line.contains("cinderhollow.routes.") && !line.contains("cinderhollow.routes.Paths ")).toList());
     }
 
-    private static boolean ready(String address) {
+    private static boolean isReady(String address) {
         try {
-            HttpURLConnection ask = (HttpURLConnection) URI.create("http://" + address + "/ready").toURL()
+            HttpURLConnection connection = (HttpURLConnection) URI.create("http://" + address + "/ready").toURL()
                     .openConnection();
-            return ask.getResponseCode() == HttpURLConnection.HTTP_OK;
+            return connection.getResponseCode() == HttpURLConnection.HTTP_OK;
         } catch (IOException e) {
             return false;
         }
--- a/src/test/java/cinderhollow/cli/UpgradeTest.java
+++ b/src/test/java/cinderhollow/cli/UpgradeTest.java
@@ -33,7 +33,7 @@
  * descriptor 0, so the parent is a short Perl script that holds the listener and starts the commands that it reads.
  */
 class UpgradeTest {
-    private static final String PARENT = """
+    private static final String PARENT_SCRIPT = """
             use IO::Socket::INET; $| = 1;
             my $listener = IO::Socket::INET->new(Listen => 128, LocalAddr => '127.0.0.1', LocalPort => 0) or die;
             print $listener->sockport, "\\n";
@@ -55,31 +55,31 @@
             "resolution_ns":1000000,"grades":[{"name":"status","semantics":"safe","aim_ns":1000000000,
             "deadline_ns":3000000000}],"allowed":{"max_attempts":3,"dial_timeout_ns":2000000000,"conn_idle_ns":15000000000},
             "obligations":{"drain_grace_ns":1000000000}}}""";
-    private static final int PATIENCE_MILLIS = 60_000;
+    private static final int TIMEOUT_MILLIS = 60_000;
 
     @TempDir
     private Path folder;
-    private Path shared;
+    private Path sharedDirectory;
     private Process parent;
     private OutputStream toParent;
     private BufferedReader fromParent;
-    private ServerSocket host;
+    private ServerSocket upstreamListener;
     private int port;
-    private int started;
+    private int startedCount;
     private final List<Long> pids = new ArrayList<>();
 
-    private record Started(long pid, int ops, Path log) { }
+    private record StartedProcess(long pid, int opsPort, Path logFile) { }
 
     @BeforeEach
-    void holdListener() throws Exception {
+    void startParentAndServer() throws Exception {
         // The path must be short: a Unix socket's path can't have more than about a hundred characters.
-        shared = Files.createTempDirectory("up");
-        host = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
-        thread(this::serveHost);
-        Path config = Files.writeString(folder.resolve("config.json"), CONFIG.replace("HOST", "127.0.0.1:" + host.getLocalPort()));
-        ProcessBuilder builder = new ProcessBuilder("perl", "-e", PARENT).redirectError(ProcessBuilder.Redirect.INHERIT);
+        sharedDirectory = Files.createTempDirectory("up");
+        upstreamListener = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
+        startDaemonThread(this::serveUpstream);
+        Path configFile = Files.writeString(folder.resolve("config.json"), CONFIG.replace("HOST", "127.0.0.1:" + upstreamListener.getLocalPort()));
+        ProcessBuilder builder = new ProcessBuilder("perl", "-e", PARENT_SCRIPT).redirectError(ProcessBuilder.Redirect.INHERIT);
         builder.environment().putAll(Map.of("LB_LISTEN", "127.0.0.1:1", "LB_DISCOVERY", "127.0.0.1:1", "LB_CONFIG",
-                config.toString(), "LB_INHERITED_FD", "0", "TMPDIR", shared.toString()));
+                configFile.toString(), "LB_INHERITED_FD", "0", "TMPDIR", sharedDirectory.toString()));
         parent = builder.start();
         toParent = parent.getOutputStream();
         fromParent = new BufferedReader(new InputStreamReader(parent.getInputStream(), StandardCharsets.UTF_8));
@@ -87,35 +87,35 @@
     }
 
     @AfterEach
-    void end() throws Exception {
+    void stopAll() throws Exception {
         for (long pid : pids) {
             ProcessHandle.of(pid).ifPresent(ProcessHandle::destroyForcibly);
         }
         parent.destroy();
-        host.close();
+        upstreamListener.close();
         // The directory also has the files that a killed process has left.
-        try (var files = Files.walk(shared)) {
+        try (var files = Files.walk(sharedDirectory)) {
             for (Path file : files.sorted(Comparator.reverseOrder()).toList()) {
                 Files.delete(file);
             }
         }
     }
 
-    private static void thread(Runnable work) {
+    private static void startDaemonThread(Runnable work) {
         Thread thread = new Thread(work);
         thread.setDaemon(true);
         thread.start();
     }
 
     /** Answers each request with its id as the body. */
-    private void serveHost() {
-        while (!host.isClosed()) {
+    private void serveUpstream() {
+        while (!upstreamListener.isClosed()) {
             try {
-                Socket socket = host.accept();
-                thread(() -> {
+                Socket socket = upstreamListener.accept();
+                startDaemonThread(() -> {
                     try (socket) {
                         InputStream in = socket.getInputStream();
-                        for (String head = head(in); head != null; head = head(in)) {
+                        for (String head = readHead(in); head != null; head = readHead(in)) {
                             String id = head.replaceFirst("(?is).*x-request-id: ([^\r]*)\r.*", "$1");
                             write(socket, "HTTP/1.1 200 OK\r\nContent-Length: " + id.length() + "\r\n\r\n" + id);
                         }
@@ -134,7 +134,7 @@
     }
 
     /** Reads up to and including the empty line after a head; returns null at the end of the stream. */
-    private static String head(InputStream in) throws IOException {
+    private static String readHead(InputStream in) throws IOException {
         StringBuilder head = new StringBuilder();
         while (head.indexOf("\r\n\r\n") < 0) {
             int c = in.read();
@@ -146,57 +146,57 @@
         return head.toString();
     }
 
-    private Started start(String... command) throws IOException {
-        Path log = folder.resolve("log-" + started++);
-        int ops = Loopback.freePort();
-        List<String> words = new ArrayList<>(List.of(log.toString(), Loopback.own().getHostAddress() + ":" + ops));
-        words.addAll(List.of(command));
-        toParent.write((String.join("\t", words) + "\n").getBytes(StandardCharsets.UTF_8));
+    private StartedProcess start(String... command) throws IOException {
+        Path logFile = folder.resolve("log-" + startedCount++);
+        int opsPort = Loopback.freePort();
+        List<String> fields = new ArrayList<>(List.of(logFile.toString(), Loopback.own().getHostAddress() + ":" + opsPort));
+        fields.addAll(List.of(command));
+        toParent.write((String.join("\t", fields) + "\n").getBytes(StandardCharsets.UTF_8));
         toParent.flush();
         long pid = Long.parseLong(fromParent.readLine());
         pids.add(pid);
-        return new Started(pid, ops, log);
+        return new StartedProcess(pid, opsPort, logFile);
     }
 
-    private Started startGateway() throws IOException {
+    private StartedProcess startGateway() throws IOException {
         return start(Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-Xmx64m",
                 "-XX:TieredStopAtLevel=1", "-cp", System.getProperty("java.class.path"), "cinderhollow.cli.Main", "serve");
     }
 
-    private static String call(Started process, String call) throws IOException {
-        try (Socket socket = new Socket(Loopback.own(), process.ops)) {
-            socket.setSoTimeout(PATIENCE_MILLIS);
-            write(socket, call + "\n");
+    private static String sendOpsCommand(StartedProcess process, String command) throws IOException {
+        try (Socket socket = new Socket(Loopback.own(), process.opsPort)) {
+            socket.setSoTimeout(TIMEOUT_MILLIS);
+            write(socket, command + "\n");
             return new String(socket.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
         }
     }
 
     /** Returns the output of the process so far; empty while the parent has not yet opened the file. */
-    private static String said(Started process) throws IOException {
-        return Files.exists(process.log) ? Files.readString(process.log) : "";
+    private static String readLog(StartedProcess process) throws IOException {
+        return Files.exists(process.logFile) ? Files.readString(process.logFile) : "";
     }
 
-    private static void awaitYes(Started process) throws Exception {
+    private static void awaitServing(StartedProcess process) throws Exception {
         Await.until("gateway serves", () -> {
-            assertTrue(ProcessHandle.of(process.pid).isPresent() && !isOver(process), said(process));
+            assertTrue(ProcessHandle.of(process.pid).isPresent() && !hasExited(process), readLog(process));
             try {
-                return call(process, "status").startsWith("200");
+                return sendOpsCommand(process, "status").startsWith("200");
             } catch (IOException e) {
                 return false;
             }
         });
     }
 
-    private static void signal(Started process, String name) throws Exception {
+    private static void signal(StartedProcess process, String name) throws Exception {
         assertEquals(0, new ProcessBuilder("/bin/sh", "-c", "kill -" + name + " " + process.pid).start().waitFor());
     }
 
-    private static void awaitEnd(Started process) throws Exception {
-        Await.until("process has exited", () -> isOver(process));
+    private static void awaitExit(StartedProcess process) throws Exception {
+        Await.until("process has exited", () -> hasExited(process));
     }
 
     /** Returns whether the process is a zombie: it has exited, and the parent never waits for its children. */
-    private static boolean isOver(Started process) throws IOException {
+    private static boolean hasExited(StartedProcess process) throws IOException {
         return Files.readString(Path.of("/proc/" + process.pid + "/stat")).matches("(?s).*\\) Z .*");
     }
 
@@ -216,28 +216,28 @@
 
         @Override
         public void run() {
-            Socket kept = null;
+            Socket connection = null;
             for (int i = 0; !stop.get(); i++) {
                 try {
-                    kept = kept == null ? new Socket("127.0.0.1", port) : kept;
+                    connection = connection == null ? new Socket("127.0.0.1", port) : connection;
                     String id = number + "-" + i;
-                    write(kept, "GET /status HTTP/1.1\r\nHost: x\r\nX-Request-ID: " + id + "\r\n\r\n");
-                    String head = head(kept.getInputStream());
+                    write(connection, "GET /status HTTP/1.1\r\nHost: x\r\nX-Request-ID: " + id + "\r\n\r\n");
+                    String head = readHead(connection.getInputStream());
                     if (head == null || !head.startsWith("HTTP/1.1 200 ")
-                            || !new String(kept.getInputStream().readNBytes(id.length()), StandardCharsets.UTF_8).equals(id)) {
+                            || !new String(connection.getInputStream().readNBytes(id.length()), StandardCharsets.UTF_8).equals(id)) {
                         lost.incrementAndGet();
-                        kept.close();
-                        kept = null;
+                        connection.close();
+                        connection = null;
                     } else {
                         served.incrementAndGet();
                         if (head.toLowerCase().contains("connection: close")) {
-                            kept.close();
-                            kept = null;
+                            connection.close();
+                            connection = null;
                         }
                     }
                 } catch (IOException e) {
                     lost.incrementAndGet();
-                    kept = null;
+                    connection = null;
                 }
             }
         }
@@ -246,8 +246,8 @@
     /** Two upgrades in a row under load must refuse, reset or lose no request, and each old process must exit by itself. */
     @Test
     void clientsNoticeNothingOfUpgrades() throws Exception {
-        Started first = startGateway();
-        awaitYes(first);
+        StartedProcess first = startGateway();
+        awaitServing(first);
         AtomicBoolean stop = new AtomicBoolean();
         AtomicInteger served = new AtomicInteger();
         AtomicInteger lost = new AtomicInteger();
@@ -256,41 +256,41 @@
             clients.add(new Thread(new Client(i, stop, served, lost)));
             clients.get(i).start();
         }
-        Started now = first;
+        StartedProcess current = first;
         for (int i = 0; i < 2; i++) {
-            int before = served.get();
-            Started next = startGateway();
-            awaitYes(next);
-            signal(now, "TERM");
-            awaitEnd(now);
-            Await.until("answers of the successor", () -> served.get() > before + 50);
-            assertTrue(said(next).contains("took over from the process before"), said(next));
-            assertTrue(said(now).contains("a successor serves"), said(now));
-            now = next;
+            int servedBefore = served.get();
+            StartedProcess next = startGateway();
+            awaitServing(next);
+            signal(current, "TERM");
+            awaitExit(current);
+            Await.until("answers of the successor", () -> served.get() > servedBefore + 50);
+            assertTrue(readLog(next).contains("took over from the process before"), readLog(next));
+            assertTrue(readLog(current).contains("a successor serves"), readLog(current));
+            current = next;
         }
         stop.set(true);
         for (Thread client : clients) {
-            client.join(PATIENCE_MILLIS);
+            client.join(TIMEOUT_MILLIS);
         }
         assertEquals(0, lost.get(), "of " + served + " served");
     }
 
     /** A successor is killed during the handover: the old process must keep serving, and a later successor must start. */
     @Test
-    void aSuccessorThatDiesHalfWayIsNotNoticed() throws Exception {
-        Started first = startGateway();
-        awaitYes(first);
-        Started dies = startGateway();
+    void killingASuccessorDuringTheHandoverLosesNoRequest() throws Exception {
+        StartedProcess first = startGateway();
+        awaitServing(first);
+        StartedProcess killedSuccessor = startGateway();
         Await.until("operators' socket of the successor", () -> {
             try {
-                return !call(dies, "status").isEmpty();
+                return !sendOpsCommand(killedSuccessor, "status").isEmpty();
             } catch (IOException e) {
                 return false;
             }
         });
-        signal(dies, "KILL");
-        awaitEnd(dies);
-        assertTrue(call(first, "status").startsWith("200"));
+        signal(killedSuccessor, "KILL");
+        awaitExit(killedSuccessor);
+        assertTrue(sendOpsCommand(first, "status").startsWith("200"));
         AtomicInteger served = new AtomicInteger();
         AtomicInteger lost = new AtomicInteger();
         AtomicBoolean stop = new AtomicBoolean();
@@ -298,22 +298,22 @@
         client.start();
         Await.until("answers of the old process", () -> served.get() > 20);
         stop.set(true);
-        client.join(PATIENCE_MILLIS);
+        client.join(TIMEOUT_MILLIS);
         assertEquals(0, lost.get());
-        Started next = startGateway();
-        awaitYes(next);
+        StartedProcess next = startGateway();
+        awaitServing(next);
     }
 
     @Test
-    void aDescriptorThatIsNoListenerEndsTheStartWithOneLine() throws Exception {
+    void aDescriptorThatIsNoListenerFailsTheStartWithOneLine() throws Exception {
         String java = Path.of(System.getProperty("java.home"), "bin", "java").toString();
-        String classes = System.getProperty("java.class.path");
-        for (String[] bad : new String[][] {{"3", "</dev/null"}, {"0", "</dev/null"}, {"x", "</dev/null"}}) {
-            Started process = start("/bin/sh", "-c", "LB_INHERITED_FD=" + bad[0] + " exec '" + java + "' -cp '" + classes
-                    + "' cinderhollow.cli.Main serve " + bad[1]);
-            awaitEnd(process);
-            String said = said(process);
-            assertTrue(said.contains("LB_INHERITED_FD names descriptor"), said);
+        String classPath = System.getProperty("java.class.path");
+        for (String[] invalid : new String[][] {{"3", "</dev/null"}, {"0", "</dev/null"}, {"x", "</dev/null"}}) {
+            StartedProcess process = start("/bin/sh", "-c", "LB_INHERITED_FD=" + invalid[0] + " exec '" + java + "' -cp '" + classPath
+                    + "' cinderhollow.cli.Main serve " + invalid[1]);
+            awaitExit(process);
+            String log = readLog(process);
+            assertTrue(log.contains("LB_INHERITED_FD names descriptor"), log);
         }
     }
 }
--- a/src/test/java/cinderhollow/cli/ZoneProcessesTest.java
+++ b/src/test/java/cinderhollow/cli/ZoneProcessesTest.java
@@ -28,31 +28,31 @@
             "resolution_ns":1000000,"grades":[{"name":"status","semantics":"safe","aim_ns":100000000,
             "deadline_ns":300000000}],"allowed":{"dial_timeout_ns":50000000,"conn_idle_ns":15000000000},
             "obligations":{"drain_grace_ns":1000000000}}}""";
-    private static final int COUNT = 3;
-    private static final String LONG = "600000";
+    private static final int GATEWAY_COUNT = 3;
+    private static final String ORDER_MILLIS = "600000";
 
     @TempDir
     private Path folder;
-    private final List<Integer> ports = new ArrayList<>();
-    private final List<Integer> admins = new ArrayList<>();
-    private final Process[] processes = new Process[COUNT];
+    private final List<Integer> peerPorts = new ArrayList<>();
+    private final List<Integer> adminPorts = new ArrayList<>();
+    private final Process[] processes = new Process[GATEWAY_COUNT];
 
     @BeforeEach
     void startAll() throws Exception {
-        for (int i = 0; i < COUNT; i++) {
-            ports.add(freePort());
-            admins.add(freePort());
+        for (int i = 0; i < GATEWAY_COUNT; i++) {
+            peerPorts.add(freePort());
+            adminPorts.add(freePort());
         }
-        for (int i = 0; i < COUNT; i++) {
+        for (int i = 0; i < GATEWAY_COUNT; i++) {
             start(i);
         }
-        for (int i = 0; i < COUNT; i++) {
-            shows(i, "3 of 3 alive");
+        for (int i = 0; i < GATEWAY_COUNT; i++) {
+            awaitZoneStatus(i, "3 of 3 alive");
         }
     }
 
     @AfterEach
-    void endAll() throws Exception {
+    void stopAll() throws Exception {
         for (Process process : processes) {
             // A process paused by SIGSTOP does not react to SIGTERM, so it is killed.
             process.destroyForcibly();
@@ -68,37 +68,37 @@
 
     private void start(int number) throws IOException {
         String zone = List.of("a", "b", "c").get(number);
-        Path config = Files.writeString(folder.resolve("config-" + number), CONFIG.replace("NUMBER", String.valueOf(number))
+        Path configFile = Files.writeString(folder.resolve("config-" + number), CONFIG.replace("NUMBER", String.valueOf(number))
                 .replace("ZONE", zone));
-        Path secret = Files.writeString(folder.resolve("secret"), "of this fleet");
-        String members = String.join(", ", ports.stream().map(port -> "\"127.0.0.1:" + port + "\"").toList());
-        Path operator = Files.writeString(folder.resolve("operator-" + number), "[peers]\nfleet = \"t\"\nlisten = \"127.0.0.1:"
-                + ports.get(number) + "\"\nmembers = [" + members + "]\nnumber = " + number + "\nsecret = \"" + secret
-                + "\"\n[zones]\nnames = [\"a\", \"b\", \"c\"]\n[admin]\nlisten = \"" + admin(number) + "\"\n");
+        Path secretFile = Files.writeString(folder.resolve("secret"), "of this fleet");
+        String members = String.join(", ", peerPorts.stream().map(port -> "\"127.0.0.1:" + port + "\"").toList());
+        Path operatorFile = Files.writeString(folder.resolve("operator-" + number), "[peers]\nfleet = \"t\"\nlisten = \"127.0.0.1:"
+                + peerPorts.get(number) + "\"\nmembers = [" + members + "]\nnumber = " + number + "\nsecret = \"" + secretFile
+                + "\"\n[zones]\nnames = [\"a\", \"b\", \"c\"]\n[admin]\nlisten = \"" + adminAddress(number) + "\"\n");
         ProcessBuilder builder = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                 "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-cp", System.getProperty("java.class.path"), "cinderhollow.cli.Main",
                 "serve").redirectErrorStream(true).redirectOutput(folder.resolve("log-" + number).toFile());
         builder.environment().putAll(Map.of("LB_LISTEN", "127.0.0.1:0", "LB_DISCOVERY", "127.0.0.1:1", "LB_CONFIG",
-                config.toString(), "LB_OPERATOR", operator.toString()));
+                configFile.toString(), "LB_OPERATOR", operatorFile.toString()));
         processes[number] = builder.start();
     }
 
-    private String admin(int number) {
-        return "127.0.0.1:" + admins.get(number);
+    private String adminAddress(int number) {
+        return "127.0.0.1:" + adminPorts.get(number);
     }
 
-    private void shows(int number, String text) throws Exception {
+    private void awaitZoneStatus(int number, String text) throws Exception {
         Await.until("gateway " + number + " shows '" + text + "'", () -> {
-            assertTrue(processes[number].isAlive(), () -> log(number));
+            assertTrue(processes[number].isAlive(), () -> readLog(number));
             try {
-                return AdminClient.zoneStatus(admin(number)).contains(text);
+                return AdminClient.zoneStatus(adminAddress(number)).contains(text);
             } catch (IOException e) {
                 return false;
             }
         });
     }
 
-    private String log(int number) {
+    private String readLog(int number) {
         try {
             return Files.readString(folder.resolve("log-" + number));
         } catch (IOException e) {
@@ -115,43 +115,43 @@
      * and they must report which member lacks it.
      */
     @Test
-    void anOrderOutlivesKillsAndSleep() throws Exception {
-        AdminClient.order(admin(0), "leave", "a", Long.parseLong(LONG));
-        for (int i = 0; i < COUNT; i++) {
-            shows(i, "zone a: weight 0.00, ordered to leave");
-            shows(i, "all members know the newest orders");
+    void ordersSurviveKillsRestartsAndPauses() throws Exception {
+        AdminClient.order(adminAddress(0), "leave", "a", Long.parseLong(ORDER_MILLIS));
+        for (int i = 0; i < GATEWAY_COUNT; i++) {
+            awaitZoneStatus(i, "zone a: weight 0.00, ordered to leave");
+            awaitZoneStatus(i, "all members know the newest orders");
         }
         processes[0].destroyForcibly().waitFor();
-        shows(1, "2 of 3 alive");
-        shows(1, "not known to have heard: [0]");
+        awaitZoneStatus(1, "2 of 3 alive");
+        awaitZoneStatus(1, "not known to have heard: [0]");
         start(0);
-        shows(0, "zone a: weight 0.00, ordered to leave");
-        shows(1, "all members know the newest orders");
+        awaitZoneStatus(0, "zone a: weight 0.00, ordered to leave");
+        awaitZoneStatus(1, "all members know the newest orders");
 
         signal("STOP", 2);
-        shows(1, "2 of 3 alive");
-        AdminClient.order(admin(1), "none", "a", Long.parseLong(LONG));
-        shows(0, "zone a: weight 1.00\n");
+        awaitZoneStatus(1, "2 of 3 alive");
+        AdminClient.order(adminAddress(1), "none", "a", Long.parseLong(ORDER_MILLIS));
+        awaitZoneStatus(0, "zone a: weight 1.00\n");
         signal("CONT", 2);
-        shows(2, "zone a: weight 1.00\n");
-        shows(2, "3 of 3 alive");
-        shows(1, "all members know the newest orders");
+        awaitZoneStatus(2, "zone a: weight 1.00\n");
+        awaitZoneStatus(2, "3 of 3 alive");
+        awaitZoneStatus(1, "all members know the newest orders");
     }
 
     /** Datagrams without the fleet's secret, even from a member's IP address, must be counted and must change nothing. */
     @Test
-    void strangersAreCountedAndNotBelieved() throws Exception {
+    void invalidDatagramsAreCountedAndDropped() throws Exception {
         byte[] noise = new byte[100];
         try (DatagramSocket socket = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
-            SocketAddress to = new java.net.InetSocketAddress("127.0.0.1", ports.get(0));
-            socket.send(new DatagramPacket(noise, noise.length, to));
+            SocketAddress target = new java.net.InetSocketAddress("127.0.0.1", peerPorts.get(0));
+            socket.send(new DatagramPacket(noise, noise.length, target));
             noise[0] = 1;
-            socket.send(new DatagramPacket(noise, noise.length, to));
-            socket.send(new DatagramPacket(noise, 5, to));
+            socket.send(new DatagramPacket(noise, noise.length, target));
+            socket.send(new DatagramPacket(noise, 5, target));
         }
         for (String why : List.of("version", "fleet", "length")) {
-            Await.until("dropped datagram counted: " + why, () -> AdminClient.metrics(admin(0)).contains("dropped_total{why=\"" + why + "\"} 1"));
+            Await.until("dropped datagram counted: " + why, () -> AdminClient.metrics(adminAddress(0)).contains("dropped_total{why=\"" + why + "\"} 1"));
         }
-        shows(0, "3 of 3 alive");
+        awaitZoneStatus(0, "3 of 3 alive");
     }
 }
