--- a/src/test/java/cinderhollow/operator/OperatorFileTest.java
+++ b/src/test/java/cinderhollow/operator/OperatorFileTest.java
@@ -44,8 +44,8 @@
         assertEquals(List.of(5, 0, 0), file.peersConfig().gatewaysByZone());
         assertTrue(file.explain().contains("exchanges datagrams with 1 others, without a secret; evacuates up to 1 of zones a, b, c, for 2000ms to 60000ms"),
                 file::explain);
-        PlatformConstraints alone = new PlatformConstraints(PLATFORM.classes(), 5, true, 0, 7, 3, "a", false);
-        assertEquals(Rule.PEERS_NOT_ALLOWED, OperatorFile.parse(PEERS + ZONES, alone).findings().get(0).rule());
+        PlatformConstraints withoutPeers = new PlatformConstraints(PLATFORM.classes(), 5, true, 0, 7, 3, "a", false);
+        assertEquals(Rule.PEERS_NOT_ALLOWED, OperatorFile.parse(PEERS + ZONES, withoutPeers).findings().get(0).rule());
     }
 
     private static String route(String method, String path, String name) {
@@ -55,160 +55,160 @@
     private static Stream<Arguments> bad() {
         return Stream.of(
                 // TOML syntax, keys and types
-                bad(Rule.SYNTAX, "[class.status\n"), bad(Rule.SYNTAX, "[class.status]\nattempts = \n"),
-                bad(Rule.SYNTAX, STATUS + "attempts = 2\nattempts = 3\n"), bad(Rule.SYNTAX, STATUS + STATUS),
-                bad(Rule.SYNTAX, "class = { status = { attempts = 2 }\n"), bad(Rule.SYNTAX, "just words"),
-                bad(Rule.UNKNOWN_KEY, "clas = 1\n"), bad(Rule.UNKNOWN_KEY, STATUS + "atempts = 2\n"),
-                bad(Rule.UNKNOWN_KEY, STATUS + "second_copy = { after = \"10ms\", delay = 1 }\n"),
-                bad(Rule.UNKNOWN_KEY, STATUS + "retry_budget = { share = 0.1, floor = 1 }\n"),
-                bad(Rule.UNKNOWN_KEY, route("GET", "/status/x", "status") + "pth = \"/y\"\n"),
-                bad(Rule.WRONG_TYPE, STATUS + "attempts = \"2\"\n"), bad(Rule.WRONG_TYPE, "class = 3\n"),
-                bad(Rule.WRONG_TYPE, "route = \"x\"\n"), bad(Rule.WRONG_TYPE, "route = [1]\n"),
-                bad(Rule.WRONG_TYPE, "[class]\nstatus = 1\n"), bad(Rule.WRONG_TYPE, STATUS + "retry_on = \"full\"\n"),
-                bad(Rule.WRONG_TYPE, STATUS + "retry_on = [1]\n"), bad(Rule.WRONG_TYPE, STATUS + "second_copy = \"10ms\"\n"),
-                bad(Rule.WRONG_TYPE, STATUS + "retry_budget = 0.1\n"),
-                bad(Rule.WRONG_TYPE, STATUS + "retry_budget = { share = \"0.1\" }\n"),
-                bad(Rule.WRONG_TYPE, AMEND + "resend_within = \"street\"\n"),
+                badFile(Rule.SYNTAX, "[class.status\n"), badFile(Rule.SYNTAX, "[class.status]\nattempts = \n"),
+                badFile(Rule.SYNTAX, STATUS + "attempts = 2\nattempts = 3\n"), badFile(Rule.SYNTAX, STATUS + STATUS),
+                badFile(Rule.SYNTAX, "class = { status = { attempts = 2 }\n"), badFile(Rule.SYNTAX, "just words"),
+                badFile(Rule.UNKNOWN_KEY, "clas = 1\n"), badFile(Rule.UNKNOWN_KEY, STATUS + "atempts = 2\n"),
+                badFile(Rule.UNKNOWN_KEY, STATUS + "second_copy = { after = \"10ms\", delay = 1 }\n"),
+                badFile(Rule.UNKNOWN_KEY, STATUS + "retry_budget = { share = 0.1, floor = 1 }\n"),
+                badFile(Rule.UNKNOWN_KEY, route("GET", "/status/x", "status") + "pth = \"/y\"\n"),
+                badFile(Rule.WRONG_TYPE, STATUS + "attempts = \"2\"\n"), badFile(Rule.WRONG_TYPE, "class = 3\n"),
+                badFile(Rule.WRONG_TYPE, "route = \"x\"\n"), badFile(Rule.WRONG_TYPE, "route = [1]\n"),
+                badFile(Rule.WRONG_TYPE, "[class]\nstatus = 1\n"), badFile(Rule.WRONG_TYPE, STATUS + "retry_on = \"full\"\n"),
+                badFile(Rule.WRONG_TYPE, STATUS + "retry_on = [1]\n"), badFile(Rule.WRONG_TYPE, STATUS + "second_copy = \"10ms\"\n"),
+                badFile(Rule.WRONG_TYPE, STATUS + "retry_budget = 0.1\n"),
+                badFile(Rule.WRONG_TYPE, STATUS + "retry_budget = { share = \"0.1\" }\n"),
+                badFile(Rule.WRONG_TYPE, AMEND + "resend_within = \"street\"\n"),
                 // durations and numbers
-                bad(Rule.DURATION_FORM, STATUS + "total = 700\n"), bad(Rule.DURATION_FORM, STATUS + "total = \"700\"\n"),
-                bad(Rule.DURATION_FORM, STATUS + "total = \"-5ms\"\n"), bad(Rule.DURATION_FORM, STATUS + "total = nan\n"),
-                bad(Rule.DURATION_FORM, STATUS + "total = inf\n"), bad(Rule.DURATION_FORM, STATUS + "total = \"NaNms\"\n"),
-                bad(Rule.DURATION_FORM, STATUS + "total = \"1e3ms\"\n"), bad(Rule.DURATION_FORM, STATUS + "total = \"2h\"\n"),
-                bad(Rule.DURATION_FORM, STATUS + "total = \"99999999999999999999s\"\n"),
-                bad(Rule.DURATION_FORM, STATUS + "total = \"5 parsecs\"\n"), bad(Rule.DURATION_FORM, STATUS + "backoff = \"\"\n"),
-                bad(Rule.DURATION_FORM, STATUS + "total = true\n"), bad(Rule.TIME_TOO_SHORT, STATUS + "total = \"0ms\"\n"),
-                bad(Rule.TIME_TOO_SHORT, STATUS + "attempt_timeout = \"10us\"\nattempts = 1\n"),
-                bad(Rule.NUMBER_RANGE, STATUS + "attempts = 0\n"), bad(Rule.NUMBER_RANGE, STATUS + "attempts = -1\n"),
-                bad(Rule.NUMBER_RANGE, STATUS + "attempts = 9999999999\n"),
-                bad(Rule.NUMBER_RANGE, STATUS + "second_copy = { at_percentile = 0 }\n"),
-                bad(Rule.NUMBER_RANGE, STATUS + "second_copy = { at_percentile = 100 }\n"),
-                bad(Rule.NUMBER_RANGE, STATUS + "second_copy = { at_percentile = nan }\n"),
-                bad(Rule.NUMBER_RANGE, STATUS + "second_copy = { at_percentile = 50, samples = 0 }\n"),
-                bad(Rule.BUDGET_RANGE, STATUS + "retry_budget = { share = 1.1 }\n"),
-                bad(Rule.BUDGET_RANGE, STATUS + "retry_budget = { share = -0.1 }\n"),
-                bad(Rule.BUDGET_RANGE, STATUS + "retry_budget = { share = nan }\n"),
-                bad(Rule.BUDGET_RANGE, STATUS + "retry_budget = { floor_per_s = -1 }\n"),
-                bad(Rule.BUDGET_RANGE, STATUS + "second_copy = { after = \"10ms\", budget = { share = 2 } }\n"),
+                badFile(Rule.DURATION_FORM, STATUS + "total = 700\n"), badFile(Rule.DURATION_FORM, STATUS + "total = \"700\"\n"),
+                badFile(Rule.DURATION_FORM, STATUS + "total = \"-5ms\"\n"), badFile(Rule.DURATION_FORM, STATUS + "total = nan\n"),
+                badFile(Rule.DURATION_FORM, STATUS + "total = inf\n"), badFile(Rule.DURATION_FORM, STATUS + "total = \"NaNms\"\n"),
+                badFile(Rule.DURATION_FORM, STATUS + "total = \"1e3ms\"\n"), badFile(Rule.DURATION_FORM, STATUS + "total = \"2h\"\n"),
+                badFile(Rule.DURATION_FORM, STATUS + "total = \"99999999999999999999s\"\n"),
+                badFile(Rule.DURATION_FORM, STATUS + "total = \"5 parsecs\"\n"), badFile(Rule.DURATION_FORM, STATUS + "backoff = \"\"\n"),
+                badFile(Rule.DURATION_FORM, STATUS + "total = true\n"), badFile(Rule.TIME_TOO_SHORT, STATUS + "total = \"0ms\"\n"),
+                badFile(Rule.TIME_TOO_SHORT, STATUS + "attempt_timeout = \"10us\"\nattempts = 1\n"),
+                badFile(Rule.NUMBER_RANGE, STATUS + "attempts = 0\n"), badFile(Rule.NUMBER_RANGE, STATUS + "attempts = -1\n"),
+                badFile(Rule.NUMBER_RANGE, STATUS + "attempts = 9999999999\n"),
+                badFile(Rule.NUMBER_RANGE, STATUS + "second_copy = { at_percentile = 0 }\n"),
+                badFile(Rule.NUMBER_RANGE, STATUS + "second_copy = { at_percentile = 100 }\n"),
+                badFile(Rule.NUMBER_RANGE, STATUS + "second_copy = { at_percentile = nan }\n"),
+                badFile(Rule.NUMBER_RANGE, STATUS + "second_copy = { at_percentile = 50, samples = 0 }\n"),
+                badFile(Rule.BUDGET_RANGE, STATUS + "retry_budget = { share = 1.1 }\n"),
+                badFile(Rule.BUDGET_RANGE, STATUS + "retry_budget = { share = -0.1 }\n"),
+                badFile(Rule.BUDGET_RANGE, STATUS + "retry_budget = { share = nan }\n"),
+                badFile(Rule.BUDGET_RANGE, STATUS + "retry_budget = { floor_per_s = -1 }\n"),
+                badFile(Rule.BUDGET_RANGE, STATUS + "second_copy = { after = \"10ms\", budget = { share = 2 } }\n"),
                 // event loops and subsets
-                bad(Rule.UNKNOWN_KEY, "[gateway]\nloop = 2\n"), bad(Rule.UNKNOWN_KEY, "[subset]\nsize = 2\n"),
-                bad(Rule.NUMBER_RANGE, "[gateway]\nloops = 0\n"), bad(Rule.NUMBER_RANGE, "[gateway]\nloops = 65\n"),
-                bad(Rule.WRONG_TYPE, "[gateway]\nloops = \"2\"\n"), bad(Rule.WRONG_TYPE, "gateway = 2\n"),
-                bad(Rule.LISTENERS_UNKNOWN, "[gateway]\nloops = 2\nlisteners = \"all\"\n"),
-                bad(Rule.NUMBER_RANGE, "[subset]\nnodes = 0\n"), bad(Rule.SUBSET_PLACE, "[subset]\n"),
-                bad(Rule.SUBSET_PLACE, "[subset]\nnodes = 5\nnumber = 1\n"),
-                bad(Rule.SUBSET_PLACE, "[subset]\nnodes = 5\ngateways = { a = 2 }\n"),
-                bad(Rule.SUBSET_PLACE, "[subset]\nnodes = 5\ngateways = { a = 2 }\nnumber = 2\n"),
-                bad(Rule.SUBSET_PLACE, "[subset]\nnodes = 5\ngateways = { b = 2 }\nnumber = 1\n"),
-                bad(Rule.NUMBER_RANGE, "[subset]\nnodes = 5\ngateways = { a = 0 }\nnumber = 0\n"),
-                bad(Rule.WRONG_TYPE, "[subset]\nnodes = 5\ngateways = 3\nnumber = 0\n"),
+                badFile(Rule.UNKNOWN_KEY, "[gateway]\nloop = 2\n"), badFile(Rule.UNKNOWN_KEY, "[subset]\nsize = 2\n"),
+                badFile(Rule.NUMBER_RANGE, "[gateway]\nloops = 0\n"), badFile(Rule.NUMBER_RANGE, "[gateway]\nloops = 65\n"),
+                badFile(Rule.WRONG_TYPE, "[gateway]\nloops = \"2\"\n"), badFile(Rule.WRONG_TYPE, "gateway = 2\n"),
+                badFile(Rule.LISTENERS_UNKNOWN, "[gateway]\nloops = 2\nlisteners = \"all\"\n"),
+                badFile(Rule.NUMBER_RANGE, "[subset]\nnodes = 0\n"), badFile(Rule.SUBSET_PLACE, "[subset]\n"),
+                badFile(Rule.SUBSET_PLACE, "[subset]\nnodes = 5\nnumber = 1\n"),
+                badFile(Rule.SUBSET_PLACE, "[subset]\nnodes = 5\ngateways = { a = 2 }\n"),
+                badFile(Rule.SUBSET_PLACE, "[subset]\nnodes = 5\ngateways = { a = 2 }\nnumber = 2\n"),
+                badFile(Rule.SUBSET_PLACE, "[subset]\nnodes = 5\ngateways = { b = 2 }\nnumber = 1\n"),
+                badFile(Rule.NUMBER_RANGE, "[subset]\nnodes = 5\ngateways = { a = 0 }\nnumber = 0\n"),
+                badFile(Rule.WRONG_TYPE, "[subset]\nnodes = 5\ngateways = 3\nnumber = 0\n"),
                 // ledger, peers, zones and the admin listener
-                bad(Rule.UNKNOWN_KEY, "[ledger]\nlogs = \"2s\"\n"), bad(Rule.DURATION_FORM, "[ledger]\nlog = 5\n"),
-                bad(Rule.TIME_TOO_SHORT, "[ledger]\nlog = \"500us\"\n"), bad(Rule.WRONG_TYPE, "ledger = true\n"),
-                bad(Rule.NO_DIRECTORY, "[ledger]\ndirectory = \"/nowhere/at/all\"\n"),
-                bad(Rule.NO_DIRECTORY, "[ledger]\nsync = \"1s\"\n"),
-                bad(Rule.TIME_TOO_SHORT, "[ledger]\ndirectory = \"/\"\nsync = \"0s\"\n"),
-                bad(Rule.ZONES_PLACE, PEERS), bad(Rule.ZONES_PLACE, "[zones]\nnames = [\"a\", \"b\"]\n"),
-                bad(Rule.ZONES_PLACE, PEERS + "[zones]\nnames = [\"a\"]\n"),
-                bad(Rule.ZONES_REGIONS, PEERS + ZONES + "regions = { west = [\"a\", \"b\"] }\n"),
-                bad(Rule.ZONES_REGIONS, PEERS + ZONES + "regions = { west = [\"a\", \"b\"], east = [\"b\", \"c\"] }\n"),
-                bad(Rule.ZONES_REGIONS, PEERS + ZONES + "regions = { west = [\"a\"], east = [\"b\"] }\n"),
-                bad(Rule.ZONES_MOST_OUT, PEERS + ZONES + "most_out = 2\nregions = { west = [\"a\", \"b\"], east = [\"c\"] }\n"),
-                bad(Rule.ZONES_PLACE, PEERS + "[zones]\nnames = [\"b\", \"c\"]\n"),
-                bad(Rule.ZONES_PLACE, PEERS + "[zones]\nnames = [\"a\", \"a\", \"b\"]\n"),
-                bad(Rule.ZONES_PLACE, PEERS + ZONES + "gateways = { a = 1, d = 2 }\n"),
-                bad(Rule.ZONES_MOST_OUT, PEERS + ZONES + "most_out = 3\n"),
-                bad(Rule.ZONES_HOLD, PEERS + ZONES + "hold = \"10s\"\nhold_max = \"5s\"\n"),
-                bad(Rule.PEERS_PLACE, PEERS.replace("number = 1", "number = 2") + ZONES),
-                bad(Rule.PEERS_PLACE, PEERS.replace("10.0.0.2:7946", "10.0.0.1:7946") + ZONES),
-                bad(Rule.PEERS_PLACE, PEERS.replace("10.0.0.2:7946", "somewhere") + ZONES),
-                bad(Rule.PEERS_PLACE, PEERS.replace("number = 1\n", "") + ZONES),
-                bad(Rule.PEERS_LOOPS, PEERS + ZONES + "[gateway]\nloops = 2\n"),
-                bad(Rule.FILE_FORM, PEERS + "secret = \"/no/such/file\"\n" + ZONES),
-                bad(Rule.ADMIN_ADDRESS, "[admin]\n"), bad(Rule.ADMIN_ADDRESS, "[admin]\nlisten = \"0.0.0.0:9180\"\n"),
-                bad(Rule.ADMIN_ADDRESS, "[admin]\nlisten = \"10.1.2.3:9180\"\n"),
-                bad(Rule.ADMIN_ADDRESS, "[admin]\nlisten = \"127.0.0.1\"\n"),
-                bad(Rule.ADMIN_ADDRESS, "[admin]\nlisten = \"127.0.0.1:99999\"\n"),
-                bad(Rule.ADMIN_ADDRESS, "[admin]\nlisten = \"127.0.0.256:1\"\n"),
-                bad(Rule.ADMIN_ADDRESS, "[admin]\nlisten = \"unix:admin\"\n"),
-                bad(Rule.WRONG_TYPE, "[admin]\nlisten = 9180\n"), bad(Rule.UNKNOWN_KEY, "[admin]\nport = 9180\n"),
+                badFile(Rule.UNKNOWN_KEY, "[ledger]\nlogs = \"2s\"\n"), badFile(Rule.DURATION_FORM, "[ledger]\nlog = 5\n"),
+                badFile(Rule.TIME_TOO_SHORT, "[ledger]\nlog = \"500us\"\n"), badFile(Rule.WRONG_TYPE, "ledger = true\n"),
+                badFile(Rule.NO_DIRECTORY, "[ledger]\ndirectory = \"/nowhere/at/all\"\n"),
+                badFile(Rule.NO_DIRECTORY, "[ledger]\nsync = \"1s\"\n"),
+                badFile(Rule.TIME_TOO_SHORT, "[ledger]\ndirectory = \"/\"\nsync = \"0s\"\n"),
+                badFile(Rule.ZONES_PLACE, PEERS), badFile(Rule.ZONES_PLACE, "[zones]\nnames = [\"a\", \"b\"]\n"),
+                badFile(Rule.ZONES_PLACE, PEERS + "[zones]\nnames = [\"a\"]\n"),
+                badFile(Rule.ZONES_REGIONS, PEERS + ZONES + "regions = { west = [\"a\", \"b\"] }\n"),
+                badFile(Rule.ZONES_REGIONS, PEERS + ZONES + "regions = { west = [\"a\", \"b\"], east = [\"b\", \"c\"] }\n"),
+                badFile(Rule.ZONES_REGIONS, PEERS + ZONES + "regions = { west = [\"a\"], east = [\"b\"] }\n"),
+                badFile(Rule.ZONES_MOST_OUT, PEERS + ZONES + "most_out = 2\nregions = { west = [\"a\", \"b\"], east = [\"c\"] }\n"),
+                badFile(Rule.ZONES_PLACE, PEERS + "[zones]\nnames = [\"b\", \"c\"]\n"),
+                badFile(Rule.ZONES_PLACE, PEERS + "[zones]\nnames = [\"a\", \"a\", \"b\"]\n"),
+                badFile(Rule.ZONES_PLACE, PEERS + ZONES + "gateways = { a = 1, d = 2 }\n"),
+                badFile(Rule.ZONES_MOST_OUT, PEERS + ZONES + "most_out = 3\n"),
+                badFile(Rule.ZONES_HOLD, PEERS + ZONES + "hold = \"10s\"\nhold_max = \"5s\"\n"),
+                badFile(Rule.PEERS_PLACE, PEERS.replace("number = 1", "number = 2") + ZONES),
+                badFile(Rule.PEERS_PLACE, PEERS.replace("10.0.0.2:7946", "10.0.0.1:7946") + ZONES),
+                badFile(Rule.PEERS_PLACE, PEERS.replace("10.0.0.2:7946", "somewhere") + ZONES),
+                badFile(Rule.PEERS_PLACE, PEERS.replace("number = 1\n", "") + ZONES),
+                badFile(Rule.PEERS_LOOPS, PEERS + ZONES + "[gateway]\nloops = 2\n"),
+                badFile(Rule.FILE_FORM, PEERS + "secret = \"/no/such/file\"\n" + ZONES),
+                badFile(Rule.ADMIN_ADDRESS, "[admin]\n"), badFile(Rule.ADMIN_ADDRESS, "[admin]\nlisten = \"0.0.0.0:9180\"\n"),
+                badFile(Rule.ADMIN_ADDRESS, "[admin]\nlisten = \"10.1.2.3:9180\"\n"),
+                badFile(Rule.ADMIN_ADDRESS, "[admin]\nlisten = \"127.0.0.1\"\n"),
+                badFile(Rule.ADMIN_ADDRESS, "[admin]\nlisten = \"127.0.0.1:99999\"\n"),
+                badFile(Rule.ADMIN_ADDRESS, "[admin]\nlisten = \"127.0.0.256:1\"\n"),
+                badFile(Rule.ADMIN_ADDRESS, "[admin]\nlisten = \"unix:admin\"\n"),
+                badFile(Rule.WRONG_TYPE, "[admin]\nlisten = 9180\n"), badFile(Rule.UNKNOWN_KEY, "[admin]\nport = 9180\n"),
                 // classes and routes
-                bad(Rule.UNKNOWN_CLASS, "[class.statsu]\n"), bad(Rule.UNKNOWN_CLASS, route("GET", "/x", "none")),
-                bad(Rule.UNKNOWN_OUTCOME, STATUS + "retry_on = [\"failure\"]\n"),
-                bad(Rule.UNKNOWN_OUTCOME, STATUS + "retry_on = [\"served\"]\n"),
-                bad(Rule.ROUTE_INCOMPLETE, "[[route]]\nmethod = \"GET\"\npath = \"/x\"\n"),
-                bad(Rule.ROUTE_INCOMPLETE, "[[route]]\npath = \"/x\"\nclass = \"status\"\n"),
-                bad(Rule.ROUTE_INCOMPLETE, "[[route]]\nmethod = \"GET\"\nclass = \"status\"\n"),
-                bad(Rule.METHOD_UNKNOWN, route("BREW", "/x", "status")), bad(Rule.METHOD_UNKNOWN, route("get", "/x", "status")),
-                bad(Rule.PATH_FORM, route("GET", "x", "status")), bad(Rule.PATH_FORM, route("GET", "/a/../b", "status")),
-                bad(Rule.PATH_FORM, route("GET", "/a//b", "status")), bad(Rule.PATH_FORM, route("GET", "/a/{b", "status")),
-                bad(Rule.PATH_FORM, route("GET", "/{a}/b", "status")), bad(Rule.PATH_FORM, route("GET", "/a/**/b", "status")),
-                bad(Rule.PATH_FORM, route("GET", "/a?b=c", "status")), bad(Rule.PATH_FORM, route("GET", "/a%2fb", "status")),
-                bad(Rule.UNSAFE_ON_GET, route("GET", "/x", "submit")), bad(Rule.UNSAFE_ON_GET, route("GET", "/x", "amend")),
-                bad(Rule.SAFE_ON_POST, route("POST", "/x", "status")),
-                bad(Rule.ROUTE_SHADOWED, route("GET", "/a/{x}", "status") + route("GET", "/a/{y}", "status")),
-                bad(Rule.ROUTES_OVERLAP, route("GET", "/a/{x}/c", "status") + route("GET", "/a/b/{y}", "status")),
-                bad(Rule.ROUTES_OVERLAP, route("POST", "/a/{x}/c", "submit") + route("POST", "/a/b/**", "amend")),
+                badFile(Rule.UNKNOWN_CLASS, "[class.statsu]\n"), badFile(Rule.UNKNOWN_CLASS, route("GET", "/x", "none")),
+                badFile(Rule.UNKNOWN_OUTCOME, STATUS + "retry_on = [\"failure\"]\n"),
+                badFile(Rule.UNKNOWN_OUTCOME, STATUS + "retry_on = [\"served\"]\n"),
+                badFile(Rule.ROUTE_INCOMPLETE, "[[route]]\nmethod = \"GET\"\npath = \"/x\"\n"),
+                badFile(Rule.ROUTE_INCOMPLETE, "[[route]]\npath = \"/x\"\nclass = \"status\"\n"),
+                badFile(Rule.ROUTE_INCOMPLETE, "[[route]]\nmethod = \"GET\"\nclass = \"status\"\n"),
+                badFile(Rule.METHOD_UNKNOWN, route("BREW", "/x", "status")), badFile(Rule.METHOD_UNKNOWN, route("get", "/x", "status")),
+                badFile(Rule.PATH_FORM, route("GET", "x", "status")), badFile(Rule.PATH_FORM, route("GET", "/a/../b", "status")),
+                badFile(Rule.PATH_FORM, route("GET", "/a//b", "status")), badFile(Rule.PATH_FORM, route("GET", "/a/{b", "status")),
+                badFile(Rule.PATH_FORM, route("GET", "/{a}/b", "status")), badFile(Rule.PATH_FORM, route("GET", "/a/**/b", "status")),
+                badFile(Rule.PATH_FORM, route("GET", "/a?b=c", "status")), badFile(Rule.PATH_FORM, route("GET", "/a%2fb", "status")),
+                badFile(Rule.UNSAFE_ON_GET, route("GET", "/x", "submit")), badFile(Rule.UNSAFE_ON_GET, route("GET", "/x", "amend")),
+                badFile(Rule.SAFE_ON_POST, route("POST", "/x", "status")),
+                badFile(Rule.ROUTE_SHADOWED, route("GET", "/a/{x}", "status") + route("GET", "/a/{y}", "status")),
+                badFile(Rule.ROUTES_OVERLAP, route("GET", "/a/{x}/c", "status") + route("GET", "/a/b/{y}", "status")),
+                badFile(Rule.ROUTES_OVERLAP, route("POST", "/a/{x}/c", "submit") + route("POST", "/a/b/**", "amend")),
                 // attempts, timeouts and hedges of a class
-                bad(Rule.COPY_OF_UNSAFE, SUBMIT + "second_copy = { after = \"80ms\" }\n"),
-                bad(Rule.COPY_OF_UNSAFE, route("POST", "/fast/submit", "submit") + "second_copy = { after = \"80ms\" }\n"),
-                bad(Rule.COPY_TIME, STATUS + "second_copy = { }\n"),
-                bad(Rule.COPY_TIME, STATUS + "second_copy = { after = \"10ms\", at_percentile = 90 }\n"),
-                bad(Rule.COPY_ALONE, STATUS + "attempts = 1\nsecond_copy = { after = \"10ms\" }\n"),
-                bad(Rule.COPY_TOO_LATE, STATUS + "second_copy = { after = \"750ms\" }\n"),
-                bad(Rule.COPY_TOO_LATE, STATUS + "attempt_timeout = \"100ms\"\nsecond_copy = { after = \"100ms\" }\n"),
-                bad(Rule.TIME_TOO_SHORT, STATUS + "second_copy = { after = \"0ms\" }\n"),
-                bad(Rule.PERCENTILE_UNKNOWABLE, STATUS + "second_copy = { at_percentile = 99 }\n"),
-                bad(Rule.PERCENTILE_UNKNOWABLE, STATUS + "second_copy = { at_percentile = 90, samples = 49 }\n"),
-                bad(Rule.RETRY_MAY_RUN_TWICE, SUBMIT + "retry_on = [\"reset\"]\n"),
-                bad(Rule.RETRY_MAY_RUN_TWICE, SUBMIT + "retry_on = [\"full\", \"timed-out\"]\n"),
-                bad(Rule.RETRY_MAY_RUN_TWICE, SUBMIT + "retry_on = [\"error\"]\n"),
-                bad(Rule.RETRY_MAY_RUN_TWICE, route("POST", "/fast/submit", "submit") + "retry_on = [\"reset\"]\n"),
-                bad(Rule.KEYED_PAST_WINDOW, AMEND + "total = \"401ms\"\n"),
-                bad(Rule.KEYED_PAST_WINDOW, AMEND + "total = \"450ms\"\nattempts = 2\n"),
-                bad(Rule.KEYED_OUTSIDE_GROUP, AMEND + "total = \"400ms\"\nresend_within = \"zone\"\n"),
-                bad(Rule.KEYED_OUTSIDE_GROUP, AMEND + "total = \"400ms\"\nresend_within = \"all\"\n"),
-                bad(Rule.LONGER_THAN_TOTAL, STATUS + "attempt_timeout = \"251ms\"\nattempts = 3\n"),
-                bad(Rule.LONGER_THAN_TOTAL, STATUS + "attempt_timeout = \"240ms\"\nattempts = 3\nbackoff = \"20ms\"\n"),
-                bad(Rule.LONGER_THAN_TOTAL, STATUS + "retry_on = [\"timed-out\"]\n"),
-                bad(Rule.LONGER_THAN_TOTAL, STATUS + "backoff = \"250ms\"\n"),
-                bad(Rule.LONGER_THAN_CLIENT, STATUS + "total = \"751ms\"\n"),
-                bad(Rule.LONGER_THAN_CLIENT, SUBMIT + "total = \"1s\"\n"),
-                bad(Rule.ATTEMPT_BEYOND_TOTAL, STATUS + "total = \"100ms\"\nattempt_timeout = \"101ms\"\n"),
-                bad(Rule.TOO_MANY_ATTEMPTS, STATUS + "attempts = 6\n"),
-                bad(Rule.ADVICE_NOT_ALLOWED, STATUS + "retry_after = \"401ms\"\n"));
+                badFile(Rule.COPY_OF_UNSAFE, SUBMIT + "second_copy = { after = \"80ms\" }\n"),
+                badFile(Rule.COPY_OF_UNSAFE, route("POST", "/fast/submit", "submit") + "second_copy = { after = \"80ms\" }\n"),
+                badFile(Rule.COPY_TIME, STATUS + "second_copy = { }\n"),
+                badFile(Rule.COPY_TIME, STATUS + "second_copy = { after = \"10ms\", at_percentile = 90 }\n"),
+                badFile(Rule.COPY_ALONE, STATUS + "attempts = 1\nsecond_copy = { after = \"10ms\" }\n"),
+                badFile(Rule.COPY_TOO_LATE, STATUS + "second_copy = { after = \"750ms\" }\n"),
+                badFile(Rule.COPY_TOO_LATE, STATUS + "attempt_timeout = \"100ms\"\nsecond_copy = { after = \"100ms\" }\n"),
+                badFile(Rule.TIME_TOO_SHORT, STATUS + "second_copy = { after = \"0ms\" }\n"),
+                badFile(Rule.PERCENTILE_UNKNOWABLE, STATUS + "second_copy = { at_percentile = 99 }\n"),
+                badFile(Rule.PERCENTILE_UNKNOWABLE, STATUS + "second_copy = { at_percentile = 90, samples = 49 }\n"),
+                badFile(Rule.RETRY_MAY_RUN_TWICE, SUBMIT + "retry_on = [\"reset\"]\n"),
+                badFile(Rule.RETRY_MAY_RUN_TWICE, SUBMIT + "retry_on = [\"full\", \"timed-out\"]\n"),
+                badFile(Rule.RETRY_MAY_RUN_TWICE, SUBMIT + "retry_on = [\"error\"]\n"),
+                badFile(Rule.RETRY_MAY_RUN_TWICE, route("POST", "/fast/submit", "submit") + "retry_on = [\"reset\"]\n"),
+                badFile(Rule.KEYED_PAST_WINDOW, AMEND + "total = \"401ms\"\n"),
+                badFile(Rule.KEYED_PAST_WINDOW, AMEND + "total = \"450ms\"\nattempts = 2\n"),
+                badFile(Rule.KEYED_OUTSIDE_GROUP, AMEND + "total = \"400ms\"\nresend_within = \"zone\"\n"),
+                badFile(Rule.KEYED_OUTSIDE_GROUP, AMEND + "total = \"400ms\"\nresend_within = \"all\"\n"),
+                badFile(Rule.LONGER_THAN_TOTAL, STATUS + "attempt_timeout = \"251ms\"\nattempts = 3\n"),
+                badFile(Rule.LONGER_THAN_TOTAL, STATUS + "attempt_timeout = \"240ms\"\nattempts = 3\nbackoff = \"20ms\"\n"),
+                badFile(Rule.LONGER_THAN_TOTAL, STATUS + "retry_on = [\"timed-out\"]\n"),
+                badFile(Rule.LONGER_THAN_TOTAL, STATUS + "backoff = \"250ms\"\n"),
+                badFile(Rule.LONGER_THAN_CLIENT, STATUS + "total = \"751ms\"\n"),
+                badFile(Rule.LONGER_THAN_CLIENT, SUBMIT + "total = \"1s\"\n"),
+                badFile(Rule.ATTEMPT_BEYOND_TOTAL, STATUS + "total = \"100ms\"\nattempt_timeout = \"101ms\"\n"),
+                badFile(Rule.TOO_MANY_ATTEMPTS, STATUS + "attempts = 6\n"),
+                badFile(Rule.ADVICE_NOT_ALLOWED, STATUS + "retry_after = \"401ms\"\n"));
     }
 
-    private static Arguments bad(Rule rule, String text) {
+    private static Arguments badFile(Rule rule, String text) {
         return Arguments.of(rule, text);
     }
 
     /** Adds a valid total for the keyed class, whose default total exceeds its dedup window, unless the text sets that class. */
     private static OperatorFile parse(String text) {
-        boolean amends = text.contains("class.amend") || text.contains("[class]") || text.startsWith("class =");
-        return OperatorFile.parse(amends ? text : text + "\n[class.amend]\ntotal = \"400ms\"\n", PLATFORM);
+        boolean setsKeyedClass = text.contains("class.amend") || text.contains("[class]") || text.startsWith("class =");
+        return OperatorFile.parse(setsKeyedClass ? text : text + "\n[class.amend]\ntotal = \"400ms\"\n", PLATFORM);
     }
 
     @ParameterizedTest
     @MethodSource("bad")
     void aBadFileIsRefusedWithItsRuleNamed(Rule rule, String text) {
         OperatorFile file = parse(text);
-        Set<Rule> named = EnumSet.noneOf(Rule.class);
-        file.findings().forEach(finding -> named.add(finding.rule()));
-        assertTrue(named.contains(rule), () -> text + file.findings());
+        Set<Rule> foundRules = EnumSet.noneOf(Rule.class);
+        file.findings().forEach(finding -> foundRules.add(finding.rule()));
+        assertTrue(foundRules.contains(rule), () -> text + file.findings());
         assertThrows(IllegalStateException.class, file::routes);
         Finding finding = file.findings().stream().filter(f -> f.rule() == rule).findFirst().orElseThrow();
-        assertTrue(finding.toString().contains("[" + rule.word() + "]; allowed: "), finding::toString);
-        boolean aboutADefault = finding.key().startsWith("class ");
-        assertTrue(finding.line() > 0 || aboutADefault, finding::toString);
+        assertTrue(finding.toString().contains("[" + rule.label() + "]; allowed: "), finding::toString);
+        boolean isAboutDefault = finding.key().startsWith("class ");
+        assertTrue(finding.line() > 0 || isAboutDefault, finding::toString);
     }
 
     @Test
-    void everyRuleHasItsBadFile() {
-        EnumSet<Rule> named = EnumSet.noneOf(Rule.class);
-        bad().forEach(arguments -> named.add((Rule) arguments.get()[0]));
-        EnumSet<Rule> elsewhere = EnumSet.of(Rule.FILE_FORM, Rule.COPY_NOT_ALLOWED, Rule.PEERS_NOT_ALLOWED);
-        named.addAll(elsewhere);
-        assertEquals(EnumSet.allOf(Rule.class), named);
+    void everyRuleHasATestCase() {
+        EnumSet<Rule> coveredRules = EnumSet.noneOf(Rule.class);
+        bad().forEach(arguments -> coveredRules.add((Rule) arguments.get()[0]));
+        EnumSet<Rule> coveredElsewhere = EnumSet.of(Rule.FILE_FORM, Rule.COPY_NOT_ALLOWED, Rule.PEERS_NOT_ALLOWED);
+        coveredRules.addAll(coveredElsewhere);
+        assertEquals(EnumSet.allOf(Rule.class), coveredRules);
         assertTrue(bad().count() >= 60);
     }
 
@@ -216,20 +216,20 @@
     void allFaultsAreNamedWithTheirLines() {
         List<Finding> findings = parse("clas = 1\n[class.status]\natempts = 2\ntotal = \"x\"\n").findings();
         assertEquals(List.of(1, 3, 4), findings.stream().map(Finding::line).toList());
-        assertTrue(findings.get(0).what().contains("'class'"), findings::toString);
-        assertTrue(findings.get(1).what().contains("'attempts'"), findings::toString);
+        assertTrue(findings.get(0).problem().contains("'class'"), findings::toString);
+        assertTrue(findings.get(1).problem().contains("'attempts'"), findings::toString);
     }
 
     @Test
-    void aSecondCopyIsRefusedWhereThePlatformHasNone() {
-        PlatformConstraints alone = new PlatformConstraints(PLATFORM.classes().subList(0, 1), 5, false, 0);
+    void hedgesAndRetryAfterAreRejectedWhereThePlatformAllowsNone() {
+        PlatformConstraints withoutHedging = new PlatformConstraints(PLATFORM.classes().subList(0, 1), 5, false, 0);
         assertEquals(List.of(Rule.COPY_NOT_ALLOWED, Rule.ADVICE_NOT_ALLOWED), OperatorFile.parse(
-                STATUS + "second_copy = { after = \"50ms\" }\nretry_after = \"1ms\"\n", alone).findings().stream()
+                STATUS + "second_copy = { after = \"50ms\" }\nretry_after = \"1ms\"\n", withoutHedging).findings().stream()
                 .map(Finding::rule).toList());
     }
 
     @Test
-    void aFileThatIsOnlyAboutGrowthSetsThatAlone() {
+    void aFileWithScalingTablesAloneSetsOnlyThose() {
         OperatorFile file = parse("[gateway]\nloops = 4\nlisteners = \"each\"\n[subset]\nnodes = 200\nnumber = 2\n"
                 + "gateways = { a = 3, b = 4 }\n");
         assertEquals(List.of(), file.findings());
@@ -241,7 +241,7 @@
     }
 
     @Test
-    void aRouteOverridesItsClassAndTheTableSaysWhereEachValueCameFrom() {
+    void aRouteOverridesItsClassAndExplainTellsWhereEachValueCameFrom() {
         OperatorFile file = parse("[class.status]\nattempts = 2\ntotal = \"600ms\"\n"
                 + route("GET", "/status/{id}/days", "status") + "attempts = 4\n");
         assertEquals(List.of(), file.findings());
@@ -258,42 +258,42 @@
     }
 
     @Test
-    void anUnsafeClassIsByItselfTriedAgainOnlyAfterWhatNeverRan() {
+    void anUnsafeClassIsByDefaultRetriedOnlyAfterOutcomesThatProveItNeverRan() {
         OperatorFile file = parse(STATUS);
         Route submit = file.routes().stream().filter(r -> r.requestClass().equals("submit")).findFirst().orElseThrow();
         assertEquals(Set.of(Outcome.CONNECT_FAILED, Outcome.FULL), submit.settings().retryOn());
     }
 
     @Test
-    void theExampleIsGood() {
-        PlatformConstraints usual = new PlatformConstraints(PLATFORM.classes().subList(0, 2), 5, true, 400 * MS);
-        OperatorFile file = OperatorFile.read(Path.of("deploy/operator.example.toml"), usual);
+    void theExampleFileIsValid() {
+        PlatformConstraints platform = new PlatformConstraints(PLATFORM.classes().subList(0, 2), 5, true, 400 * MS);
+        OperatorFile file = OperatorFile.read(Path.of("deploy/operator.example.toml"), platform);
         assertEquals(List.of(), file.findings());
         assertEquals(3, file.routes().size());
     }
 
-    private static Set<Rule> named(Path file) {
-        EnumSet<Rule> named = EnumSet.noneOf(Rule.class);
-        OperatorFile.read(file, PLATFORM).findings().forEach(finding -> named.add(finding.rule()));
-        return named;
+    private static Set<Rule> findRules(Path file) {
+        EnumSet<Rule> rules = EnumSet.noneOf(Rule.class);
+        OperatorFile.read(file, PLATFORM).findings().forEach(finding -> rules.add(finding.rule()));
+        return rules;
     }
 
     @Test
-    void aFileThatIsNoneIsRefused(@TempDir Path folder) throws Exception {
-        assertEquals(Set.of(Rule.FILE_FORM), named(folder), "a directory");
-        assertEquals(Set.of(Rule.FILE_FORM), named(folder.resolve("missing")));
-        assertEquals(Set.of(Rule.FILE_FORM), named(Files.createFile(folder.resolve("empty"))));
-        assertEquals(Set.of(Rule.FILE_FORM), named(Files.writeString(folder.resolve("blank"), " \r\n\n")));
+    void unreadableOrEmptyFilesAreRejected(@TempDir Path folder) throws Exception {
+        assertEquals(Set.of(Rule.FILE_FORM), findRules(folder), "a directory");
+        assertEquals(Set.of(Rule.FILE_FORM), findRules(folder.resolve("missing")));
+        assertEquals(Set.of(Rule.FILE_FORM), findRules(Files.createFile(folder.resolve("empty"))));
+        assertEquals(Set.of(Rule.FILE_FORM), findRules(Files.writeString(folder.resolve("blank"), " \r\n\n")));
         byte[] large = new byte[10_000_000];
         Arrays.fill(large, (byte) '#');
-        assertEquals(Set.of(Rule.FILE_FORM), named(Files.write(folder.resolve("large"), large)));
-        assertEquals(Set.of(Rule.FILE_FORM), named(Files.write(folder.resolve("latin"),
+        assertEquals(Set.of(Rule.FILE_FORM), findRules(Files.write(folder.resolve("large"), large)));
+        assertEquals(Set.of(Rule.FILE_FORM), findRules(Files.write(folder.resolve("latin"),
                 "# \u00fc".getBytes(StandardCharsets.ISO_8859_1))));
-        assertEquals(Set.of(Rule.SYNTAX), named(Files.write(folder.resolve("nul"), new byte[] {'a', 0, 'b'})));
+        assertEquals(Set.of(Rule.SYNTAX), findRules(Files.write(folder.resolve("nul"), new byte[] {'a', 0, 'b'})));
     }
 
     @Test
-    void aByteOrderMarkAndLineEndsOfAnotherSystemMeanNothing(@TempDir Path folder) throws Exception {
+    void aByteOrderMarkAndWindowsLineEndingsAreIgnored(@TempDir Path folder) throws Exception {
         String text = "\uFEFF[class.status]\r\nattempts = 2\r\n[class.amend]\r\ntotal = \"400ms\"\r\n";
         OperatorFile file = OperatorFile.read(Files.writeString(folder.resolve("f"), text), PLATFORM);
         assertEquals(List.of(), file.findings());
--- a/src/test/java/cinderhollow/sim/WireTest.java
+++ b/src/test/java/cinderhollow/sim/WireTest.java
@@ -19,7 +19,7 @@
             + "\tobligations.cold_from=0.5\tobligations.drain_grace_ns=250000000\tobligations.overload_factor=2.5"
             + "\tobligations.overload_for_ns=1500000000\tobligations.warm_up_ns=20000000000"
             + "\tresolution_ns=5000000\tzone=a\tunheard_of=1\n";
-    private static final String ONE_SERVER = "POOL\tslot=0\trows_in=1\n"
+    private static final String ONE_SERVER_LIST = "POOL\tslot=0\trows_in=1\n"
             + "ITEM\thost=host-a\tdc=a\tkind=k\tgroup=0\tstatus=1\tcapacity_hint=1\n"
             + "FLEET\tgateway=3\tscope=3\tepoch=1\tslot=0\n";
     private static final String ASK = "ASK\tgateway=3\trid=t/1\tband=read\texpires_in_ns=2000000000\n";
@@ -28,25 +28,25 @@
         return "BATCH\ttime_ns=" + (1_000_000_000L + turn) + "\tturn=" + turn + "\n" + events + "EOB\n";
     }
 
-    private static String answer(String input) throws IOException {
+    private static String runWire(String input) throws IOException {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         new Wire(new ByteArrayInputStream(input.getBytes(StandardCharsets.UTF_8)), out).run();
         return out.toString(StandardCharsets.UTF_8);
     }
 
     private static void assertMalformed(String input, String message) {
-        Wire.MalformedInput e = assertThrows(Wire.MalformedInput.class, () -> answer(input));
+        Wire.MalformedInput e = assertThrows(Wire.MalformedInput.class, () -> runWire(input));
         assertEquals(message, e.getMessage());
     }
 
     @Test
     void emptyBatchesAreAnsweredWithTheirNumber() throws IOException {
-        assertEquals("NEXT\tturn=1\nNEXT\tturn=2\n", answer(batch(1, "") + batch(2, "")));
+        assertEquals("NEXT\tturn=1\nNEXT\tturn=2\n", runWire(batch(1, "") + batch(2, "")));
     }
 
     @Test
     void aRequestIsForwardedToTheOnlyServer() throws IOException {
-        String reply = answer(batch(1, BEGIN + ONE_SERVER) + batch(2, ASK));
+        String reply = runWire(batch(1, BEGIN + ONE_SERVER_LIST) + batch(2, ASK));
         List<String> lines = reply.lines().filter(l -> l.startsWith("FORWARD")).toList();
         assertEquals(1, lines.size());
         assertTrue(lines.get(0).startsWith("FORWARD\tgateway=3\trid=t/1\thost=host-a\ttry_for_ns="), lines.get(0));
@@ -68,7 +68,7 @@
                 "line 3: FLEET names slot 4, never filled");
     }
 
-    private static List<String> lines(String reply, String tag) {
+    private static List<String> linesWithTag(String reply, String tag) {
         return reply.lines().filter(l -> l.startsWith(tag + "\t")).toList();
     }
 
@@ -77,69 +77,69 @@
         for (String code : List.of("fault", "no_room", "too_slow", "no_route", "cut", "undone", "stale_send")) {
             String done = "DONE\tgateway=3\trid=t/1\tsend_no=0\thost=host-a\toutcome=" + code
                     + "\tdelay_seen_ns=5\tload=0.5,0.1\n";
-            String input = batch(1, BEGIN + ONE_SERVER) + batch(2, ASK) + batch(3, done);
+            String input = batch(1, BEGIN + ONE_SERVER_LIST) + batch(2, ASK) + batch(3, done);
             String late = batch(4, "EXPIRED\tgateway=3\trid=t/1\n" + "REMINDER\tgateway=3\tnonce=2\n");
-            assertEquals(4, lines(answer(input + late), "NEXT").size(), code);
+            assertEquals(4, linesWithTag(runWire(input + late), "NEXT").size(), code);
         }
-        assertMalformed(batch(1, BEGIN + ONE_SERVER + ASK + "DONE\tgateway=3\trid=t/1\tsend_no=0\thost=host-a"
+        assertMalformed(batch(1, BEGIN + ONE_SERVER_LIST + ASK + "DONE\tgateway=3\trid=t/1\tsend_no=0\thost=host-a"
                 + "\toutcome=lost\tdelay_seen_ns=5\n"), "line 7: unknown outcome 'lost'");
     }
 
     @Test
     void streamsProbesAndPeersAreRead() throws IOException {
-        String reply = answer(batch(1, BEGIN + ONE_SERVER + ASK
+        String reply = runWire(batch(1, BEGIN + ONE_SERVER_LIST + ASK
                 + "STREAMING\tgateway=3\trid=t/1\tsend_no=0\thost=host-a\tdelay_seen_ns=5\n"
                 + "PING_RESULT\tgateway=3\thost=host-a\toutcome=pass\tdelay_seen_ns=5\n"
                 + "WHISPER\tgateway=3\tneighbour=2\tbody=68692037\n"));
-        assertEquals(1, lines(reply, "FORWARD").size());
+        assertEquals(1, linesWithTag(reply, "FORWARD").size());
         assertMalformed(batch(1, BEGIN + "WHISPER\tgateway=3\tneighbour=2\tbody=6g\n"),
                 "line 3: body is not hex: '6g'");
     }
 
     @Test
-    void aListNumberUsedAgainWithinABatchIsReadInOrder() throws IOException {
-        String second = ONE_SERVER.replace("host-a", "host-b").replace("scope=3", "scope=1");
-        String reply = answer(batch(1, BEGIN + ONE_SERVER + second + ASK));
-        assertTrue(lines(reply, "FORWARD").get(0).contains("\thost=host-b\t"), reply);
+    void aSlotReusedWithinABatchIsReadInOrder() throws IOException {
+        String second = ONE_SERVER_LIST.replace("host-a", "host-b").replace("scope=3", "scope=1");
+        String reply = runWire(batch(1, BEGIN + ONE_SERVER_LIST + second + ASK));
+        assertTrue(linesWithTag(reply, "FORWARD").get(0).contains("\thost=host-b\t"), reply);
     }
 
     @Test
-    void aKilledInstanceStartsAnewWithinTheBatchAndActsNoMoreWithoutAStart() throws IOException {
-        String again = "RETIRE\tgateway=3\n" + BEGIN + ONE_SERVER.substring(ONE_SERVER.indexOf("FLEET"));
-        String reply = answer(batch(1, BEGIN + ONE_SERVER + ASK) + batch(2, again + ASK.replace("t/1", "t/2")));
-        assertEquals(2, lines(reply, "FORWARD").size());
+    void aRetiredGatewayCanBeginAgainWithinABatchAndIsUnknownUntilThen() throws IOException {
+        String restart = "RETIRE\tgateway=3\n" + BEGIN + ONE_SERVER_LIST.substring(ONE_SERVER_LIST.indexOf("FLEET"));
+        String reply = runWire(batch(1, BEGIN + ONE_SERVER_LIST + ASK) + batch(2, restart + ASK.replace("t/1", "t/2")));
+        assertEquals(2, linesWithTag(reply, "FORWARD").size());
         assertMalformed(batch(1, BEGIN + "RETIRE\tgateway=3\n" + ASK), "line 4: ASK for unknown gateway 3");
     }
 
     @Test
-    void subscribeIsAskedAtOnce() throws IOException {
+    void subscriptionIsRequestedAtOnceAndRetriedAfterAFailure() throws IOException {
         String begin = BEGIN.replace("automatic", "subscribe");
-        assertEquals(1, lines(answer(batch(1, begin + ONE_SERVER)), "SUBSCRIBE").size());
+        assertEquals(1, linesWithTag(runWire(batch(1, begin + ONE_SERVER_LIST)), "SUBSCRIBE").size());
         String failed = "FLEET\tgateway=3\tscope=0\tepoch=1\tslot=0\n";
-        assertTrue(answer(batch(1, begin + ONE_SERVER + failed)).contains("nonce=3"), "a timer for the next request of the list");
+        assertTrue(runWire(batch(1, begin + ONE_SERVER_LIST + failed)).contains("nonce=3"), "a timer for the next request of the list");
     }
 
     @Test
     void equalEventsGiveEqualActionsWhateverOtherInstancesDo() throws IOException {
-        String list = ONE_SERVER + ONE_SERVER.replace("host-a", "host-b").replace("scope=3", "scope=2");
-        StringBuilder asks = new StringBuilder();
-        StringBuilder both = new StringBuilder();
+        String list = ONE_SERVER_LIST + ONE_SERVER_LIST.replace("host-a", "host-b").replace("scope=3", "scope=2");
+        StringBuilder gatewayRequests = new StringBuilder();
+        StringBuilder bothGatewaysRequests = new StringBuilder();
         for (int i = 0; i < 40; i++) {
             String ask = ASK.replace("t/1", "t/" + i);
-            asks.append(ask);
-            both.append(ask.replace("gateway=3", "gateway=4")).append(ask);
+            gatewayRequests.append(ask);
+            bothGatewaysRequests.append(ask.replace("gateway=3", "gateway=4")).append(ask);
         }
-        String alone = answer(batch(1, BEGIN + list) + batch(2, asks.toString()));
-        String other = (BEGIN + list).replace("gateway=3", "gateway=4").replace("prng=7", "prng=8");
-        String together = answer(batch(1, other + BEGIN + list) + batch(2, both.toString()));
+        String alone = runWire(batch(1, BEGIN + list) + batch(2, gatewayRequests.toString()));
+        String otherBegin = (BEGIN + list).replace("gateway=3", "gateway=4").replace("prng=7", "prng=8");
+        String together = runWire(batch(1, otherBegin + BEGIN + list) + batch(2, bothGatewaysRequests.toString()));
         assertEquals(alone.lines().filter(l -> l.contains("gateway=3")).toList(),
                 together.lines().filter(l -> l.contains("gateway=3")).toList());
     }
 
     @Test
     void anExceptionInTheModuleBecomesTheFailureAction() throws IOException {
-        String reply = answer(batch(1, BEGIN + ONE_SERVER + ASK.replace("read", "unheard")));
+        String reply = runWire(batch(1, BEGIN + ONE_SERVER_LIST + ASK.replace("read", "unheard")));
         assertEquals("GIVE_IN\tgateway=3\tmessage=java.lang.IllegalArgumentException: requestClass: unknown class"
-                + " unheard", lines(reply, "GIVE_IN").get(0));
+                + " unheard", linesWithTag(reply, "GIVE_IN").get(0));
     }
 }
