--- a/src/main/java/cinderhollow/lab/FaultSoak.java
+++ b/src/main/java/cinderhollow/lab/FaultSoak.java
@@ -31,7 +31,7 @@
     }
 
     /** Returns the fleet of this seed. */
-    public Site site(long seed) {
+    public Site fleetConfig(long seed) {
         List<RequestClass> classes = new ArrayList<>(Site.usualClasses());
         classes.add(SLOW_KEYED);
         Site site = Site.usual(nodes, gateways, rate, seconds, seed).withImpatient(impatient).withClasses(classes);
