--- a/src/main/java/cinderhollow/cli/DemoCommand.java
+++ b/src/main/java/cinderhollow/cli/DemoCommand.java
@@ -59,7 +59,7 @@
         Commands.print(spec, plan.faults().isEmpty() ? "nothing" : plan.toString().stripTrailing());
         // On a terminal each second's line overwrites the previous one; otherwise each is printed as a line of its own.
         boolean onTerminal = System.console() != null;
-        try (Lab lab = new Lab(site, plan, GatewayProcess.with(GatewayProcess.DEPLOYED), second -> {
+        try (Lab lab = new Lab(site, plan, GatewayProcess.launcher(GatewayProcess.DEPLOYMENT_JVM_FLAGS), second -> {
             if (onTerminal) {
                 System.out.print("\r\u001b[K" + second);
                 System.out.flush();
--- a/src/main/java/cinderhollow/cli/LabFaultSoakCommand.java
+++ b/src/main/java/cinderhollow/cli/LabFaultSoakCommand.java
@@ -80,7 +80,7 @@
     private boolean runSeed(long seed) throws IOException, InterruptedException, ExecutionException {
         FaultSoak soak = new FaultSoak(nodes, gateways, rate, seconds, impatient);
         Plan plan = soak.plan(seed);
-        try (Lab lab = new Lab(soak.fleetConfig(seed), plan, GatewayProcess.with(GatewayProcess.DEPLOYED, buildEnvironment(seed)), second -> { })) {
+        try (Lab lab = new Lab(soak.fleetConfig(seed), plan, GatewayProcess.launcher(GatewayProcess.DEPLOYMENT_JVM_FLAGS, buildEnvironment(seed)), second -> { })) {
             Commands.closeOnExit(lab);
             Report report = lab.run();
             boolean passed = report.isClean() && report.rudeLeft() == 0;
--- a/src/main/java/cinderhollow/cli/LabZonesCommand.java
+++ b/src/main/java/cinderhollow/cli/LabZonesCommand.java
@@ -68,7 +68,7 @@
         Site site = Site.usual(nodes, gateways, rate, seconds, seed);
         Plan plan = Plan.zone(seed, fault, faultSeconds, size, gateways, killed, asleep);
         Commands.print(spec, "seed " + seed + ", " + plan.toString().strip().replace("\n", ", ") + (withoutPeering ? ", without talk" : ""));
-        try (Lab lab = new Lab(site, plan, GatewayProcess.with(GatewayProcess.DEPLOYED), second -> Commands.print(spec, second),
+        try (Lab lab = new Lab(site, plan, GatewayProcess.launcher(GatewayProcess.DEPLOYMENT_JVM_FLAGS), second -> Commands.print(spec, second),
                 new Lab.Zoned(!withoutPeering, delayMillis, loss))) {
             Commands.closeOnExit(lab);
             Report report = lab.run();
--- a/src/main/java/cinderhollow/lab/GatewayProcess.java
+++ b/src/main/java/cinderhollow/lab/GatewayProcess.java
@@ -14,7 +14,7 @@
 /** A real gateway: this program's command {@code serve} in a process of its own, as in the deployment. */
 public final class GatewayProcess implements Gateways.Running {
     /** JVM flags of the deployment's command, for a small footprint and a quick start. */
-    public static final List<String> DEPLOYED = List.of("-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1",
+    public static final List<String> DEPLOYMENT_JVM_FLAGS = List.of("-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1",
             "-XX:CICompilerCount=1", "-Xms40m", "-Xmx64m", "-Xss512k", "-XX:-UsePerfData",
             "-XX:MaxDirectMemorySize=24m", "-Dio.netty.allocator.numDirectArenas=1",
             "-Dio.netty.allocator.numHeapArenas=1", "-Dio.netty.allocator.maxOrder=5",
@@ -30,12 +30,12 @@
     }
 
     /** Returns a launcher of gateways with these JVM flags. */
-    public static Gateways with(List<String> flags) {
+    public static Gateways launcher(List<String> flags) {
         return spec -> start(flags, "serve", spec);
     }
 
     /** Returns a launcher that also sets these environment variables, such as {@code LD_PRELOAD}. */
-    public static Gateways with(List<String> flags, Map<String, String> variables) {
+    public static Gateways launcher(List<String> flags, Map<String, String> variables) {
         return spec -> {
             Map<String, String> environment = new HashMap<>(spec.environment());
             environment.putAll(variables);
--- a/src/test/java/cinderhollow/lab/FaultSoakTest.java
+++ b/src/test/java/cinderhollow/lab/FaultSoakTest.java
@@ -13,7 +13,7 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     void noRuleIsBroken(long seed) throws Exception {
-        try (Lab lab = new Lab(SMALL.fleetConfig(seed), SMALL.plan(seed), GatewayProcess.with(GatewayProcess.DEPLOYED), second -> { })) {
+        try (Lab lab = new Lab(SMALL.fleetConfig(seed), SMALL.plan(seed), GatewayProcess.launcher(GatewayProcess.DEPLOYMENT_JVM_FLAGS), second -> { })) {
             Report report = lab.run();
             assertTrue(report.isClean(), () -> SMALL.plan(seed) + "\n" + report);
             assertEquals(0, report.rudeLeft(), report::toString);
