--- a/src/main/java/cinderhollow/cli/LabFaultSoakCommand.java
+++ b/src/main/java/cinderhollow/cli/LabFaultSoakCommand.java
@@ -110,7 +110,7 @@
         Files.writeString(directory.resolve("plan.txt"), plan.toString());
         Files.writeString(directory.resolve("report.txt"), report + "\n");
         Files.writeString(directory.resolve("again.txt"), rerunCommand(seed) + "\n");
-        lab.keepLogs(directory);
+        lab.copyLogs(directory);
     }
 
     private Map<String, String> buildEnvironment(long seed) {
--- a/src/main/java/cinderhollow/cli/LabZonesCommand.java
+++ b/src/main/java/cinderhollow/cli/LabZonesCommand.java
@@ -69,13 +69,13 @@
         Plan plan = Plan.zone(seed, fault, faultSeconds, size, gateways, killed, asleep);
         Commands.print(spec, "seed " + seed + ", " + plan.toString().strip().replace("\n", ", ") + (withoutPeering ? ", without talk" : ""));
         try (Lab lab = new Lab(site, plan, GatewayProcess.launcher(GatewayProcess.DEPLOYMENT_JVM_FLAGS), second -> Commands.print(spec, second),
-                new Lab.Zoned(!withoutPeering, delayMillis, loss))) {
+                new Lab.ZoneNetworkOptions(!withoutPeering, delayMillis, loss))) {
             Commands.closeOnExit(lab);
             Report report = lab.run();
             Commands.print(spec, report);
             Commands.print(spec, String.format(Locale.ROOT, "verdict: seed %d %s%s: %s; %d not served in their aim from the trouble on; %s", seed, fault,
-                    withoutPeering ? " without" : "", report.isClean() ? "clean" : "rules broken", lab.lostSinceTrouble(),
-                    lab.leaves()));
+                    withoutPeering ? " without" : "", report.isClean() ? "clean" : "rules broken", lab.missedAimSinceFault(),
+                    lab.evacuationSummary()));
             return report.isClean() ? 0 : DemoCommand.EXIT_RULES_BROKEN;
         }
     }
--- a/src/main/java/cinderhollow/lab/Lab.java
+++ b/src/main/java/cinderhollow/lab/Lab.java
@@ -74,7 +74,7 @@
     private final SplittableRandom news;
     private final EventLoop clientLoop;
     /** Null, like the next two, if there is no network between zones. */
-    private final Zoned zoned;
+    private final ZoneNetworkOptions zoned;
     private final Network network;
     private final Leaves leaves;
     /** Totals at the beginning of a zone's fault, like the next field; accessed on the client loop only. */
@@ -93,7 +93,7 @@
      * @param delayMillis delay from one zone to another, each way
      * @param loss fraction of the datagrams between zones that are lost
      */
-    public record Zoned(boolean talk, long delayMillis, double loss) { }
+    public record ZoneNetworkOptions(boolean talk, long delayMillis, double loss) { }
 
     /** One gateway of the fleet, across all its processes. */
     private static final class Host {
@@ -118,7 +118,7 @@
     }
 
     /** Creates a fleet with a network between its zones, or without one if the options are null. */
-    public Lab(Site site, Plan plan, Gateways launcher, Consumer<Report.Second> live, Zoned zoned) throws IOException {
+    public Lab(Site site, Plan plan, Gateways launcher, Consumer<Report.Second> live, ZoneNetworkOptions zoned) throws IOException {
         InternalLoggerFactory.setDefaultFactory(JdkLoggerFactory.INSTANCE);
         checkDescriptors(site);
         this.site = site;
@@ -249,12 +249,12 @@
     }
 
     /** Returns a summary of when the gateways left the faulty zone, or null without a network between zones. */
-    public String leaves() {
+    public String evacuationSummary() {
         return leaves == null ? null : leaves.toString();
     }
 
     /** Returns the number of requests since a zone's fault began that missed their aim; call it after {@link #run}. */
-    public long lostSinceTrouble() throws InterruptedException, ExecutionException {
+    public long missedAimSinceFault() throws InterruptedException, ExecutionException {
         return on(clientLoop, () -> clients.all().asked - askedBefore - (clients.all().inAim - inAimBefore));
     }
 
@@ -633,7 +633,7 @@
     }
 
     /** Copies the gateways' logs into this folder. Call it before {@link #close}. */
-    public void keepLogs(Path into) throws IOException {
+    public void copyLogs(Path into) throws IOException {
         Files.createDirectories(into);
         try (Stream<Path> files = Files.list(folder)) {
             for (Path log : files.filter(file -> file.toString().endsWith(".log")).toList()) {
