--- a/src/main/java/cinderhollow/cli/LabCommand.java
+++ b/src/main/java/cinderhollow/cli/LabCommand.java
@@ -1,6 +1,6 @@
 package cinderhollow.cli;
 
-import cinderhollow.lab.Load;
+import cinderhollow.lab.LoadBenchmark;
 import cinderhollow.lab.Plan;
 import cinderhollow.lab.SingleNode;
 import cinderhollow.lab.Starts;
@@ -115,8 +115,8 @@
 
         @Override
         public Integer call() throws IOException, InterruptedException, ExecutionException {
-            try (Load load = new Load(nodes, connections,
-                    codec ? Load.Way.CODEC : relay ? Load.Way.RELAY : Load.Way.GATEWAY, changes, cpus,
+            try (LoadBenchmark load = new LoadBenchmark(nodes, connections,
+                    codec ? LoadBenchmark.Target.CODEC : relay ? LoadBenchmark.Target.RELAY : LoadBenchmark.Target.GATEWAY, changes, cpus,
                     operatorFile == null ? null : operatorFile.toAbsolutePath().toString(), javaFlags)) {
                 Runtime.getRuntime().addShutdownHook(new Thread(load::close));
                 Commands.print(spec, load.run(warmUp, seconds));
@@ -168,7 +168,7 @@
 
         @Override
         public Integer call() throws InterruptedException {
-            Load.relay(listen, to, codec);
+            LoadBenchmark.relay(listen, to, codec);
             return Commands.KEEPS_RUNNING;
         }
     }
--- a/src/main/java/cinderhollow/lab/Load.java
+++ b/src/main/java/cinderhollow/lab/LoadBenchmark.java
@@ -47,14 +47,14 @@
  * Measures the throughput, latency and CPU time of one gateway process, with closed-loop clients and nodes that answer at once.
  * Several nodes may share a listener, since what a long list costs the gateway depends on its names.
  */
-public final class Load implements AutoCloseable {
+public final class LoadBenchmark implements AutoCloseable {
     /** What is measured: a gateway, a relay of bytes, or a relay that decodes and encodes the HTTP messages that it forwards. */
-    public enum Way {
+    public enum Target {
         GATEWAY("gateway"), RELAY("bare relay"), CODEC("relay with codec");
 
         private final String words;
 
-        Way(String words) {
+        Target(String words) {
             this.words = words;
         }
 
@@ -74,7 +74,7 @@
 
     private final int nodes;
     private final int connections;
-    private final Way way;
+    private final Target way;
     private final int changes;
     private final String cpus;
     private final String operator;
@@ -92,7 +92,7 @@
      *
      * @throws IllegalArgumentException if the number of nodes or connections is out of range
      */
-    public Load(int nodes, int connections, Way way, int changes, String cpus, String operator, List<String> flags)
+    public LoadBenchmark(int nodes, int connections, Target way, int changes, String cpus, String operator, List<String> flags)
             throws IOException {
         if (nodes < 1 || nodes > 100_000 || connections < 1 || connections > 5_000) {
             throw new IllegalArgumentException("the number of nodes must be 1 to 100000, and that of connections 1 to 5000");
@@ -160,10 +160,10 @@
         command.addAll(GatewayProcess.java(flags, folder));
         ProcessBuilder builder = new ProcessBuilder(command).redirectErrorStream(true)
                 .redirectOutput(folder.resolve("log").toFile());
-        if (way != Way.GATEWAY) {
+        if (way != Target.GATEWAY) {
             command.addAll(List.of("lab", "relay", "--listen", String.valueOf(port), "--to",
                     String.valueOf(listeners.get(0).getPort())));
-            if (way == Way.CODEC) {
+            if (way == Target.CODEC) {
                 command.add("--codec");
             }
         } else {
--- a/src/test/java/cinderhollow/lab/LoadTest.java
+++ b/src/test/java/cinderhollow/lab/LoadTest.java
@@ -9,9 +9,9 @@
 /** Checks that the benchmark runs and reports a result; the figures don't matter here. */
 class LoadTest {
     @ParameterizedTest
-    @EnumSource(Load.Way.class)
-    void aGatewayAndRelaysAreMeasured(Load.Way way) throws Exception {
-        try (Load load = new Load(20, 4, way, 50, null, null, List.of("-Xmx128m"))) {
+    @EnumSource(LoadBenchmark.Target.class)
+    void aGatewayAndRelaysAreMeasured(LoadBenchmark.Target way) throws Exception {
+        try (LoadBenchmark load = new LoadBenchmark(20, 4, way, 50, null, null, List.of("-Xmx128m"))) {
             String line = load.run(3, 1);
             assertTrue(line.matches(way + ", 20 nodes, 4 connections: [1-9][0-9]* a second, .*"), line);
             assertTrue(line.contains(" 0 of "), line);
