--- a/src/main/java/cinderhollow/cli/DemoCommand.java
+++ b/src/main/java/cinderhollow/cli/DemoCommand.java
@@ -2,7 +2,7 @@
 
 import cinderhollow.lab.GatewayProcess;
 import cinderhollow.lab.Lab;
-import cinderhollow.lab.Plan;
+import cinderhollow.lab.FaultPlan;
 import cinderhollow.lab.Report;
 import cinderhollow.lab.Site;
 import java.io.IOException;
@@ -42,8 +42,8 @@
     public Integer call() throws IOException, InterruptedException, ExecutionException {
         long effectiveSeed = seed == null ? System.nanoTime() & 0xffff_ffffL : seed;
         Site site = fleet.buildSite(seconds, effectiveSeed);
-        Plan plan = planFile == null ? Plan.demo(effectiveSeed, seconds, fleet.nodes())
-                : Plan.parse(Files.readString(planFile), fleet.nodes(), fleet.gateways());
+        FaultPlan plan = planFile == null ? FaultPlan.demo(effectiveSeed, seconds, fleet.nodes())
+                : FaultPlan.parse(Files.readString(planFile), fleet.nodes(), fleet.gateways());
         return runLab(spec, site, plan, fleet.reportFile());
     }
 
@@ -52,7 +52,7 @@
      *
      * @return the exit code
      */
-    static int runLab(CommandSpec spec, Site site, Plan plan, Path reportFile)
+    static int runLab(CommandSpec spec, Site site, FaultPlan plan, Path reportFile)
             throws IOException, InterruptedException, ExecutionException {
         Commands.print(spec, "seed " + site.seed() + ", " + site.nodes() + " nodes, " + site.gateways() + " gateways, "
                 + site.rate() + " requests a second; what will go wrong:");
--- a/src/main/java/cinderhollow/cli/LabCommand.java
+++ b/src/main/java/cinderhollow/cli/LabCommand.java
@@ -1,7 +1,7 @@
 package cinderhollow.cli;
 
 import cinderhollow.lab.LoadBenchmark;
-import cinderhollow.lab.Plan;
+import cinderhollow.lab.FaultPlan;
 import cinderhollow.lab.SingleNode;
 import cinderhollow.lab.Starts;
 import java.io.IOException;
@@ -70,7 +70,7 @@
 
         @Override
         public Integer call() throws IOException, InterruptedException, ExecutionException {
-            Plan plan = Plan.draw(seed, seconds, fleet.nodes(), fleet.gateways(), faults);
+            FaultPlan plan = FaultPlan.draw(seed, seconds, fleet.nodes(), fleet.gateways(), faults);
             return DemoCommand.runLab(spec, fleet.buildSite(seconds, seed), plan, fleet.reportFile());
         }
     }
--- a/src/main/java/cinderhollow/cli/LabFaultSoakCommand.java
+++ b/src/main/java/cinderhollow/cli/LabFaultSoakCommand.java
@@ -3,7 +3,7 @@
 import cinderhollow.lab.FaultSoak;
 import cinderhollow.lab.GatewayProcess;
 import cinderhollow.lab.Lab;
-import cinderhollow.lab.Plan;
+import cinderhollow.lab.FaultPlan;
 import cinderhollow.lab.Report;
 import java.io.IOException;
 import java.nio.file.Files;
@@ -79,7 +79,7 @@
 
     private boolean runSeed(long seed) throws IOException, InterruptedException, ExecutionException {
         FaultSoak soak = new FaultSoak(nodes, gateways, rate, seconds, impatient);
-        Plan plan = soak.plan(seed);
+        FaultPlan plan = soak.plan(seed);
         try (Lab lab = new Lab(soak.fleetConfig(seed), plan, GatewayProcess.launcher(GatewayProcess.DEPLOYMENT_JVM_FLAGS, buildEnvironment(seed)), second -> { })) {
             Commands.closeOnExit(lab);
             Report report = lab.run();
@@ -102,7 +102,7 @@
                 + (preloadLibrary == null ? "" : " --preload " + preloadLibrary + " --percent " + percent);
     }
 
-    private void saveArtifacts(Lab lab, long seed, Plan plan, Report report) throws IOException {
+    private void saveArtifacts(Lab lab, long seed, FaultPlan plan, Report report) throws IOException {
         if (outputDirectory == null) {
             return;
         }
--- a/src/main/java/cinderhollow/cli/LabZonesCommand.java
+++ b/src/main/java/cinderhollow/cli/LabZonesCommand.java
@@ -2,7 +2,7 @@
 
 import cinderhollow.lab.GatewayProcess;
 import cinderhollow.lab.Lab;
-import cinderhollow.lab.Plan;
+import cinderhollow.lab.FaultPlan;
 import cinderhollow.lab.Report;
 import cinderhollow.lab.Site;
 import java.io.IOException;
@@ -66,7 +66,7 @@
     @Override
     public Integer call() throws IOException, InterruptedException, ExecutionException {
         Site site = Site.usual(nodes, gateways, rate, seconds, seed);
-        Plan plan = Plan.zone(seed, fault, faultSeconds, size, gateways, killed, asleep);
+        FaultPlan plan = FaultPlan.zoneFault(seed, fault, faultSeconds, size, gateways, killed, asleep);
         Commands.print(spec, "seed " + seed + ", " + plan.toString().strip().replace("\n", ", ") + (withoutPeering ? ", without talk" : ""));
         try (Lab lab = new Lab(site, plan, GatewayProcess.launcher(GatewayProcess.DEPLOYMENT_JVM_FLAGS), second -> Commands.print(spec, second),
                 new Lab.ZoneNetworkOptions(!withoutPeering, delayMillis, loss))) {
--- a/src/main/java/cinderhollow/lab/Fault.java
+++ b/src/main/java/cinderhollow/lab/Fault.java
@@ -116,7 +116,7 @@
         };
     }
 
-    /** Returns the fault as a line of a plan that {@link Plan#parse} can read. */
+    /** Returns the fault as a line of a plan that {@link FaultPlan#parse} can read. */
     @Override
     public String toString() {
         return "at " + atMillis + "ms " + kind.word() + " " + whoText() + " for " + forMillis + "ms size "
--- a/src/main/java/cinderhollow/lab/Plan.java
+++ b/src/main/java/cinderhollow/lab/FaultPlan.java
@@ -17,7 +17,7 @@
  * at 3000ms crash node-2 for 4000ms size 1
  * }</pre>
  */
-public record Plan(List<Fault> faults) {
+public record FaultPlan(List<Fault> faults) {
     /** In milliseconds. A decision to leave a zone takes about a second, so that half a second is in the middle of it. */
     private static final long IN_THE_MIDDLE = 500, KILLED_FOR = 500, ASLEEP_FOR = 5_000;
     /** For {@link #overlapping}, in milliseconds: the longest pause of a gateway, and the time that a restart takes. */
@@ -39,13 +39,13 @@
     private static final int WORDS = 8, AT = 1, KIND = 2, WHO = 3, FOR = 5, SIZE = 7;
 
     /** Creates a plan; the faults are sorted by time. */
-    public Plan {
+    public FaultPlan {
         faults = faults.stream().sorted(Comparator.comparingLong(Fault::atMillis)).toList();
     }
 
     /** Returns a plan without faults. */
-    public static Plan calm() {
-        return new Plan(List.of());
+    public static FaultPlan calm() {
+        return new FaultPlan(List.of());
     }
 
     /**
@@ -53,7 +53,7 @@
      *
      * @throws IllegalArgumentException if lines can't be parsed or name a target that does not exist; the message lists them all
      */
-    public static Plan parse(String text, int nodes, int gateways) {
+    public static FaultPlan parse(String text, int nodes, int gateways) {
         List<Fault> faults = new ArrayList<>();
         List<String> wrong = new ArrayList<>();
         String[] lines = text.split("\n", -1);
@@ -70,7 +70,7 @@
         if (!wrong.isEmpty()) {
             throw new IllegalArgumentException("invalid fault plan: " + String.join("; ", wrong));
         }
-        return new Plan(faults);
+        return new FaultPlan(faults);
     }
 
     private static Fault fault(String line, int nodes, int gateways) {
@@ -139,7 +139,7 @@
      * Returns the plan of the command {@code demo}: a crash with a cold restart, a drain and a period of errors, on nodes and at
      * times drawn from the seed.
      */
-    public static Plan demo(long seed, long seconds, int nodes) {
+    public static FaultPlan demo(long seed, long seconds, int nodes) {
         SplittableRandom random = new SplittableRandom(seed);
         List<Integer> who = shuffled(random, nodes);
         long day = seconds * 1000;
@@ -149,7 +149,7 @@
                 part(random, day, 0.20, 0.30), 1));
         faults.add(new Fault(part(random, day, 0.50, 0.60), Kind.ERRORS, who.get(2 % nodes),
                 part(random, day, 0.15, 0.25), 0.9));
-        return new Plan(faults);
+        return new FaultPlan(faults);
     }
 
     /**
@@ -158,7 +158,7 @@
      *
      * @throws IllegalArgumentException if there are fewer gateways than are to be killed and paused, or the kind is unknown
      */
-    public static Plan zone(long seed, String word, long seconds, double size, int gateways, int killed, int asleep) {
+    public static FaultPlan zoneFault(long seed, String word, long seconds, double size, int gateways, int killed, int asleep) {
         if (killed < 0 || asleep < 0 || killed + asleep > gateways) {
             throw new IllegalArgumentException("of " + gateways + " gateways, " + killed + " can't be killed and " + asleep
                     + " paused");
@@ -174,15 +174,15 @@
         for (int i = killed; i < killed + asleep; i++) {
             faults.add(new Fault(at - IN_THE_MIDDLE, Kind.PAUSE_GATEWAY, who.get(i), ASLEEP_FOR, 1));
         }
-        return new Plan(faults);
+        return new FaultPlan(faults);
     }
 
     /**
      * Returns a long plan of faults of these kinds. A target has one fault at a time, and faults affect at most a quarter of the
      * nodes, but at least one, and at most one gateway at a time.
      */
-    public static Plan draw(long seed, long seconds, int nodes, int gateways, List<String> kinds) {
-        List<Kind> drawn = kinds.stream().map(Plan::kind).toList();
+    public static FaultPlan draw(long seed, long seconds, int nodes, int gateways, List<String> kinds) {
+        List<Kind> drawn = kinds.stream().map(FaultPlan::kind).toList();
         SplittableRandom random = new SplittableRandom(seed);
         List<Fault> faults = new ArrayList<>();
         long end = seconds * 1000;
@@ -194,7 +194,7 @@
                 faults.add(fault);
             }
         }
-        return new Plan(faults);
+        return new FaultPlan(faults);
     }
 
     /**
@@ -202,7 +202,7 @@
      * of signals round SIGTERM and the platform's kill after it. Up to half of the nodes have a fault of any kind at a time,
      * discovery fails and moves, and misbehaving clients connect.
      */
-    public static Plan overlapping(long seed, long seconds, int nodes, int gateways) {
+    public static FaultPlan overlapping(long seed, long seconds, int nodes, int gateways) {
         SplittableRandom random = new SplittableRandom(seed);
         List<Fault> faults = new ArrayList<>();
         long end = seconds * 1000;
@@ -236,7 +236,7 @@
         for (long at = random.nextLong(500, 2_000); at < end - 4_000; at += random.nextLong(500, 3_000)) {
             faults.add(new Fault(at, Kind.RUDE, random.nextInt(gateways), 500, size(random, Kind.RUDE)));
         }
-        return new Plan(faults);
+        return new FaultPlan(faults);
     }
 
     /** Adds signals round a gateway's shutdown in any order: SIGHUP, another SIGTERM, and pauses as on a busy machine. */
@@ -249,14 +249,14 @@
     }
 
     /** Returns this plan with crowds of silent clients at random gateways, each of half to all of the maximum size. */
-    public Plan withCrowds(long seed, long seconds, int gateways, int most) {
+    public FaultPlan withCrowds(long seed, long seconds, int gateways, int most) {
         SplittableRandom random = new SplittableRandom(seed ^ CROWD_STREAM);
         List<Fault> all = new ArrayList<>(faults);
         for (long at = random.nextLong(500, 2_000); at < seconds * 1000 - 2_000; at += random.nextLong(1_000, 3_000)) {
             all.add(new Fault(at, Kind.CROWD, random.nextInt(gateways), random.nextLong(1_000, 4_000),
                     random.nextInt(most / 2, most + 1)));
         }
-        return new Plan(all);
+        return new FaultPlan(all);
     }
 
     private static int who(SplittableRandom random, Kind kind, int nodes, int gateways) {
--- a/src/main/java/cinderhollow/lab/FaultSoak.java
+++ b/src/main/java/cinderhollow/lab/FaultSoak.java
@@ -39,8 +39,8 @@
     }
 
     /** Returns the fault plan of this seed. */
-    public Plan plan(long seed) {
-        Plan plan = Plan.overlapping(seed, seconds, nodes, gateways);
+    public FaultPlan plan(long seed) {
+        FaultPlan plan = FaultPlan.overlapping(seed, seconds, nodes, gateways);
         return isCrowded(seed) ? plan.withCrowds(seed, seconds, gateways, LARGEST_CROWD) : plan;
     }
 }
--- a/src/main/java/cinderhollow/lab/Lab.java
+++ b/src/main/java/cinderhollow/lab/Lab.java
@@ -56,7 +56,7 @@
     private static final long KEPT_BEFORE_MILLIS = 400;
 
     private final Site site;
-    private final Plan plan;
+    private final FaultPlan plan;
     private final Gateways launcher;
     private final Consumer<Report.Second> live;
     private final Path folder;
@@ -113,12 +113,12 @@
     }
 
     /** Creates a fleet without starting it. While it runs, the listener gets a summary each second. */
-    public Lab(Site site, Plan plan, Gateways launcher, Consumer<Report.Second> live) throws IOException {
+    public Lab(Site site, FaultPlan plan, Gateways launcher, Consumer<Report.Second> live) throws IOException {
         this(site, plan, launcher, live, null);
     }
 
     /** Creates a fleet with a network between its zones, or without one if the options are null. */
-    public Lab(Site site, Plan plan, Gateways launcher, Consumer<Report.Second> live, ZoneNetworkOptions zoned) throws IOException {
+    public Lab(Site site, FaultPlan plan, Gateways launcher, Consumer<Report.Second> live, ZoneNetworkOptions zoned) throws IOException {
         InternalLoggerFactory.setDefaultFactory(JdkLoggerFactory.INSTANCE);
         checkDescriptors(site);
         this.site = site;
--- a/src/main/java/cinderhollow/lab/package-info.java
+++ b/src/main/java/cinderhollow/lab/package-info.java
@@ -4,7 +4,7 @@
  * through their sockets only, apart from signals to processes.
  *
  * <p>The classes that decide ({@link cinderhollow.lab.NodeModel}, {@link cinderhollow.lab.Auditor},
- * {@link cinderhollow.lab.Plan}, {@link cinderhollow.lab.Arrivals}) do no I/O and get the time passed in. Other classes own
+ * {@link cinderhollow.lab.FaultPlan}, {@link cinderhollow.lab.Arrivals}) do no I/O and get the time passed in. Other classes own
  * the sockets.
  */
 package cinderhollow.lab;
--- a/src/test/java/cinderhollow/ArchitectureTest.java
+++ b/src/test/java/cinderhollow/ArchitectureTest.java
@@ -77,7 +77,7 @@
                 .or().haveFullyQualifiedName("cinderhollow.membership.Subset")
                 .or().haveFullyQualifiedName("cinderhollow.lab.Auditor")
                 .or().haveFullyQualifiedName("cinderhollow.lab.NodeModel")
-                .or().haveFullyQualifiedName("cinderhollow.lab.Plan")
+                .or().haveFullyQualifiedName("cinderhollow.lab.FaultPlan")
                 .or().haveFullyQualifiedName("cinderhollow.lab.Arrivals")
                 .should().dependOnClassesThat().resideInAnyPackage("io.netty..", "java.net..", "java.nio", "java.nio.channels..",
                         "java.nio.file..", "java.io..")
--- a/src/test/java/cinderhollow/lab/BrokenGatewayTest.java
+++ b/src/test/java/cinderhollow/lab/BrokenGatewayTest.java
@@ -77,7 +77,7 @@
 
     private static Report correct(long seed) throws Exception {
         Site site = new Site(8, 2, 60, SECONDS, seed, Site.usualClasses(), 0.05, 2, 1024, Site.USUAL, null);
-        Plan plan = Plan.draw(seed, SECONDS + 2, 8, 2, List.of("crash", "drain", "silent", "slow", "errors",
+        FaultPlan plan = FaultPlan.draw(seed, SECONDS + 2, 8, 2, List.of("crash", "drain", "silent", "slow", "errors",
                 "reset-before", "reset-after", "kill-gateway", "stop-gateway"));
         try (Lab lab = new Lab(site, plan, ScriptedGateway.with(Flaw.NONE), second -> { })) {
             return lab.run();
@@ -90,7 +90,7 @@
                 new Site.Figures(0.31, 8_400, 2.5, 1_500, 500, false), null);
         String plan = flaw == Flaw.LOSES_AT_THE_END
                 ? PLAN + "at 1500ms stop-gateway gw-0 for 1ms size 1\nat 2500ms stop-gateway gw-1 for 1ms size 1\n" : PLAN;
-        try (Lab lab = new Lab(site, Plan.parse(plan, 6, 2), ScriptedGateway.with(flaw), second -> { })) {
+        try (Lab lab = new Lab(site, FaultPlan.parse(plan, 6, 2), ScriptedGateway.with(flaw), second -> { })) {
             return lab.run();
         }
     }
--- a/src/test/java/cinderhollow/lab/LabTest.java
+++ b/src/test/java/cinderhollow/lab/LabTest.java
@@ -22,7 +22,7 @@
     private static final int PATIENCE_SECONDS = 60;
 
     private static Report play(Site site, String plan) throws Exception {
-        try (Lab lab = new Lab(site, Plan.parse(plan, site.nodes(), site.gateways()),
+        try (Lab lab = new Lab(site, FaultPlan.parse(plan, site.nodes(), site.gateways()),
                 GatewayProcess.launcher(GatewayProcess.DEPLOYMENT_JVM_FLAGS), second -> { })) {
             return lab.run();
         }
@@ -71,7 +71,7 @@
     @Test
     void aFleetTooLargeForTheDescriptorsIsRefusedInOneLine() {
         String line = assertThrows(IllegalArgumentException.class, () -> new Lab(Site.usual(10_000, 50, 1, 1, 1),
-                Plan.calm(), GatewayProcess.launcher(List.of()), second -> { })).getMessage();
+                FaultPlan.calm(), GatewayProcess.launcher(List.of()), second -> { })).getMessage();
         assertTrue(line.startsWith("too few file descriptors: this run may need ") && !line.contains("\n"), line);
     }
 
--- a/src/test/java/cinderhollow/lab/PlanTest.java
+++ b/src/test/java/cinderhollow/lab/PlanTest.java
@@ -21,24 +21,24 @@
 
     @Test
     void theSameSeedGivesTheSamePlanAndAnotherOneAnother() {
-        assertEquals(Plan.draw(7, 120, 9, 3, ALL), Plan.draw(7, 120, 9, 3, ALL));
-        assertTrue(!Plan.draw(7, 120, 9, 3, ALL).equals(Plan.draw(8, 120, 9, 3, ALL)));
-        assertEquals(Plan.demo(7, 20, 9), Plan.demo(7, 20, 9));
+        assertEquals(FaultPlan.draw(7, 120, 9, 3, ALL), FaultPlan.draw(7, 120, 9, 3, ALL));
+        assertTrue(!FaultPlan.draw(7, 120, 9, 3, ALL).equals(FaultPlan.draw(8, 120, 9, 3, ALL)));
+        assertEquals(FaultPlan.demo(7, 20, 9), FaultPlan.demo(7, 20, 9));
     }
 
     /** Guards against printed plans that can't be parsed to repeat a run. */
     @Test
     void whatIsPrintedIsReadAsTheSamePlan() {
         for (long seed = 0; seed < 50; seed++) {
-            Plan plan = Plan.draw(seed, 60, 9, 3, ALL);
-            assertEquals(plan, Plan.parse(plan.toString(), 9, 3), "seed " + seed);
+            FaultPlan plan = FaultPlan.draw(seed, 60, 9, 3, ALL);
+            assertEquals(plan, FaultPlan.parse(plan.toString(), 9, 3), "seed " + seed);
         }
     }
 
     @Test
     void aDrawnPlanLeavesMostNodesAndAllButOneGatewayAlone() {
         LongStream.range(0, 50).forEach(seed -> {
-            List<Fault> faults = Plan.draw(seed, 120, 9, 3, ALL).faults();
+            List<Fault> faults = FaultPlan.draw(seed, 120, 9, 3, ALL).faults();
             assertTrue(faults.size() > 20, "seed " + seed);
             for (Fault one : faults) {
                 long beside = faults.stream().filter(o -> o != one && o.kind().target() == one.kind().target()
@@ -53,9 +53,9 @@
     void overlappingPlansHaveSignalsRoundEachEndAndAreReadAsTheyArePrinted() {
         Set<Kind> seen = EnumSet.noneOf(Kind.class);
         for (long seed = 0; seed < 20; seed++) {
-            Plan plan = Plan.overlapping(seed, 20, 18, 12).withCrowds(seed, 20, 12, 150);
-            assertEquals(plan, Plan.parse(plan.toString(), 18, 12), "seed " + seed);
-            assertEquals(plan, Plan.overlapping(seed, 20, 18, 12).withCrowds(seed, 20, 12, 150));
+            FaultPlan plan = FaultPlan.overlapping(seed, 20, 18, 12).withCrowds(seed, 20, 12, 150);
+            assertEquals(plan, FaultPlan.parse(plan.toString(), 18, 12), "seed " + seed);
+            assertEquals(plan, FaultPlan.overlapping(seed, 20, 18, 12).withCrowds(seed, 20, 12, 150));
             plan.faults().forEach(fault -> seen.add(fault.kind()));
         }
         assertTrue(seen.containsAll(EnumSet.of(Kind.STOP_GATEWAY, Kind.STOP_AGAIN, Kind.HANG_UP_GATEWAY, Kind.KILL_GATEWAY,
@@ -64,7 +64,7 @@
 
     @Test
     void aGatewayThatIsAloneIsNeitherKilledNorStopped() {
-        assertTrue(Plan.draw(3, 300, 9, 1, List.of("kill-gateway", "stop-gateway")).faults().isEmpty());
+        assertTrue(FaultPlan.draw(3, 300, 9, 1, List.of("kill-gateway", "stop-gateway")).faults().isEmpty());
     }
 
     @ParameterizedTest
@@ -75,14 +75,14 @@
         "at 1e300ms crash node-1 for 1ms size 1", "at 3ms crash node-1 for 1ms size 1 more"})
     void aLineThatCannotBeReadIsNamedByItsNumber(String line) {
         String message = assertThrows(IllegalArgumentException.class,
-                () -> Plan.parse("# fine\n\n" + line + "\n", 9, 3)).getMessage();
+                () -> FaultPlan.parse("# fine\n\n" + line + "\n", 9, 3)).getMessage();
         assertTrue(message.contains("line 3: "), message);
     }
 
     @Test
     void allBadLinesAreNamedAtOnce() {
         String message = assertThrows(IllegalArgumentException.class,
-                () -> Plan.parse("x\nat 1ms crash node-0 for 1ms size 1\ny", 9, 3)).getMessage();
+                () -> FaultPlan.parse("x\nat 1ms crash node-0 for 1ms size 1\ny", 9, 3)).getMessage();
         assertTrue(message.contains("line 1: ") && message.contains("line 3: "), message);
     }
 
