--- a/src/main/java/cinderhollow/cli/LabFaultSoakCommand.java
+++ b/src/main/java/cinderhollow/cli/LabFaultSoakCommand.java
@@ -83,10 +83,10 @@
         try (Lab lab = new Lab(soak.fleetConfig(seed), plan, GatewayProcess.launcher(GatewayProcess.DEPLOYMENT_JVM_FLAGS, buildEnvironment(seed)), second -> { })) {
             Commands.closeOnExit(lab);
             Report report = lab.run();
-            boolean passed = report.isClean() && report.rudeLeft() == 0;
+            boolean passed = report.isClean() && report.openMalformedConnections() == 0;
             Commands.print(spec, String.format(Locale.ROOT, "seed %d: %s; %d asked, %d served, %d late, %d bad clients not ended, "
-                    + "lab late by %.0f ms", seed, passed ? "clean" : "rules broken", report.asked(), report.served(), report.answeredLate(),
-                    report.rudeLeft(), report.worstLateMillis()));
+                    + "lab late by %.0f ms", seed, passed ? "clean" : "rules broken", report.requests(), report.served(), report.answeredLate(),
+                    report.openMalformedConnections(), report.worstLatenessMillis()));
             if (!passed) {
                 Commands.print(spec, report);
                 Commands.print(spec, "again: " + rerunCommand(seed));
--- a/src/main/java/cinderhollow/lab/Report.java
+++ b/src/main/java/cinderhollow/lab/Report.java
@@ -41,12 +41,12 @@
     private final Map<String, Map<String, Object>> byClass = new LinkedHashMap<>();
     private final Map<String, Map<String, Object>> byGateway = new LinkedHashMap<>();
     private final Map<String, Object> all;
-    private final long rudeLeft;
+    private final long openMalformedConnections;
     private final Auditor.Counts counts;
     private final List<Breach> breaches;
     private final long breachCount;
     private final long answeredLate;
-    private final double worstLateMillis;
+    private final double worstLatenessMillis;
     private final double cpuSeconds;
 
     Report(Site site, FaultPlan plan, Tally all, Map<String, Tally> byClass, Map<String, Tally> byGateway, long rudeLeft,
@@ -62,11 +62,11 @@
             row.put("sends", sends.getOrDefault(name, 0L));
             this.byGateway.put(name, row);
         });
-        this.rudeLeft = rudeLeft;
+        this.openMalformedConnections = rudeLeft;
         this.counts = counts;
         this.breaches = List.copyOf(breaches);
         this.breachCount = breachCount;
-        worstLateMillis = lateNanos / 1e6;
+        worstLatenessMillis = lateNanos / 1e6;
         this.cpuSeconds = cpuSeconds;
     }
 
@@ -91,7 +91,7 @@
     }
 
     /** Returns the number of requests of all clients, each counted once however often it was tried. */
-    public long asked() {
+    public long requests() {
         return (long) number(all, "asked");
     }
 
@@ -101,13 +101,13 @@
     }
 
     /** Returns the number of connections with a malformed request that got neither an error nor a close. */
-    public long rudeLeft() {
-        return rudeLeft;
+    public long openMalformedConnections() {
+        return openMalformedConnections;
     }
 
     /** Returns the worst lateness of the lab itself, in milliseconds. */
-    public double worstLateMillis() {
-        return worstLateMillis;
+    public double worstLatenessMillis() {
+        return worstLatenessMillis;
     }
 
     /** Returns the number of answers after their client's deadline and the slack; from half a second late they count as lost. */
@@ -142,14 +142,14 @@
         map.put("classes", byClass);
         map.put("gateways_tries", byGateway);
         map.put("gateway_cpu_us_per_request", cpuMicrosPerRequest());
-        map.put("rude_left", rudeLeft);
+        map.put("rude_left", openMalformedConnections);
         Map<String, Object> audit = new LinkedHashMap<>();
         audit.put("tries", counts.asked());
         audit.put("excused_by_kills", counts.excused());
         audit.put("unaudited", counts.unaudited());
         audit.put("falls_not_judged", counts.unjudgedFalls());
         audit.put("answered_late", answeredLate);
-        audit.put("lab_late_ms", worstLateMillis);
+        audit.put("lab_late_ms", worstLatenessMillis);
         audit.put("breaches", breachCount);
         audit.put("first_breaches", breaches.stream().map(Breach::toString).toList());
         map.put("audit", audit);
@@ -173,12 +173,12 @@
         lines.add(String.format(Locale.ROOT, "%-12s (tries; a try that is refused may be served elsewhere)", "gateways"));
         byGateway.forEach((name, row) -> lines.add(line(name, row) + "   sends " + row.get("sends")));
         lines.add(String.format(Locale.ROOT, "gateways' CPU for a request: %.0f us", cpuMicrosPerRequest()));
-        if (rudeLeft > 0) {
-            lines.add(rudeLeft + " rude connections got neither an error nor a close");
+        if (openMalformedConnections > 0) {
+            lines.add(openMalformedConnections + " rude connections got neither an error nor a close");
         }
-        if (worstLateMillis > LATE_MILLIS) {
+        if (worstLatenessMillis > LATE_MILLIS) {
             lines.add(String.format(Locale.ROOT, "the lab itself ran up to %.0f ms late; limits of time were judged with "
-                    + "that in mind", worstLateMillis));
+                    + "that in mind", worstLatenessMillis));
         }
         if (answeredLate > 0) {
             lines.add(answeredLate + " answers came after their client's time");
--- a/src/test/java/cinderhollow/lab/BrokenGatewayTest.java
+++ b/src/test/java/cinderhollow/lab/BrokenGatewayTest.java
@@ -63,7 +63,7 @@
                 // The scripted gateways run in the lab's process. A run in which that stalled, because of code not compiled
                 // yet or a busy machine, says nothing about them and is repeated.
                 Report report = work.call();
-                for (int i = 1; i < MOST_RUNS && (report.fallsNotJudged() > 0 || report.worstLateMillis() > CALM_MILLIS);
+                for (int i = 1; i < MOST_RUNS && (report.fallsNotJudged() > 0 || report.worstLatenessMillis() > CALM_MILLIS);
                         i++) {
                     report = work.call();
                 }
@@ -103,7 +103,7 @@
         Set<Rule> expected = Arrays.stream(Flaw.values()).filter(flaw::equals).filter(NAMED::containsKey).map(NAMED::get)
                 .collect(Collectors.toSet());
         assertEquals(expected, named, report::toString);
-        assertTrue(report.served() > report.asked() / 10, report::toString);
+        assertTrue(report.served() > report.requests() / 10, report::toString);
     }
 
     @Test
@@ -111,7 +111,7 @@
         for (Map.Entry<Long, CompletableFuture<Report>> run : CORRECT.entrySet()) {
             Report report = run.getValue().get(PATIENCE_SECONDS, TimeUnit.SECONDS);
             assertTrue(report.isClean(), () -> "seed " + run.getKey() + "\n" + report);
-            assertTrue(report.served() > report.asked() / 2, () -> "seed " + run.getKey() + "\n" + report);
+            assertTrue(report.served() > report.requests() / 2, () -> "seed " + run.getKey() + "\n" + report);
         }
     }
 }
--- a/src/test/java/cinderhollow/lab/FaultSoakTest.java
+++ b/src/test/java/cinderhollow/lab/FaultSoakTest.java
@@ -16,8 +16,8 @@
         try (Lab lab = new Lab(SMALL.fleetConfig(seed), SMALL.plan(seed), GatewayProcess.launcher(GatewayProcess.DEPLOYMENT_JVM_FLAGS), second -> { })) {
             Report report = lab.run();
             assertTrue(report.isClean(), () -> SMALL.plan(seed) + "\n" + report);
-            assertEquals(0, report.rudeLeft(), report::toString);
-            assertTrue(report.served() > report.asked() / 2, report::toString);
+            assertEquals(0, report.openMalformedConnections(), report::toString);
+            assertTrue(report.served() > report.requests() / 2, report::toString);
         }
     }
 }
--- a/src/test/java/cinderhollow/lab/LabTest.java
+++ b/src/test/java/cinderhollow/lab/LabTest.java
@@ -48,8 +48,8 @@
                 at 9000ms reset-before node-0 for 1000ms size 0.5
                 """);
         assertTrue(report.isClean(), report::toString);
-        assertTrue(report.served() > report.asked() * 0.8, report::toString);
-        assertEquals(0, report.rudeLeft());
+        assertTrue(report.served() > report.requests() * 0.8, report::toString);
+        assertEquals(0, report.openMalformedConnections());
     }
 
     /** Guards against reporting lateness as a breach when all cores are busy with other work. */
