--- a/src/main/java/cinderhollow/cli/DemoCommand.java
+++ b/src/main/java/cinderhollow/cli/DemoCommand.java
@@ -4,7 +4,7 @@
 import cinderhollow.lab.Lab;
 import cinderhollow.lab.FaultPlan;
 import cinderhollow.lab.Report;
-import cinderhollow.lab.Site;
+import cinderhollow.lab.FleetConfig;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -41,7 +41,7 @@
     @Override
     public Integer call() throws IOException, InterruptedException, ExecutionException {
         long effectiveSeed = seed == null ? System.nanoTime() & 0xffff_ffffL : seed;
-        Site site = fleet.buildSite(seconds, effectiveSeed);
+        FleetConfig site = fleet.buildSite(seconds, effectiveSeed);
         FaultPlan plan = planFile == null ? FaultPlan.demo(effectiveSeed, seconds, fleet.nodes())
                 : FaultPlan.parse(Files.readString(planFile), fleet.nodes(), fleet.gateways());
         return runLab(spec, site, plan, fleet.reportFile());
@@ -52,7 +52,7 @@
      *
      * @return the exit code
      */
-    static int runLab(CommandSpec spec, Site site, FaultPlan plan, Path reportFile)
+    static int runLab(CommandSpec spec, FleetConfig site, FaultPlan plan, Path reportFile)
             throws IOException, InterruptedException, ExecutionException {
         Commands.print(spec, "seed " + site.seed() + ", " + site.nodes() + " nodes, " + site.gateways() + " gateways, "
                 + site.rate() + " requests a second; what will go wrong:");
--- a/src/main/java/cinderhollow/cli/FleetOptions.java
+++ b/src/main/java/cinderhollow/cli/FleetOptions.java
@@ -1,6 +1,6 @@
 package cinderhollow.cli;
 
-import cinderhollow.lab.Site;
+import cinderhollow.lab.FleetConfig;
 import java.nio.file.Path;
 import picocli.CommandLine.Option;
 
@@ -24,10 +24,10 @@
     @Option(names = "--json", paramLabel = "FILE", description = "write the report to this file as JSON")
     private Path reportFile;
 
-    Site buildSite(long seconds, long seed) {
-        Site site = Site.usual(nodes, gateways, rate, seconds, seed);
+    FleetConfig buildSite(long seconds, long seed) {
+        FleetConfig site = FleetConfig.withDefaults(nodes, gateways, rate, seconds, seed);
         return operatorFile == null ? site
-                : site.under(new Site.Governed(operatorFile.toAbsolutePath().toString(), everySecondGateway));
+                : site.withOperatorFile(new FleetConfig.OperatorFile(operatorFile.toAbsolutePath().toString(), everySecondGateway));
     }
 
     int nodes() {
--- a/src/main/java/cinderhollow/cli/LabZonesCommand.java
+++ b/src/main/java/cinderhollow/cli/LabZonesCommand.java
@@ -4,7 +4,7 @@
 import cinderhollow.lab.Lab;
 import cinderhollow.lab.FaultPlan;
 import cinderhollow.lab.Report;
-import cinderhollow.lab.Site;
+import cinderhollow.lab.FleetConfig;
 import java.io.IOException;
 import java.util.Locale;
 import java.util.concurrent.Callable;
@@ -65,7 +65,7 @@
 
     @Override
     public Integer call() throws IOException, InterruptedException, ExecutionException {
-        Site site = Site.usual(nodes, gateways, rate, seconds, seed);
+        FleetConfig site = FleetConfig.withDefaults(nodes, gateways, rate, seconds, seed);
         FaultPlan plan = FaultPlan.zoneFault(seed, fault, faultSeconds, size, gateways, killed, asleep);
         Commands.print(spec, "seed " + seed + ", " + plan.toString().strip().replace("\n", ", ") + (withoutPeering ? ", without talk" : ""));
         try (Lab lab = new Lab(site, plan, GatewayProcess.launcher(GatewayProcess.DEPLOYMENT_JVM_FLAGS), second -> Commands.print(spec, second),
--- a/src/main/java/cinderhollow/lab/Arrivals.java
+++ b/src/main/java/cinderhollow/lab/Arrivals.java
@@ -14,7 +14,7 @@
      * @param leavesAfterNanos how long after the first try the client abandons the request, or 0 if it does not
      * @param chance random draw from 0 to 1 by which the gateway is picked
      */
-    record Arrival(long atNanos, Site.RequestClass requestClass, long leavesAfterNanos, double chance) { }
+    record Arrival(long atNanos, FleetConfig.RequestClass requestClass, long leavesAfterNanos, double chance) { }
 
     /**
      * High rates ramp up over some seconds. Gateways and the lab still have to compile all their code just after their start. On
@@ -23,21 +23,21 @@
     private static final double HIGH_RATE = 1000, RISE_NANOS = 5e9, FIRST_PART = 0.05;
 
     private final SplittableRandom random;
-    private final List<Site.RequestClass> classes;
+    private final List<FleetConfig.RequestClass> classes;
     private final double perNano;
     private final boolean rises;
     private final double impatient;
     private final double shares;
     private double at;
 
-    Arrivals(Site site) {
+    Arrivals(FleetConfig site) {
         // A separate random stream, so that the same clients arrive at a fleet of another size.
         random = new SplittableRandom(site.seed() ^ 0x6172726976616cL);
         classes = site.classes();
         perNano = site.rate() / TimeUnit.SECONDS.toNanos(1);
         rises = site.rate() > HIGH_RATE;
         impatient = site.impatient();
-        shares = classes.stream().mapToDouble(Site.RequestClass::share).sum();
+        shares = classes.stream().mapToDouble(FleetConfig.RequestClass::share).sum();
     }
 
     private double part() {
@@ -52,7 +52,7 @@
         while (i < classes.size() - 1 && drawn >= classes.get(i).share()) {
             drawn -= classes.get(i++).share();
         }
-        Site.RequestClass c = classes.get(i);
+        FleetConfig.RequestClass c = classes.get(i);
         boolean leaves = random.nextDouble() < impatient;
         // Close to the time of the answer, so that some clients leave at the moment at which their answer arrives.
         long after = Math.round(random.nextDouble() * 3 * c.workMillis() * TimeUnit.MILLISECONDS.toNanos(1));
--- a/src/main/java/cinderhollow/lab/Clients.java
+++ b/src/main/java/cinderhollow/lab/Clients.java
@@ -1,7 +1,7 @@
 package cinderhollow.lab;
 
 import cinderhollow.lab.Arrivals.Arrival;
-import cinderhollow.lab.Site.RequestClass;
+import cinderhollow.lab.FleetConfig.RequestClass;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
@@ -54,7 +54,7 @@
     private static final byte[] BODY = ("q".repeat(200)).getBytes(StandardCharsets.US_ASCII);
 
     private final EventLoop loop;
-    private final Site site;
+    private final FleetConfig site;
     private final Consumer<Sighting> auditor;
     private final SplittableRandom random;
     private final Bootstrap dial;
@@ -149,7 +149,7 @@
         }
     }
 
-    Clients(EventLoop loop, Site site, List<InetSocketAddress> gateways, Consumer<Sighting> auditor) {
+    Clients(EventLoop loop, FleetConfig site, List<InetSocketAddress> gateways, Consumer<Sighting> auditor) {
         this.loop = loop;
         this.site = site;
         this.auditor = auditor;
--- a/src/main/java/cinderhollow/lab/Fault.java
+++ b/src/main/java/cinderhollow/lab/Fault.java
@@ -112,7 +112,7 @@
             case NODE -> Names.node(who);
             case GATEWAY -> Names.gateway(who);
             case DISCOVERY -> "discovery";
-            case ZONE -> Site.ZONES.get(who);
+            case ZONE -> FleetConfig.ZONES.get(who);
         };
     }
 
--- a/src/main/java/cinderhollow/lab/FaultPlan.java
+++ b/src/main/java/cinderhollow/lab/FaultPlan.java
@@ -101,10 +101,10 @@
             return Fault.EVERYONE;
         }
         if (kind.target() == Target.ZONE) {
-            if (!Site.ZONES.contains(word)) {
-                throw new IllegalArgumentException(kind.word() + " applies to one of " + Site.ZONES + ", not to '" + word + "'");
+            if (!FleetConfig.ZONES.contains(word)) {
+                throw new IllegalArgumentException(kind.word() + " applies to one of " + FleetConfig.ZONES + ", not to '" + word + "'");
             }
-            return Site.ZONES.indexOf(word);
+            return FleetConfig.ZONES.indexOf(word);
         }
         boolean node = kind.target() == Target.NODE;
         int number = Names.number(word, node);
@@ -166,7 +166,7 @@
         SplittableRandom random = new SplittableRandom(seed);
         List<Fault> faults = new ArrayList<>();
         long at = random.nextLong(9_500, 10_500);
-        faults.add(new Fault(at, kind(word), random.nextInt(Site.ZONES.size()), seconds * 1000, size));
+        faults.add(new Fault(at, kind(word), random.nextInt(FleetConfig.ZONES.size()), seconds * 1000, size));
         List<Integer> who = shuffled(random, gateways);
         for (int i = 0; i < killed; i++) {
             faults.add(new Fault(at + IN_THE_MIDDLE + random.nextLong(IN_THE_MIDDLE), Kind.KILL_GATEWAY, who.get(i), KILLED_FOR, 1));
@@ -264,7 +264,7 @@
             case NODE -> random.nextInt(nodes);
             case GATEWAY -> random.nextInt(gateways);
             case DISCOVERY -> Fault.EVERYONE;
-            case ZONE -> random.nextInt(Site.ZONES.size());
+            case ZONE -> random.nextInt(FleetConfig.ZONES.size());
         };
     }
 
--- a/src/main/java/cinderhollow/lab/FaultSoak.java
+++ b/src/main/java/cinderhollow/lab/FaultSoak.java
@@ -1,6 +1,6 @@
 package cinderhollow.lab;
 
-import cinderhollow.lab.Site.RequestClass;
+import cinderhollow.lab.FleetConfig.RequestClass;
 import java.util.ArrayList;
 import java.util.List;
 
@@ -31,10 +31,10 @@
     }
 
     /** Returns the fleet of this seed. */
-    public Site fleetConfig(long seed) {
-        List<RequestClass> classes = new ArrayList<>(Site.usualClasses());
+    public FleetConfig fleetConfig(long seed) {
+        List<RequestClass> classes = new ArrayList<>(FleetConfig.usualClasses());
         classes.add(SLOW_KEYED);
-        Site site = Site.usual(nodes, gateways, rate, seconds, seed).withImpatient(impatient).withClasses(classes);
+        FleetConfig site = FleetConfig.withDefaults(nodes, gateways, rate, seconds, seed).withImpatient(impatient).withClasses(classes);
         return isCrowded(seed) ? site.withDescriptors(CROWDED_DESCRIPTORS) : site;
     }
 
--- a/src/main/java/cinderhollow/lab/Site.java
+++ b/src/main/java/cinderhollow/lab/FleetConfig.java
@@ -28,8 +28,8 @@
  * @param figures parameters of the nodes' starts and drains
  * @param governed the operator's file of the gateways, or null
  */
-public record Site(int nodes, int gateways, double rate, long seconds, long seed, List<RequestClass> classes,
-                   double impatient, int retries, int descriptors, Figures figures, Governed governed) {
+public record FleetConfig(int nodes, int gateways, double rate, long seconds, long seed, List<RequestClass> classes,
+                   double impatient, int retries, int descriptors, Figures figures, OperatorFile governed) {
     static final List<String> ZONES = List.of("ostim", "sincan", "golbasi");
     private static final int CELL = 3;
     private static final double ECO = 0.34;
@@ -64,7 +64,7 @@
                           long drainGraceMillis, boolean instant) { }
 
     /** An operator's file that all gateways get or, to compare both cases within one run, every second one. */
-    public record Governed(String file, boolean everySecond) { }
+    public record OperatorFile(String file, boolean everySecond) { }
 
     /** The node parameters that the documentation of the first deployment states. */
     public static final Figures USUAL = new Figures(0.31, 8_400, 2.5, 1_500, 1_000, false);
@@ -75,7 +75,7 @@
      *
      * @throws IllegalArgumentException if a value is out of range
      */
-    public Site {
+    public FleetConfig {
         classes = List.copyOf(classes);
         require(nodes >= 1 && nodes <= 10_000, "nodes", nodes, "1 to 10000");
         require(gateways >= 1 && gateways <= 50, "gateways", gateways, "1 to 50");
@@ -97,28 +97,28 @@
     }
 
     /** Returns a fleet with the default classes and node parameters. */
-    public static Site usual(int nodes, int gateways, double rate, long seconds, long seed) {
-        return new Site(nodes, gateways, rate, seconds, seed, usualClasses(), 0.01, 2, 1024, USUAL, null);
+    public static FleetConfig withDefaults(int nodes, int gateways, double rate, long seconds, long seed) {
+        return new FleetConfig(nodes, gateways, rate, seconds, seed, usualClasses(), 0.01, 2, 1024, USUAL, null);
     }
 
     /** Returns a copy with another fraction of clients that leave before their answer. */
-    public Site withImpatient(double part) {
-        return new Site(nodes, gateways, rate, seconds, seed, classes, part, retries, descriptors, figures, governed);
+    public FleetConfig withImpatient(double part) {
+        return new FleetConfig(nodes, gateways, rate, seconds, seed, classes, part, retries, descriptors, figures, governed);
     }
 
     /** Returns a copy with other classes. */
-    public Site withClasses(List<RequestClass> others) {
-        return new Site(nodes, gateways, rate, seconds, seed, others, impatient, retries, descriptors, figures, governed);
+    public FleetConfig withClasses(List<RequestClass> others) {
+        return new FleetConfig(nodes, gateways, rate, seconds, seed, others, impatient, retries, descriptors, figures, governed);
     }
 
     /** Returns a copy with another limit of file descriptors for each gateway. */
-    public Site withDescriptors(int limit) {
-        return new Site(nodes, gateways, rate, seconds, seed, classes, impatient, retries, limit, figures, governed);
+    public FleetConfig withDescriptors(int limit) {
+        return new FleetConfig(nodes, gateways, rate, seconds, seed, classes, impatient, retries, limit, figures, governed);
     }
 
     /** Returns a copy with an operator's file. */
-    public Site under(Governed file) {
-        return new Site(nodes, gateways, rate, seconds, seed, classes, impatient, retries, descriptors, figures, file);
+    public FleetConfig withOperatorFile(OperatorFile file) {
+        return new FleetConfig(nodes, gateways, rate, seconds, seed, classes, impatient, retries, descriptors, figures, file);
     }
 
     /** Returns the path of this gateway's operator file, or null if it has none. */
--- a/src/main/java/cinderhollow/lab/Lab.java
+++ b/src/main/java/cinderhollow/lab/Lab.java
@@ -55,7 +55,7 @@
     private static final int KEPT_AT_END = 12;
     private static final long KEPT_BEFORE_MILLIS = 400;
 
-    private final Site site;
+    private final FleetConfig site;
     private final FaultPlan plan;
     private final Gateways launcher;
     private final Consumer<Report.Second> live;
@@ -113,12 +113,12 @@
     }
 
     /** Creates a fleet without starting it. While it runs, the listener gets a summary each second. */
-    public Lab(Site site, FaultPlan plan, Gateways launcher, Consumer<Report.Second> live) throws IOException {
+    public Lab(FleetConfig site, FaultPlan plan, Gateways launcher, Consumer<Report.Second> live) throws IOException {
         this(site, plan, launcher, live, null);
     }
 
     /** Creates a fleet with a network between its zones, or without one if the options are null. */
-    public Lab(Site site, FaultPlan plan, Gateways launcher, Consumer<Report.Second> live, ZoneNetworkOptions zoned) throws IOException {
+    public Lab(FleetConfig site, FaultPlan plan, Gateways launcher, Consumer<Report.Second> live, ZoneNetworkOptions zoned) throws IOException {
         InternalLoggerFactory.setDefaultFactory(JdkLoggerFactory.INSTANCE);
         checkDescriptors(site);
         this.site = site;
@@ -136,14 +136,14 @@
         }
         clientLoop = loops.next();
         this.zoned = zoned;
-        network = zoned == null ? null : new Network(loops.next(), Site.ZONES.size(), site.seed());
+        network = zoned == null ? null : new Network(loops.next(), FleetConfig.ZONES.size(), site.seed());
         leaves = zoned == null ? null : new Leaves(folder, site.gateways());
         hosts = new Host[site.gateways()];
         news = new SplittableRandom(site.seed() ^ 0x6e657773L);
     }
 
     /** Throws if the descriptor limit is too low for this run, which would otherwise fail in the middle. */
-    private static void checkDescriptors(Site site) {
+    private static void checkDescriptors(FleetConfig site) {
         if (ManagementFactory.getOperatingSystemMXBean() instanceof UnixOperatingSystemMXBean system) {
             long needs = site.nodes() * (1 + 2L * site.gateways()) + 200L * site.gateways() + OTHER_DESCRIPTORS;
             long has = system.getMaxFileDescriptorCount();
@@ -214,8 +214,8 @@
                     site.seed() + i, witness);
             InetSocketAddress own = node.listen(Ports.free());
             List<InetSocketAddress> fromZones = new ArrayList<>();
-            for (int from = 0; network != null && from < Site.ZONES.size(); from++) {
-                fromZones.add(network.stream(from, Site.zoneOf(i), own));
+            for (int from = 0; network != null && from < FleetConfig.ZONES.size(); from++) {
+                fromZones.add(network.stream(from, FleetConfig.zoneOf(i), own));
             }
             discovery.add(network == null ? List.of(own) : fromZones, places.get(i));
             nodes.add(node);
@@ -228,7 +228,7 @@
         int[] zoneOf = new int[site.gateways()];
         for (int i = 0; i < site.gateways(); i++) {
             listen.add(new InetSocketAddress("127.0.0.1", Ports.free()));
-            zoneOf[i] = Site.zoneOf(i);
+            zoneOf[i] = FleetConfig.zoneOf(i);
         }
         List<List<InetSocketAddress>> rows = zoned.talk() ? network.datagrams(listen, zoneOf) : List.of();
         for (int i = 0; i < site.gateways(); i++) {
@@ -238,7 +238,7 @@
                 continue;
             }
             String members = rows.get(i).stream().map(a -> "\"127.0.0.1:" + a.getPort() + "\"").collect(Collectors.joining(", "));
-            String names = Site.ZONES.stream().map(z -> "\"" + z + "\"").collect(Collectors.joining(", "));
+            String names = FleetConfig.ZONES.stream().map(z -> "\"" + z + "\"").collect(Collectors.joining(", "));
             Files.writeString(operator(i), "[peers]\nfleet = \"lab\"\nlisten = \"127.0.0.1:" + listen.get(i).getPort()
                     + "\"\nmembers = [" + members + "]\nnumber = " + i + "\n[zones]\nnames = [" + names + "]\n");
         }
@@ -384,7 +384,7 @@
         if (network == null) {
             throw new IllegalArgumentException(fault.kind().word() + " needs a network between zones; use the command lab zones");
         }
-        leaves.begins(Site.ZONES.get(fault.who()));
+        leaves.begins(FleetConfig.ZONES.get(fault.who()));
         clientLoop.execute(() -> {
             askedBefore = clients.all().asked;
             inAimBefore = clients.all().inAim;
@@ -401,7 +401,7 @@
             return;
         }
         for (int i = 0; i < nodes.size(); i++) {
-            if (Site.zoneOf(i) == fault.who()) {
+            if (FleetConfig.zoneOf(i) == fault.who()) {
                 troubleNode(new Fault(fault.atMillis(), ofNodes, i, fault.forMillis(), fault.size()));
             }
         }
@@ -411,7 +411,7 @@
     private void cut(Fault fault, boolean on) {
         boolean streams = fault.kind() != Fault.Kind.ZONE_MUTE;
         boolean datagrams = fault.kind() != Fault.Kind.ZONE_CUT_OUT;
-        for (int other = 0; other < Site.ZONES.size(); other++) {
+        for (int other = 0; other < FleetConfig.ZONES.size(); other++) {
             if (other != fault.who()) {
                 network.cut(fault.who(), other, on && streams, on && datagrams);
                 if (fault.kind() != Fault.Kind.ZONE_CUT_OUT) {
--- a/src/main/java/cinderhollow/lab/LoadBenchmark.java
+++ b/src/main/java/cinderhollow/lab/LoadBenchmark.java
@@ -182,7 +182,7 @@
     }
 
     private Map<String, Object> config(List<InetSocketAddress> listeners) {
-        Site site = Site.usual(nodes, 1, 1, 1, 1);
+        FleetConfig site = FleetConfig.withDefaults(nodes, 1, 1, 1, 1);
         List<Map<String, Object>> endpoints = new ArrayList<>();
         for (int i = 0; i < nodes; i++) {
             endpoints.add(endpoint(i, listeners, "up"));
--- a/src/main/java/cinderhollow/lab/Report.java
+++ b/src/main/java/cinderhollow/lab/Report.java
@@ -36,7 +36,7 @@
 
     private static final int LATE_MILLIS = 50;
 
-    private final Site site;
+    private final FleetConfig site;
     private final FaultPlan plan;
     private final Map<String, Map<String, Object>> byClass = new LinkedHashMap<>();
     private final Map<String, Map<String, Object>> byGateway = new LinkedHashMap<>();
@@ -49,7 +49,7 @@
     private final double worstLatenessMillis;
     private final double cpuSeconds;
 
-    Report(Site site, FaultPlan plan, Tally all, Map<String, Tally> byClass, Map<String, Tally> byGateway, long rudeLeft,
+    Report(FleetConfig site, FaultPlan plan, Tally all, Map<String, Tally> byClass, Map<String, Tally> byGateway, long rudeLeft,
            Auditor.Counts counts, Map<String, Long> sends, List<Breach> breaches, long breachCount, long answeredLate, long lateNanos,
            double cpuSeconds) {
         this.answeredLate = answeredLate;
--- a/src/main/java/cinderhollow/lab/StandInDiscovery.java
+++ b/src/main/java/cinderhollow/lab/StandInDiscovery.java
@@ -161,7 +161,7 @@
             if (snapshot ? entry.status != Status.REMOVED : entry.version > since) {
                 Map<String, Object> fields = new LinkedHashMap<>();
                 fields.put("name", Names.node(i));
-                fields.put("address", entry.addresses.get(Site.zoneOf(gateway) % entry.addresses.size()));
+                fields.put("address", entry.addresses.get(FleetConfig.zoneOf(gateway) % entry.addresses.size()));
                 fields.put("zone", entry.place.zone());
                 fields.put("type", "std");
                 fields.put("group", entry.place.cell());
--- a/src/main/java/cinderhollow/lab/Starts.java
+++ b/src/main/java/cinderhollow/lab/Starts.java
@@ -52,7 +52,7 @@
         int port = Ports.free();
         Path config = temporary.resolve("config.json");
         Files.writeString(config, StandInDiscovery.json(Map.of("seed", "2a", "limits", Map.of("sockets", 1024),
-                "settings", Site.usual(9, 3, 1, 1, 1).settings(0))));
+                "settings", FleetConfig.withDefaults(9, 3, 1, 1, 1).settings(0))));
         ProcessBuilder builder = new ProcessBuilder("/bin/sh", "-c", command).directory(folder.toFile())
                 .redirectErrorStream(true).redirectOutput(temporary.resolve("log").toFile());
         // Nothing listens on this port: the gateway counts a failed call to discovery as done, and becomes ready.
--- a/src/test/java/cinderhollow/lab/BrokenGatewayTest.java
+++ b/src/test/java/cinderhollow/lab/BrokenGatewayTest.java
@@ -76,7 +76,7 @@
     }
 
     private static Report correct(long seed) throws Exception {
-        Site site = new Site(8, 2, 60, SECONDS, seed, Site.usualClasses(), 0.05, 2, 1024, Site.USUAL, null);
+        FleetConfig site = new FleetConfig(8, 2, 60, SECONDS, seed, FleetConfig.usualClasses(), 0.05, 2, 1024, FleetConfig.USUAL, null);
         FaultPlan plan = FaultPlan.draw(seed, SECONDS + 2, 8, 2, List.of("crash", "drain", "silent", "slow", "errors",
                 "reset-before", "reset-after", "kill-gateway", "stop-gateway"));
         try (Lab lab = new Lab(site, plan, ScriptedGateway.with(Flaw.NONE), second -> { })) {
@@ -86,8 +86,8 @@
 
     private static Report play(Flaw flaw) throws Exception {
         // At the shutdown some requests must be open, and the load must suffice to overload a cold node in its first seconds.
-        Site site = new Site(6, 2, 150, SECONDS, 11, Site.usualClasses(), 0, 1, 1024,
-                new Site.Figures(0.31, 8_400, 2.5, 1_500, 500, false), null);
+        FleetConfig site = new FleetConfig(6, 2, 150, SECONDS, 11, FleetConfig.usualClasses(), 0, 1, 1024,
+                new FleetConfig.Figures(0.31, 8_400, 2.5, 1_500, 500, false), null);
         String plan = flaw == Flaw.LOSES_AT_THE_END
                 ? PLAN + "at 1500ms stop-gateway gw-0 for 1ms size 1\nat 2500ms stop-gateway gw-1 for 1ms size 1\n" : PLAN;
         try (Lab lab = new Lab(site, FaultPlan.parse(plan, 6, 2), ScriptedGateway.with(flaw), second -> { })) {
--- a/src/test/java/cinderhollow/lab/LabTest.java
+++ b/src/test/java/cinderhollow/lab/LabTest.java
@@ -21,7 +21,7 @@
 class LabTest {
     private static final int PATIENCE_SECONDS = 60;
 
-    private static Report play(Site site, String plan) throws Exception {
+    private static Report play(FleetConfig site, String plan) throws Exception {
         try (Lab lab = new Lab(site, FaultPlan.parse(plan, site.nodes(), site.gateways()),
                 GatewayProcess.launcher(GatewayProcess.DEPLOYMENT_JVM_FLAGS), second -> { })) {
             return lab.run();
@@ -31,7 +31,7 @@
     /** Includes a killed gateway, whose open requests are excused, and nodes that reset connections after a request ran. */
     @Test
     void theRealGatewayKeepsTheRulesThroughADayOfTrouble() throws Exception {
-        Report report = play(Site.usual(9, 3, 200, 12, 5), """
+        Report report = play(FleetConfig.withDefaults(9, 3, 200, 12, 5), """
                 at 500ms crash node-1 for 1500ms size 1
                 at 1000ms drain node-2 for 4000ms size 1
                 at 1500ms errors node-3 for 2000ms size 0.9
@@ -60,7 +60,7 @@
             for (int i = 0; i < 2 * Runtime.getRuntime().availableProcessors(); i++) {
                 burners.add(new ProcessBuilder("/bin/sh", "-c", "while :; do :; done").start());
             }
-            Report report = play(Site.usual(4, 2, 60, 4, 6), "at 500ms crash node-1 for 1000ms size 1\n"
+            Report report = play(FleetConfig.withDefaults(4, 2, 60, 4, 6), "at 500ms crash node-1 for 1000ms size 1\n"
                     + "at 600ms drain node-2 for 2000ms size 1\n");
             assertTrue(report.isClean(), report::toString);
         } finally {
@@ -70,7 +70,7 @@
 
     @Test
     void aFleetTooLargeForTheDescriptorsIsRefusedInOneLine() {
-        String line = assertThrows(IllegalArgumentException.class, () -> new Lab(Site.usual(10_000, 50, 1, 1, 1),
+        String line = assertThrows(IllegalArgumentException.class, () -> new Lab(FleetConfig.withDefaults(10_000, 50, 1, 1, 1),
                 FaultPlan.calm(), GatewayProcess.launcher(List.of()), second -> { })).getMessage();
         assertTrue(line.startsWith("too few file descriptors: this run may need ") && !line.contains("\n"), line);
     }
--- a/src/test/java/cinderhollow/lab/PlanTest.java
+++ b/src/test/java/cinderhollow/lab/PlanTest.java
@@ -88,8 +88,8 @@
 
     @Test
     void theSameSeedGivesTheSameArrivals() {
-        Arrivals one = new Arrivals(Site.usual(9, 3, 300, 20, 5));
-        Arrivals same = new Arrivals(Site.usual(200, 20, 300, 60, 5));
+        Arrivals one = new Arrivals(FleetConfig.withDefaults(9, 3, 300, 20, 5));
+        Arrivals same = new Arrivals(FleetConfig.withDefaults(200, 20, 300, 60, 5));
         long last = 0;
         for (int i = 0; i < 3000; i++) {
             Arrivals.Arrival next = one.next();
