--- a/src/main/java/cinderhollow/cli/LabCommand.java
+++ b/src/main/java/cinderhollow/cli/LabCommand.java
@@ -3,7 +3,7 @@
 import cinderhollow.lab.LoadBenchmark;
 import cinderhollow.lab.FaultPlan;
 import cinderhollow.lab.SingleNode;
-import cinderhollow.lab.Starts;
+import cinderhollow.lab.StartupBenchmark;
 import java.io.IOException;
 import java.nio.file.Path;
 import java.util.List;
@@ -149,7 +149,7 @@
 
         @Override
         public Integer call() throws IOException, InterruptedException {
-            Commands.print(spec, Starts.compare(command, folder, otherCommand, otherFolder, runs));
+            Commands.print(spec, StartupBenchmark.compare(command, folder, otherCommand, otherFolder, runs));
             return 0;
         }
     }
--- a/src/main/java/cinderhollow/lab/Starts.java
+++ b/src/main/java/cinderhollow/lab/StartupBenchmark.java
@@ -12,11 +12,11 @@
 import java.util.stream.Stream;
 
 /** Measures the CPU time of a gateway's start until it is ready, of one command or of two in alternating runs. */
-public final class Starts {
+public final class StartupBenchmark {
     private static final long PATIENCE_NANOS = TimeUnit.SECONDS.toNanos(60);
     private static final int END_SECONDS = 10;
 
-    private Starts() { }
+    private StartupBenchmark() { }
 
     /** Starts each command {@code runs} times in its folder by {@code /bin/sh}; {@code other} may be null. Returns the result. */
     public static String compare(String command, Path folder, String other, Path otherFolder, int runs)
