--- a/src/main/java/cinderhollow/lab/Auditor.java
+++ b/src/main/java/cinderhollow/lab/Auditor.java
@@ -17,13 +17,13 @@
  * requests at the clients and at the nodes, and knows nothing of a gateway's internal state.
  *
  * <p>Observations arrive in causal order: what a node observed of a request comes before what its client observed as a result.
- * Memory is bounded by the requests of the last seconds, and by {@link #MOST_OPEN} in any case. Requests that can't be checked
+ * Memory is bounded by the requests of the last seconds, and by {@link #MAX_TRACKED_REQUESTS} in any case. Requests that can't be checked
  * are counted in {@link #unaudited}, and a run with any of them is not reported as clean. Time limits are extended by the
- * lateness of the lab itself ({@link Sighting.Late}), so that it is not attributed to the gateway.
+ * lateness of the lab itself ({@link Sighting.LabLate}), so that it is not attributed to the gateway.
  */
 final class Auditor {
     /** The effect of a second run of a class's requests, and where and for how long nodes drop repeats. */
-    record Grade(Effect effect, Scope scope, long windowNanos) { }
+    record RequestSemantics(Effect effect, Scope dedupScope, long dedupWindowNanos) { }
 
     /** The effect of a second run of a request. */
     enum Effect { SAFE, KEYED, UNSAFE }
@@ -32,125 +32,125 @@
     enum Scope { ALL, ZONE, CELL }
 
     /** The zone and cell of a node. */
-    record Place(String zone, int cell) { }
+    record NodeLocation(String zone, int cell) { }
 
     /** The time limits of the rules: slack of answers past the client's deadline, and the grace after a drain. */
     record Limits(long answerSlackNanos, long drainGraceNanos) { }
 
     /** Numbers of requests by their outcome, and of what was excused or could not be checked. */
-    record Counts(long asked, long served, long refused, long failed, long left, long broken, long excused,
-                  long unaudited, long unjudgedFalls, long open) { }
+    record Counts(long requests, long served, long refused, long failed, long abandoned, long unanswered, long excused,
+                  long unaudited, long unjudgedOverloadCrashes, long open) { }
 
     /** An answer up to this long after its client's deadline is late and earns nothing; after that it counts as lost. */
-    private static final long LOST_AFTER_NANOS = 500_000_000L;
+    private static final long LOST_ANSWER_DELAY_NANOS = 500_000_000L;
     /** An attempt that reaches a node longer than this after its client left is a breach, even if the gateway was paused. */
-    private static final long LEAVING_NOTICE_NANOS = 100_000_000L;
+    private static final long ABANDONMENT_GRACE_NANOS = 100_000_000L;
     /** Requests are kept this long after their end, since further attempts may reach nodes. */
-    private static final long SETTLE_NANOS = 2_000_000_000L;
+    private static final long RETENTION_AFTER_END_NANOS = 2_000_000_000L;
     /** Allowance after a process was resumed: it first has to read all that arrived meanwhile. */
-    private static final long WAKE_NANOS = 300_000_000L;
+    private static final long RESUME_GRACE_NANOS = 300_000_000L;
     /** Requests sent up to this long after a kill are excused too, since clients notice the kill late. */
-    private static final long KILL_NOTICE_NANOS = 1_000_000_000L;
-    private static final long LATE_MEMORY_NANOS = 10_000_000_000L;
+    private static final long KILL_EXCUSE_NANOS = 1_000_000_000L;
+    private static final long LATENESS_RETENTION_NANOS = 10_000_000_000L;
     /** Longest time from SIGTERM to the kill. A gateway that was paused within it need not have exited by itself. */
-    private static final long END_MEMORY_NANOS = 4_000_000_000L;
+    private static final long MAX_SHUTDOWN_NANOS = 4_000_000_000L;
     /** Number of event loops of the lab that a request passes through, whose lateness adds up. */
-    private static final long LATE_HOPS = 4;
+    private static final long LATENESS_FACTOR = 4;
     /**
      * A lab that runs late sends in bursts, which a cold node's overload budget can't distinguish from an overload by gateways.
      * Bursts of up to a fifth of the default overload window are within the headroom that a gateway has to leave.
      */
-    private static final long FALL_MEMORY_NANOS = 2_000_000_000L, MOST_LATE_FALL_NANOS = 300_000_000L;
-    static final int MOST_OPEN = 200_000, MOST_BREACHES = 100;
-    private static final int MOST_LINES = 40;
+    private static final long OVERLOAD_LOOKBACK_NANOS = 2_000_000_000L, MAX_LATENESS_AT_OVERLOAD_NANOS = 300_000_000L;
+    static final int MAX_TRACKED_REQUESTS = 200_000, MAX_RECORDED_BREACHES = 100;
+    private static final int MAX_TIMELINE_ENTRIES = 40;
     /** An overload crash is a breach if at least this fraction of the work came from gateways notified of the node's start. */
-    private static final double KNEW = 2.0 / 3;
-    private static final int OK = 200, TOO_MANY = 429, UNAVAILABLE = 503;
-    private static final double MILLI = 1e6;
+    private static final double MIN_INFORMED_WORK_FRACTION = 2.0 / 3;
+    private static final int OK = 200, TOO_MANY_REQUESTS = 429, SERVICE_UNAVAILABLE = 503;
+    private static final double NANOS_PER_MILLI = 1e6;
 
-    private final Map<String, Grade> grades;
-    private final List<Place> places;
+    private final Map<String, RequestSemantics> semanticsByClass;
+    private final List<NodeLocation> nodeLocations;
     private final Limits limits;
     /** Requests in memory by id, in the order in which clients sent them. */
-    private final Map<String, Life> lives = new LinkedHashMap<>();
-    private final Map<Long, Long> drainedSince = new HashMap<>();
-    private final Map<Long, Long> startTold = new HashMap<>();
-    private final Map<Integer, Long> started = new HashMap<>();
+    private final Map<String, TrackedRequest> trackedRequests = new LinkedHashMap<>();
+    private final Map<Long, Long> drainNotifiedAtNanos = new HashMap<>();
+    private final Map<Long, Long> startNotifiedAtNanos = new HashMap<>();
+    private final Map<Integer, Long> nodeStartedAtNanos = new HashMap<>();
     /** Times of all kills by gateway. Not pruned, since a plan has few. */
-    private final Map<Integer, List<Long>> killedAt = new HashMap<>();
-    private final ArrayDeque<Sighting.Late> late = new ArrayDeque<>();
+    private final Map<Integer, List<Long>> killTimesByGateway = new HashMap<>();
+    private final ArrayDeque<Observation.LabLate> recentLateness = new ArrayDeque<>();
     private final List<Breach> breaches = new ArrayList<>();
-    private final Set<Rule> broken = new TreeSet<>();
+    private final Set<Rule> brokenRules = new TreeSet<>();
     private long breachCount;
-    private final Map<String, Long> sends = new HashMap<>();
-    private long origin = Long.MIN_VALUE;
+    private final Map<String, Long> attemptCounts = new HashMap<>();
+    private long timelineOriginNanos = Long.MIN_VALUE;
     private long newestSequence = -1;
-    private long asked;
+    private long requestCount;
     private long served;
     private long refused;
     private long failed;
-    private long left;
-    private long brokenOff;
+    private long abandoned;
+    private long unanswered;
     /** A pause of a gateway's process; {@code untilNanos} is {@link Long#MAX_VALUE} until it is resumed. */
-    private record Pause(int gateway, long from, long until) { }
+    private record Pause(int gateway, long fromNanos, long untilNanos) { }
 
     private final List<Pause> pauses = new ArrayList<>();
     private long excused;
     private long unaudited;
-    private long unjudgedFalls;
+    private long unjudgedOverloadCrashes;
     private long answeredLate;
 
     /** How a request ended, as its client observed it. */
-    private enum End { NONE, SERVED, REFUSED, FAILED, LEFT, BROKE, GAVE_UP }
+    private enum RequestOutcome { NONE, SERVED, REFUSED, FAILED, ABANDONED, ABORTED, TIMED_OUT }
 
     /** An attempt as a node observed it. */
     private static final class Attempt {
         private final int node;
-        private final long at;
+        private final long atNanos;
         /** Since when the gateway had known that the node accepts no new requests, or null if it had not been notified. */
-        private final Long drainedSince;
-        private boolean turnedAway;
+        private final Long drainNotifiedAtNanos;
+        private boolean rejected;
 
-        Attempt(int node, long at, Long drainedSince) {
+        Attempt(int node, long atNanos, Long drainNotifiedAtNanos) {
             this.node = node;
-            this.at = at;
-            this.drainedSince = drainedSince;
+            this.atNanos = atNanos;
+            this.drainNotifiedAtNanos = drainNotifiedAtNanos;
         }
     }
 
     /** One entry of a request's timeline. */
-    private record Line(long at, String text) { }
+    private record TimelineEntry(long atNanos, String text) { }
 
     /** What is known of a request, until it is judged and removed. */
-    private static final class Life {
+    private static final class TrackedRequest {
         private final String id;
         private final int gateway;
         private final String requestClass;
-        private final Grade grade;
-        private final long askedAt;
-        private final long owedBy;
+        private final RequestSemantics semantics;
+        private final long sentAtNanos;
+        private final long deadlineNanos;
         private final List<Attempt> attempts = new ArrayList<>(1);
-        private final List<String> made = new ArrayList<>(1);
-        private final List<Line> lines = new ArrayList<>(6);
-        private final Set<Rule> named = new TreeSet<>();
-        private End end = End.NONE;
-        private long endedAt;
+        private final List<String> producedBodies = new ArrayList<>(1);
+        private final List<TimelineEntry> timeline = new ArrayList<>(6);
+        private final Set<Rule> brokenRules = new TreeSet<>();
+        private RequestOutcome outcome = RequestOutcome.NONE;
+        private long endedAtNanos;
         /** Whether its gateway was killed during its shutdown without having answered it. */
-        private boolean foundUnanswered;
+        private boolean unansweredAtKill;
 
-        Life(String id, int gateway, String requestClass, Grade grade, long askedAt, long owedBy) {
+        TrackedRequest(String id, int gateway, String requestClass, RequestSemantics semantics, long sentAtNanos, long deadlineNanos) {
             this.id = id;
             this.gateway = gateway;
             this.requestClass = requestClass;
-            this.grade = grade;
-            this.askedAt = askedAt;
-            this.owedBy = owedBy;
+            this.semantics = semantics;
+            this.sentAtNanos = sentAtNanos;
+            this.deadlineNanos = deadlineNanos;
         }
 
         /** Returns the first attempt that no node has rejected, and that may therefore have run, or null. */
-        Attempt firstThatMayHaveRun() {
+        Attempt firstUnrejectedAttempt() {
             for (Attempt attempt : attempts) {
-                if (!attempt.turnedAway) {
+                if (!attempt.rejected) {
                     return attempt;
                 }
             }
@@ -158,254 +158,254 @@
         }
     }
 
-    Auditor(Map<String, Grade> grades, List<Place> places, Limits limits) {
-        this.grades = Map.copyOf(grades);
-        this.places = List.copyOf(places);
+    Auditor(Map<String, RequestSemantics> semanticsByClass, List<NodeLocation> nodeLocations, Limits limits) {
+        this.semanticsByClass = Map.copyOf(semanticsByClass);
+        this.nodeLocations = List.copyOf(nodeLocations);
         this.limits = limits;
     }
 
     /** Processes one observation. All observations must come from one thread. */
-    void see(Sighting sighting) {
-        origin = origin == Long.MIN_VALUE ? sighting.at() : origin;
-        if (sighting instanceof Sighting.Asked s) {
-            asked(s);
-        } else if (sighting instanceof Sighting.Answered s) {
-            answered(s);
-        } else if (sighting instanceof Sighting.Surplus s) {
-            Life life = lives.get(s.id());
-            if (life != null) {
-                line(life, s.at(), "the client receives a surplus answer");
+    void observe(Observation observation) {
+        timelineOriginNanos = timelineOriginNanos == Long.MIN_VALUE ? observation.atNanos() : timelineOriginNanos;
+        if (observation instanceof Observation.RequestSent s) {
+            onRequestSent(s);
+        } else if (observation instanceof Observation.AnswerReceived s) {
+            onAnswerReceived(s);
+        } else if (observation instanceof Observation.SurplusAnswer s) {
+            TrackedRequest request = trackedRequests.get(s.id());
+            if (request != null) {
+                addTimelineEntry(request, s.atNanos(), "the client receives a surplus answer");
             }
-            breach(Rule.ANSWERED_TWICE, s.id(), life, "the client received more than one answer to this request");
-        } else if (sighting instanceof Sighting.GaveUp s) {
-            end(s.id(), s.at(), End.GAVE_UP, "the client closes: no answer has come long after its deadline");
-        } else if (sighting instanceof Sighting.Paused s) {
-            paused(s);
-        } else if (sighting instanceof Sighting.Broke s) {
-            end(s.id(), s.at(), End.BROKE, "the connection is closed without a complete answer");
-        } else if (sighting instanceof Sighting.Left s) {
-            end(s.id(), s.at(), End.LEFT, "the client abandons the request and closes");
-        } else if (sighting instanceof Sighting.Received s) {
-            received(s);
-        } else if (sighting instanceof Sighting.Ran s) {
-            note(s.id(), s.at(), Names.node(s.node()) + " runs it");
-        } else if (sighting instanceof Sighting.TurnedAway s) {
-            turnedAway(s);
-        } else if (sighting instanceof Sighting.Made s) {
-            note(s.id(), s.at(), Names.node(s.node()) + " answers");
-            Life life = lives.get(s.id());
-            if (life != null) {
-                life.made.add(s.body());
+            recordBreach(Rule.ANSWERED_TWICE, s.id(), request, "the client received more than one answer to this request");
+        } else if (observation instanceof Observation.ClientTimedOut s) {
+            recordOutcome(s.id(), s.atNanos(), RequestOutcome.TIMED_OUT, "the client closes: no answer has come long after its deadline");
+        } else if (observation instanceof Observation.GatewayPauseChanged s) {
+            onGatewayPauseChanged(s);
+        } else if (observation instanceof Observation.ConnectionAborted s) {
+            recordOutcome(s.id(), s.atNanos(), RequestOutcome.ABORTED, "the connection is closed without a complete answer");
+        } else if (observation instanceof Observation.RequestAbandoned s) {
+            recordOutcome(s.id(), s.atNanos(), RequestOutcome.ABANDONED, "the client abandons the request and closes");
+        } else if (observation instanceof Observation.AttemptReceived s) {
+            onAttemptReceived(s);
+        } else if (observation instanceof Observation.ExecutionStarted s) {
+            addTimelineEntryById(s.id(), s.atNanos(), LabNames.nodeName(s.node()) + " runs it");
+        } else if (observation instanceof Observation.AttemptRejected s) {
+            onAttemptRejected(s);
+        } else if (observation instanceof Observation.AnswerProduced s) {
+            addTimelineEntryById(s.id(), s.atNanos(), LabNames.nodeName(s.node()) + " answers");
+            TrackedRequest request = trackedRequests.get(s.id());
+            if (request != null) {
+                request.producedBodies.add(s.body());
             }
-        } else if (sighting instanceof Sighting.Told s) {
+        } else if (observation instanceof Observation.ReadinessNotified s) {
             if (s.up()) {
-                drainedSince.remove(pair(s.gateway(), s.node()));
+                drainNotifiedAtNanos.remove(gatewayNodeKey(s.gateway(), s.node()));
             } else {
-                drainedSince.putIfAbsent(pair(s.gateway(), s.node()), s.at());
+                drainNotifiedAtNanos.putIfAbsent(gatewayNodeKey(s.gateway(), s.node()), s.atNanos());
             }
-        } else if (sighting instanceof Sighting.ToldStart s) {
-            startTold.put(pair(s.gateway(), s.node()), s.at());
-        } else if (sighting instanceof Sighting.Started s) {
-            started.put(s.node(), s.at());
-        } else if (sighting instanceof Sighting.Fell s) {
-            fell(s);
-        } else if (sighting instanceof Sighting.Killed s) {
-            killed(s);
-        } else if (sighting instanceof Sighting.KilledAtEnd s) {
-            killedAtEnd(s);
-        } else if (sighting instanceof Sighting.Began s) {
-            drainedSince.keySet().removeIf(pair -> pair >> 32 == s.gateway());
-            startTold.keySet().removeIf(pair -> pair >> 32 == s.gateway());
-        } else if (sighting instanceof Sighting.Ended s) {
-            breach(Rule.GATEWAY_ENDED, Names.gateway(s.gateway()), null, "the gateway's process failed: " + s.how());
-        } else if (sighting instanceof Sighting.Late s) {
-            late.add(s);
-            while (late.peekFirst().at() < s.at() - LATE_MEMORY_NANOS) {
-                late.removeFirst();
+        } else if (observation instanceof Observation.StartNotified s) {
+            startNotifiedAtNanos.put(gatewayNodeKey(s.gateway(), s.node()), s.atNanos());
+        } else if (observation instanceof Observation.NodeStarted s) {
+            nodeStartedAtNanos.put(s.node(), s.atNanos());
+        } else if (observation instanceof Observation.OverloadCrash s) {
+            onOverloadCrash(s);
+        } else if (observation instanceof Observation.GatewayKilled s) {
+            onGatewayKilled(s);
+        } else if (observation instanceof Observation.GatewayKilledAtShutdown s) {
+            onGatewayKilledAtShutdown(s);
+        } else if (observation instanceof Observation.GatewayStarting s) {
+            drainNotifiedAtNanos.keySet().removeIf(key -> key >> 32 == s.gateway());
+            startNotifiedAtNanos.keySet().removeIf(key -> key >> 32 == s.gateway());
+        } else if (observation instanceof Observation.GatewayExited s) {
+            recordBreach(Rule.GATEWAY_ENDED, LabNames.gatewayName(s.gateway()), null, "the gateway's process failed: " + s.reason());
+        } else if (observation instanceof Observation.LabLate s) {
+            recentLateness.add(s);
+            while (recentLateness.peekFirst().atNanos() < s.atNanos() - LATENESS_RETENTION_NANOS) {
+                recentLateness.removeFirst();
             }
         }
         // Closes at most two requests for each observation, so that the cost is spread evenly.
-        forgetOldest(sighting.at(), 2);
+        closeExpired(observation.atNanos(), 2);
     }
 
-    private void asked(Sighting.Asked s) {
-        asked++;
-        newestSequence = Math.max(newestSequence, Names.sequenceOf(s.id()));
-        if (lives.size() >= MOST_OPEN) {
+    private void onRequestSent(Observation.RequestSent s) {
+        requestCount++;
+        newestSequence = Math.max(newestSequence, LabNames.sequenceOf(s.id()));
+        if (trackedRequests.size() >= MAX_TRACKED_REQUESTS) {
             unaudited++;
             return;
         }
-        Life life = new Life(s.id(), s.gateway(), s.requestClass(), grades.get(s.requestClass()), s.at(), s.at() + s.withinNanos());
-        lives.put(s.id(), life);
-        line(life, s.at(), "asked of " + Names.gateway(s.gateway()) + " as " + s.requestClass() + ", within "
-                + s.withinNanos() / 1_000_000 + "ms");
+        TrackedRequest request = new TrackedRequest(s.id(), s.gateway(), s.requestClass(), semanticsByClass.get(s.requestClass()), s.atNanos(), s.atNanos() + s.timeoutNanos());
+        trackedRequests.put(s.id(), request);
+        addTimelineEntry(request, s.atNanos(), "asked of " + LabNames.gatewayName(s.gateway()) + " as " + s.requestClass() + ", within "
+                + s.timeoutNanos() / 1_000_000 + "ms");
     }
 
-    private void answered(Sighting.Answered s) {
-        End how = s.status() == OK ? End.SERVED
-                : s.status() == TOO_MANY || s.status() == UNAVAILABLE ? End.REFUSED : End.FAILED;
-        Life life = lives.get(s.id());
-        if (!end(s.id(), s.at(), how, "answered " + s.status()) || life == null) {
+    private void onAnswerReceived(Observation.AnswerReceived s) {
+        RequestOutcome outcome = s.status() == OK ? RequestOutcome.SERVED
+                : s.status() == TOO_MANY_REQUESTS || s.status() == SERVICE_UNAVAILABLE ? RequestOutcome.REFUSED : RequestOutcome.FAILED;
+        TrackedRequest request = trackedRequests.get(s.id());
+        if (!recordOutcome(s.id(), s.atNanos(), outcome, "answered " + s.status()) || request == null) {
             return;
         }
-        if (how == End.SERVED && !life.made.contains(s.body())) {
-            breach(Rule.FOREIGN_ANSWER, s.id(), life, "no node produced this body for the request: '" + brief(s.body()) + "'");
+        if (outcome == RequestOutcome.SERVED && !request.producedBodies.contains(s.body())) {
+            recordBreach(Rule.FOREIGN_ANSWER, s.id(), request, "no node produced this body for the request: '" + abbreviate(s.body()) + "'");
         }
-        if (how == End.REFUSED && mayNotBeRefused(life)) {
-            breach(Rule.REFUSED_THOUGH_RAN, s.id(), life, "refused, which promises that a retry is harmless");
+        if (outcome == RequestOutcome.REFUSED && isRefusalForbidden(request)) {
+            recordBreach(Rule.REFUSED_THOUGH_RAN, s.id(), request, "refused, which promises that a retry is harmless");
         }
     }
 
     /** Returns whether a refusal would wrongly tell the client that a retry is harmless. */
-    private static boolean mayNotBeRefused(Life life) {
-        boolean binds = life.grade.effect() == Effect.UNSAFE
-                || life.grade.effect() == Effect.KEYED && life.grade.scope() != Scope.ALL;
-        return binds && life.firstThatMayHaveRun() != null;
+    private static boolean isRefusalForbidden(TrackedRequest request) {
+        boolean repeatIsHarmful = request.semantics.effect() == Effect.UNSAFE
+                || request.semantics.effect() == Effect.KEYED && request.semantics.dedupScope() != Scope.ALL;
+        return repeatIsHarmful && request.firstUnrejectedAttempt() != null;
     }
 
     /** Records the outcome that the client observed; returns false if the request is not tracked or had already ended. */
-    private boolean end(String id, long at, End how, String text) {
-        Life life = lives.get(id);
-        if (life == null) {
+    private boolean recordOutcome(String id, long at, RequestOutcome outcome, String text) {
+        TrackedRequest request = trackedRequests.get(id);
+        if (request == null) {
             return false;
         }
-        line(life, at, text);
-        if (life.end != End.NONE) {
+        addTimelineEntry(request, at, text);
+        if (request.outcome != RequestOutcome.NONE) {
             return false;
         }
-        life.end = how;
-        life.endedAt = at;
-        switch (how) {
+        request.outcome = outcome;
+        request.endedAtNanos = at;
+        switch (outcome) {
             case SERVED -> served++;
             case REFUSED -> refused++;
             case FAILED -> failed++;
-            case LEFT -> left++;
-            default -> brokenOff++;
+            case ABANDONED -> abandoned++;
+            default -> unanswered++;
         }
         return true;
     }
 
-    private void received(Sighting.Received s) {
-        Life life = lives.get(s.id());
-        if (life == null) {
-            if (unaudited == 0 || Names.sequenceOf(s.id()) < 0 || Names.sequenceOf(s.id()) > newestSequence) {
-                boolean old = Names.sequenceOf(s.id()) >= 0 && Names.sequenceOf(s.id()) <= newestSequence;
-                breach(old ? Rule.SENT_AFTER_ANSWER : Rule.UNKNOWN_REQUEST, s.id(), null,
-                        Names.node(s.node()) + (old ? " got it long after its end" : " got a request that no client sent"));
+    private void onAttemptReceived(Observation.AttemptReceived s) {
+        TrackedRequest request = trackedRequests.get(s.id());
+        if (request == null) {
+            if (unaudited == 0 || LabNames.sequenceOf(s.id()) < 0 || LabNames.sequenceOf(s.id()) > newestSequence) {
+                boolean sentEarlier = LabNames.sequenceOf(s.id()) >= 0 && LabNames.sequenceOf(s.id()) <= newestSequence;
+                recordBreach(sentEarlier ? Rule.SENT_AFTER_ANSWER : Rule.UNKNOWN_REQUEST, s.id(), null,
+                        LabNames.nodeName(s.node()) + (sentEarlier ? " got it long after its end" : " got a request that no client sent"));
             }
             return;
         }
-        line(life, s.at(), "reaches " + Names.node(s.node()));
-        sends.merge(Names.gatewayAndClass(life.gateway, life.requestClass), 1L, Long::sum);
-        Attempt first = life.firstThatMayHaveRun();
-        if (first != null && life.grade.effect() == Effect.UNSAFE) {
-            breach(Rule.RAN_TWICE, s.id(), life, "sent again to " + Names.node(s.node()) + " although "
-                    + Names.node(first.node) + " may have run it");
+        addTimelineEntry(request, s.atNanos(), "reaches " + LabNames.nodeName(s.node()));
+        attemptCounts.merge(LabNames.gatewayClassKey(request.gateway, request.requestClass), 1L, Long::sum);
+        Attempt first = request.firstUnrejectedAttempt();
+        if (first != null && request.semantics.effect() == Effect.UNSAFE) {
+            recordBreach(Rule.RAN_TWICE, s.id(), request, "sent again to " + LabNames.nodeName(s.node()) + " although "
+                    + LabNames.nodeName(first.node) + " may have run it");
         }
-        if (first != null && life.grade.effect() == Effect.KEYED && outside(life.grade, first, s)) {
-            breach(Rule.OUTSIDE_GROUP, s.id(), life, "resent to " + Names.node(s.node()) + ", which drops no repeat of what "
-                    + Names.node(first.node) + " may have run");
+        if (first != null && request.semantics.effect() == Effect.KEYED && isOutsideDedup(request.semantics, first, s)) {
+            recordBreach(Rule.OUTSIDE_GROUP, s.id(), request, "resent to " + LabNames.nodeName(s.node()) + ", which drops no repeat of what "
+                    + LabNames.nodeName(first.node) + " may have run");
         }
-        life.attempts.add(new Attempt(s.node(), s.at(), drainedSince.get(pair(life.gateway, s.node()))));
-        if (life.end == End.REFUSED && mayNotBeRefused(life)) {
-            breach(Rule.REFUSED_THOUGH_RAN, s.id(), life, "forwarded to a node after it had been refused");
+        request.attempts.add(new Attempt(s.node(), s.atNanos(), drainNotifiedAtNanos.get(gatewayNodeKey(request.gateway, s.node()))));
+        if (request.outcome == RequestOutcome.REFUSED && isRefusalForbidden(request)) {
+            recordBreach(Rule.REFUSED_THOUGH_RAN, s.id(), request, "forwarded to a node after it had been refused");
         }
     }
 
     /** Returns whether the next node lies outside the first one's dedup group, or the dedup window has passed. */
-    private boolean outside(Grade grade, Attempt first, Sighting.Received next) {
-        Place here = places.get(first.node);
-        Place there = places.get(next.node());
-        boolean together = switch (grade.scope()) {
+    private boolean isOutsideDedup(RequestSemantics semantics, Attempt first, Observation.AttemptReceived next) {
+        NodeLocation firstLocation = nodeLocations.get(first.node);
+        NodeLocation nextLocation = nodeLocations.get(next.node());
+        boolean sameGroup = switch (semantics.dedupScope()) {
             case ALL -> true;
-            case ZONE -> here.zone().equals(there.zone());
-            case CELL -> here.zone().equals(there.zone()) && here.cell() == there.cell();
+            case ZONE -> firstLocation.zone().equals(nextLocation.zone());
+            case CELL -> firstLocation.zone().equals(nextLocation.zone()) && firstLocation.cell() == nextLocation.cell();
         };
-        return !together || next.at() - first.at > grade.windowNanos() + limits.answerSlackNanos()
-                + excuse(first.at, next.at());
-    }
-
-    private void turnedAway(Sighting.TurnedAway s) {
-        note(s.id(), s.at(), Names.node(s.node()) + " rejects it");
-        Life life = lives.get(s.id());
-        if (life != null) {
-            for (int i = life.attempts.size() - 1; i >= 0; i--) {
-                Attempt attempt = life.attempts.get(i);
-                if (attempt.node == s.node() && !attempt.turnedAway) {
-                    attempt.turnedAway = true;
+        return !sameGroup || next.atNanos() - first.atNanos > semantics.dedupWindowNanos() + limits.answerSlackNanos()
+                + latenessAllowanceNanos(first.atNanos, next.atNanos());
+    }
+
+    private void onAttemptRejected(Observation.AttemptRejected s) {
+        addTimelineEntryById(s.id(), s.atNanos(), LabNames.nodeName(s.node()) + " rejects it");
+        TrackedRequest request = trackedRequests.get(s.id());
+        if (request != null) {
+            for (int i = request.attempts.size() - 1; i >= 0; i--) {
+                Attempt attempt = request.attempts.get(i);
+                if (attempt.node == s.node() && !attempt.rejected) {
+                    attempt.rejected = true;
                     return;
                 }
             }
         }
     }
 
-    private void fell(Sighting.Fell s) {
-        double all = 0;
-        double knew = 0;
-        for (Map.Entry<Integer, Double> part : s.pressure().entrySet()) {
-            all += part.getValue();
-            Long told = startTold.get(pair(part.getKey(), s.node()));
-            knew += told != null && told >= started.getOrDefault(s.node(), Long.MAX_VALUE) ? part.getValue() : 0;
+    private void onOverloadCrash(Observation.OverloadCrash s) {
+        double totalWork = 0;
+        double informedWork = 0;
+        for (Map.Entry<Integer, Double> gatewayWork : s.workByGateway().entrySet()) {
+            totalWork += gatewayWork.getValue();
+            Long notifiedAtNanos = startNotifiedAtNanos.get(gatewayNodeKey(gatewayWork.getKey(), s.node()));
+            informedWork += notifiedAtNanos != null && notifiedAtNanos >= nodeStartedAtNanos.getOrDefault(s.node(), Long.MAX_VALUE) ? gatewayWork.getValue() : 0;
         }
-        if (knew >= KNEW * all && excuse(s.at() - FALL_MEMORY_NANOS, s.at()) > LATE_HOPS * MOST_LATE_FALL_NANOS) {
-            unjudgedFalls++;
-        } else if (knew >= KNEW * all) {
-            breach(Rule.PUSHED_OVER, Names.node(s.node()), null, "crashed from overload while cold, with "
-                    + Math.round(100 * knew / Math.max(1, all)) + "% of the work from gateways notified of its start");
+        if (informedWork >= MIN_INFORMED_WORK_FRACTION * totalWork && latenessAllowanceNanos(s.atNanos() - OVERLOAD_LOOKBACK_NANOS, s.atNanos()) > LATENESS_FACTOR * MAX_LATENESS_AT_OVERLOAD_NANOS) {
+            unjudgedOverloadCrashes++;
+        } else if (informedWork >= MIN_INFORMED_WORK_FRACTION * totalWork) {
+            recordBreach(Rule.PUSHED_OVER, LabNames.nodeName(s.node()), null, "crashed from overload while cold, with "
+                    + Math.round(100 * informedWork / Math.max(1, totalWork)) + "% of the work from gateways notified of its start");
         }
     }
 
-    private void paused(Sighting.Paused s) {
-        if (s.on()) {
-            pauses.add(new Pause(s.gateway(), s.at(), Long.MAX_VALUE));
+    private void onGatewayPauseChanged(Observation.GatewayPauseChanged s) {
+        if (s.paused()) {
+            pauses.add(new Pause(s.gateway(), s.atNanos(), Long.MAX_VALUE));
         } else {
-            pauses.replaceAll(p -> p.gateway == s.gateway() && p.until == Long.MAX_VALUE ? new Pause(p.gateway, p.from, s.at()) : p);
+            pauses.replaceAll(p -> p.gateway == s.gateway() && p.untilNanos == Long.MAX_VALUE ? new Pause(p.gateway, p.fromNanos, s.atNanos()) : p);
         }
     }
 
     /** Returns how long the request's gateway was paused between these times, with an allowance after each resumption. */
-    private long asleep(Life life, long from, long to) {
+    private long pausedNanos(TrackedRequest request, long from, long to) {
         long sum = 0;
         for (Pause p : pauses) {
-            if (p.gateway == life.gateway && p.from < to && p.until + WAKE_NANOS > from) {
-                sum += Math.min(to, p.until == Long.MAX_VALUE ? to : p.until + WAKE_NANOS) - Math.max(from, p.from);
+            if (p.gateway == request.gateway && p.fromNanos < to && p.untilNanos + RESUME_GRACE_NANOS > from) {
+                sum += Math.min(to, p.untilNanos == Long.MAX_VALUE ? to : p.untilNanos + RESUME_GRACE_NANOS) - Math.max(from, p.fromNanos);
             }
         }
         return sum;
     }
 
-    private void killed(Sighting.Killed s) {
-        killedAt.computeIfAbsent(s.gateway(), gateway -> new ArrayList<>()).add(s.at());
-        lives.values().stream().filter(life -> life.gateway == s.gateway() && life.end == End.NONE)
-                .forEach(life -> line(life, s.at(), Names.gateway(s.gateway()) + " is killed"));
+    private void onGatewayKilled(Observation.GatewayKilled s) {
+        killTimesByGateway.computeIfAbsent(s.gateway(), gateway -> new ArrayList<>()).add(s.atNanos());
+        trackedRequests.values().stream().filter(request -> request.gateway == s.gateway() && request.outcome == RequestOutcome.NONE)
+                .forEach(request -> addTimelineEntry(request, s.atNanos(), LabNames.gatewayName(s.gateway()) + " is killed"));
     }
 
     /** Nothing excuses requests that such a kill finds unanswered: the gateway got SIGTERM, and knows when the kill may come. */
-    private void killedAtEnd(Sighting.KilledAtEnd s) {
-        boolean heldUp = pauses.stream().anyMatch(p -> p.gateway == s.gateway() && p.until > s.at() - END_MEMORY_NANOS);
-        if (!heldUp && excuse(s.at() - END_MEMORY_NANOS, s.at()) <= limits.answerSlackNanos()) {
-            breach(Rule.GATEWAY_ENDED, Names.gateway(s.gateway()), null, "still running when the platform may kill it");
-        }
-        for (Life life : lives.values()) {
-            if (life.gateway == s.gateway() && life.end == End.NONE && life.askedAt + limits.answerSlackNanos() < s.at()) {
-                life.foundUnanswered = true;
-                line(life, s.at(), Names.gateway(s.gateway()) + " is killed during its shutdown");
+    private void onGatewayKilledAtShutdown(Observation.GatewayKilledAtShutdown s) {
+        boolean wasPaused = pauses.stream().anyMatch(p -> p.gateway == s.gateway() && p.untilNanos > s.atNanos() - MAX_SHUTDOWN_NANOS);
+        if (!wasPaused && latenessAllowanceNanos(s.atNanos() - MAX_SHUTDOWN_NANOS, s.atNanos()) <= limits.answerSlackNanos()) {
+            recordBreach(Rule.GATEWAY_ENDED, LabNames.gatewayName(s.gateway()), null, "still running when the platform may kill it");
+        }
+        for (TrackedRequest request : trackedRequests.values()) {
+            if (request.gateway == s.gateway() && request.outcome == RequestOutcome.NONE && request.sentAtNanos + limits.answerSlackNanos() < s.atNanos()) {
+                request.unansweredAtKill = true;
+                addTimelineEntry(request, s.atNanos(), LabNames.gatewayName(s.gateway()) + " is killed during its shutdown");
             }
         }
     }
 
     /** Judges and removes at most {@code maxCount} of the requests whose retention is over, oldest first. */
-    private void forgetOldest(long now, int most) {
-        Iterator<Life> oldest = lives.values().iterator();
-        for (int i = 0; i < most && oldest.hasNext(); i++) {
-            Life life = oldest.next();
-            long over = Math.max(life.owedBy, life.end == End.NONE ? 0 : life.endedAt)
-                    + SETTLE_NANOS + excuse(life.askedAt, now) + asleep(life, life.askedAt, now);
-            if (now <= over) {
+    private void closeExpired(long now, int maxCount) {
+        Iterator<TrackedRequest> oldest = trackedRequests.values().iterator();
+        for (int i = 0; i < maxCount && oldest.hasNext(); i++) {
+            TrackedRequest request = oldest.next();
+            long expiresAtNanos = Math.max(request.deadlineNanos, request.outcome == RequestOutcome.NONE ? 0 : request.endedAtNanos)
+                    + RETENTION_AFTER_END_NANOS + latenessAllowanceNanos(request.sentAtNanos, now) + pausedNanos(request, request.sentAtNanos, now);
+            if (now <= expiresAtNanos) {
                 return;
             }
             oldest.remove();
-            close(life);
+            closeRequest(request);
         }
     }
 
@@ -413,30 +413,30 @@
      * Judges a request whose time is over. Rules that depend on time are checked here and not at the observation, because the
      * lab's lateness is reported only after the observations that it delayed.
      */
-    private void close(Life life) {
-        judgeTimes(life);
-        if (life.end != End.NONE && life.end != End.BROKE && life.end != End.GAVE_UP) {
+    private void closeRequest(TrackedRequest request) {
+        checkTimes(request);
+        if (request.outcome != RequestOutcome.NONE && request.outcome != RequestOutcome.ABORTED && request.outcome != RequestOutcome.TIMED_OUT) {
             return;
         }
-        if (life.foundUnanswered) {
-            breach(Rule.LOST, life.id, life, "its gateway had not answered it when it was killed during its shutdown");
+        if (request.unansweredAtKill) {
+            recordBreach(Rule.LOST, request.id, request, "its gateway had not answered it when it was killed during its shutdown");
             return;
         }
-        if (isExcusedByAKill(life)) {
+        if (isExcusedByAKill(request)) {
             excused++;
-        } else if (life.end == End.NONE) {
-            breach(Rule.LOST, life.id, life, "no answer came");
-        } else if (life.end == End.GAVE_UP) {
+        } else if (request.outcome == RequestOutcome.NONE) {
+            recordBreach(Rule.LOST, request.id, request, "no answer came");
+        } else if (request.outcome == RequestOutcome.TIMED_OUT) {
             // An answer may have waited unread in the lab until its client closed; that is not the gateway's fault.
-            if (asleep(life, life.askedAt, life.endedAt) > 0) {
+            if (pausedNanos(request, request.sentAtNanos, request.endedAtNanos) > 0) {
                 excused++;
-            } else if (life.endedAt > life.owedBy + limits.answerSlackNanos() + excuse(life.askedAt, life.endedAt)) {
-                breach(Rule.LOST, life.id, life, "no answer until " + millis(life.endedAt - life.owedBy) + " after its deadline");
+            } else if (request.endedAtNanos > request.deadlineNanos + limits.answerSlackNanos() + latenessAllowanceNanos(request.sentAtNanos, request.endedAtNanos)) {
+                recordBreach(Rule.LOST, request.id, request, "no answer until " + formatMillis(request.endedAtNanos - request.deadlineNanos) + " after its deadline");
             } else {
                 unaudited++;
             }
-        } else if (!life.attempts.isEmpty()) {
-            breach(Rule.LOST, life.id, life, "the gateway had accepted it and closed the connection without an answer");
+        } else if (!request.attempts.isEmpty()) {
+            recordBreach(Rule.LOST, request.id, request, "the gateway had accepted it and closed the connection without an answer");
         }
         // Otherwise the request was sent while its connection was being closed, and the gateway never accepted it.
     }
@@ -445,85 +445,85 @@
      * Returns whether a kill of its gateway excuses the request. All kills are examined, since a request is judged seconds after
      * its end, and its gateway may have been killed again by then.
      */
-    private boolean isExcusedByAKill(Life life) {
-        return killedAt.getOrDefault(life.gateway, List.of()).stream().anyMatch(killed -> killed + KILL_NOTICE_NANOS >= life.askedAt
-                && (life.end == End.NONE || life.endedAt >= killed));
+    private boolean isExcusedByAKill(TrackedRequest request) {
+        return killTimesByGateway.getOrDefault(request.gateway, List.of()).stream().anyMatch(killedAtNanos -> killedAtNanos + KILL_EXCUSE_NANOS >= request.sentAtNanos
+                && (request.outcome == RequestOutcome.NONE || request.endedAtNanos >= killedAtNanos));
     }
 
     /** Checks the rules that depend on time: late answers, and attempts after the end or after a drain. */
-    private void judgeTimes(Life life) {
-        boolean answered = life.end == End.SERVED || life.end == End.REFUSED || life.end == End.FAILED;
-        answeredLate += answered && life.endedAt > life.owedBy + limits.answerSlackNanos() ? 1 : 0;
-        if (answered && life.endedAt > life.owedBy + LOST_AFTER_NANOS + excuse(life.askedAt, life.endedAt)
-                + asleep(life, life.askedAt, life.endedAt)) {
-            breach(Rule.LOST, life.id, life, "answered " + millis(life.endedAt - life.owedBy)
+    private void checkTimes(TrackedRequest request) {
+        boolean answered = request.outcome == RequestOutcome.SERVED || request.outcome == RequestOutcome.REFUSED || request.outcome == RequestOutcome.FAILED;
+        answeredLate += answered && request.endedAtNanos > request.deadlineNanos + limits.answerSlackNanos() ? 1 : 0;
+        if (answered && request.endedAtNanos > request.deadlineNanos + LOST_ANSWER_DELAY_NANOS + latenessAllowanceNanos(request.sentAtNanos, request.endedAtNanos)
+                + pausedNanos(request, request.sentAtNanos, request.endedAtNanos)) {
+            recordBreach(Rule.LOST, request.id, request, "answered " + formatMillis(request.endedAtNanos - request.deadlineNanos)
                     + " after the client's deadline");
         }
-        for (Attempt attempt : life.attempts) {
-            long slack = limits.answerSlackNanos() + excuse(life.askedAt, attempt.at)
-                    + asleep(life, life.askedAt - limits.drainGraceNanos(), attempt.at);
-            boolean left = life.end == End.LEFT || life.end == End.GAVE_UP;
-            if (left && attempt.at > life.endedAt + LEAVING_NOTICE_NANOS + excuse(life.askedAt, attempt.at)) {
-                breach(Rule.SENT_AFTER_LEAVING, life.id, life, "reaches " + Names.node(attempt.node) + " "
-                        + millis(attempt.at - life.endedAt) + " after its client left");
+        for (Attempt attempt : request.attempts) {
+            long slackNanos = limits.answerSlackNanos() + latenessAllowanceNanos(request.sentAtNanos, attempt.atNanos)
+                    + pausedNanos(request, request.sentAtNanos - limits.drainGraceNanos(), attempt.atNanos);
+            boolean clientGone = request.outcome == RequestOutcome.ABANDONED || request.outcome == RequestOutcome.TIMED_OUT;
+            if (clientGone && attempt.atNanos > request.endedAtNanos + ABANDONMENT_GRACE_NANOS + latenessAllowanceNanos(request.sentAtNanos, attempt.atNanos)) {
+                recordBreach(Rule.SENT_AFTER_LEAVING, request.id, request, "reaches " + LabNames.nodeName(attempt.node) + " "
+                        + formatMillis(attempt.atNanos - request.endedAtNanos) + " after its client left");
             }
-            if (answered && attempt.at > life.endedAt + slack) {
-                breach(Rule.SENT_AFTER_ANSWER, life.id, life, "reaches " + Names.node(attempt.node) + " "
-                        + millis(attempt.at - life.endedAt) + " after its answer");
+            if (answered && attempt.atNanos > request.endedAtNanos + slackNanos) {
+                recordBreach(Rule.SENT_AFTER_ANSWER, request.id, request, "reaches " + LabNames.nodeName(attempt.node) + " "
+                        + formatMillis(attempt.atNanos - request.endedAtNanos) + " after its answer");
             }
-            if (attempt.drainedSince != null
-                    && attempt.at > attempt.drainedSince + limits.drainGraceNanos() + slack) {
-                breach(Rule.SENT_AFTER_DRAIN, life.id, life, Names.node(attempt.node)
-                        + " had been known to be draining or gone for " + millis(attempt.at - attempt.drainedSince));
+            if (attempt.drainNotifiedAtNanos != null
+                    && attempt.atNanos > attempt.drainNotifiedAtNanos + limits.drainGraceNanos() + slackNanos) {
+                recordBreach(Rule.SENT_AFTER_DRAIN, request.id, request, LabNames.nodeName(attempt.node)
+                        + " had been known to be draining or gone for " + formatMillis(attempt.atNanos - attempt.drainNotifiedAtNanos));
             }
         }
     }
 
     /** Judges all remaining requests, as if their time were over. */
     void finish() {
-        lives.values().forEach(this::close);
-        lives.clear();
+        trackedRequests.values().forEach(this::closeRequest);
+        trackedRequests.clear();
     }
 
     /** Returns the delay between these times that the lab's own lateness may account for. */
-    private long excuse(long from, long to) {
-        long worst = 0;
-        for (Sighting.Late one : late) {
-            if (one.at() >= from && one.at() - one.byNanos() <= to) {
-                worst = Math.max(worst, one.byNanos());
+    private long latenessAllowanceNanos(long from, long to) {
+        long worstNanos = 0;
+        for (Observation.LabLate lateness : recentLateness) {
+            if (lateness.atNanos() >= from && lateness.atNanos() - lateness.latenessNanos() <= to) {
+                worstNanos = Math.max(worstNanos, lateness.latenessNanos());
             }
         }
-        return LATE_HOPS * worst;
+        return LATENESS_FACTOR * worstNanos;
     }
 
     /** Records a breach, each rule at most once for a request. */
-    private void breach(Rule rule, String id, Life life, String what) {
-        if (life != null && !life.named.add(rule)) {
+    private void recordBreach(Rule rule, String subject, TrackedRequest request, String description) {
+        if (request != null && !request.brokenRules.add(rule)) {
             return;
         }
         breachCount++;
-        broken.add(rule);
-        if (breaches.size() < MOST_BREACHES) {
-            List<Line> lines = life == null ? List.of() : life.lines;
-            breaches.add(new Breach(rule, id, what, lines.stream().map(line ->
-                    String.format(Locale.ROOT, "%9.1fms %s", (line.at - origin) / MILLI, line.text)).toList()));
+        brokenRules.add(rule);
+        if (breaches.size() < MAX_RECORDED_BREACHES) {
+            List<TimelineEntry> timeline = request == null ? List.of() : request.timeline;
+            breaches.add(new Breach(rule, subject, description, timeline.stream().map(entry ->
+                    String.format(Locale.ROOT, "%9.1fms %s", (entry.atNanos - timelineOriginNanos) / NANOS_PER_MILLI, entry.text)).toList()));
         }
     }
 
-    private void note(String id, long at, String text) {
-        Life life = lives.get(id);
-        if (life != null) {
-            line(life, at, text);
+    private void addTimelineEntryById(String id, long at, String text) {
+        TrackedRequest request = trackedRequests.get(id);
+        if (request != null) {
+            addTimelineEntry(request, at, text);
         }
     }
 
-    private void line(Life life, long at, String text) {
-        if (life.lines.size() < MOST_LINES) {
-            life.lines.add(new Line(at, text));
+    private void addTimelineEntry(TrackedRequest request, long at, String text) {
+        if (request.timeline.size() < MAX_TIMELINE_ENTRIES) {
+            request.timeline.add(new TimelineEntry(at, text));
         }
     }
 
-    /** Returns the first breaches, at most {@link #MOST_BREACHES}, with their timelines. */
+    /** Returns the first breaches, at most {@link #MAX_RECORDED_BREACHES}, with their timelines. */
     List<Breach> breaches() {
         return List.copyOf(breaches);
     }
@@ -534,8 +534,8 @@
     }
 
     /** Returns the rules that were broken. */
-    Set<Rule> broken() {
-        return Set.copyOf(broken);
+    Set<Rule> brokenRules() {
+        return Set.copyOf(brokenRules);
     }
 
     /** Returns the number of answers that came after their client's deadline and the slack, whether or not they count as lost. */
@@ -544,32 +544,32 @@
     }
 
     /** Returns the number of requests in memory. */
-    int held() {
-        return lives.size();
+    int trackedRequestCount() {
+        return trackedRequests.size();
     }
 
-    /** Returns the number of attempts that reached nodes, by the key of {@link Names#gatewayAndClass}. */
-    Map<String, Long> sends() {
-        return Map.copyOf(sends);
+    /** Returns the number of attempts that reached nodes, by the key of {@link LabNames#gatewayClassKey}. */
+    Map<String, Long> attemptCounts() {
+        return Map.copyOf(attemptCounts);
     }
 
     /** Returns the numbers of requests by outcome so far. */
     Counts counts() {
-        return new Counts(asked, served, refused, failed, left, brokenOff, excused, unaudited,
-                unjudgedFalls,
-                lives.values().stream().filter(life -> life.end == End.NONE).count());
+        return new Counts(requestCount, served, refused, failed, abandoned, unanswered, excused, unaudited,
+                unjudgedOverloadCrashes,
+                trackedRequests.values().stream().filter(request -> request.outcome == RequestOutcome.NONE).count());
     }
 
     /** Returns a map key with the gateway in the upper 32 bits and the node in the lower ones. */
-    private static long pair(int gateway, int node) {
+    private static long gatewayNodeKey(int gateway, int node) {
         return (long) gateway << 32 | node;
     }
 
-    private static String millis(long nanos) {
-        return Math.round(nanos / MILLI) + "ms";
+    private static String formatMillis(long nanos) {
+        return Math.round(nanos / NANOS_PER_MILLI) + "ms";
     }
 
-    private static String brief(String body) {
+    private static String abbreviate(String body) {
         String line = body.lines().findFirst().orElse("");
         return line.length() > 80 ? line.substring(0, 80) + "..." : line;
     }
--- a/src/main/java/cinderhollow/lab/Breach.java
+++ b/src/main/java/cinderhollow/lab/Breach.java
@@ -6,11 +6,11 @@
  * A breach of one of the auditor's rules, with the timeline of the request that shows it.
  *
  * @param rule the rule that was broken
- * @param request the request's id, or the name of the node or gateway concerned
- * @param what description of what was observed
- * @param life timeline of the request in the order of observation, one line each; empty if no request is concerned
+ * @param subject the request's id, or the name of the node or gateway concerned
+ * @param description description of what was observed
+ * @param timeline timeline of the request in the order of observation, one line each; empty if no request is concerned
  */
-public record Breach(Rule rule, String request, String what, List<String> life) {
+public record Breach(Rule rule, String subject, String description, List<String> timeline) {
     /** The ways in which the four rules can be broken, distinguished by what is observed. */
     public enum Rule {
         /** A request was lost: the gateway had accepted it, but its client got no complete answer, or none in time. */
@@ -44,12 +44,12 @@
 
     /** Creates a breach with an immutable copy of the timeline. */
     public Breach {
-        life = List.copyOf(life);
+        timeline = List.copyOf(timeline);
     }
 
     /** Returns the breach on one line, with the timeline indented below it. */
     @Override
     public String toString() {
-        return rule + " " + request + ": " + what + (life.isEmpty() ? "" : "\n    " + String.join("\n    ", life));
+        return rule + " " + subject + ": " + description + (timeline.isEmpty() ? "" : "\n    " + String.join("\n    ", timeline));
     }
 }
--- a/src/main/java/cinderhollow/lab/Fault.java
+++ b/src/main/java/cinderhollow/lab/Fault.java
@@ -7,13 +7,13 @@
  *
  * @param atMillis when it begins, counted from the start of the arrivals
  * @param kind what happens
- * @param who number of the node, gateway or zone, or {@link #EVERYONE}
- * @param forMillis how long it lasts
+ * @param targetIndex number of the node, gateway or zone, or {@link #NO_TARGET}
+ * @param durationMillis how long it lasts
  * @param size a factor, a fraction of the requests or a count, depending on the kind
  */
-record Fault(long atMillis, Kind kind, int who, long forMillis, double size) {
+record Fault(long atMillis, Kind kind, int targetIndex, long durationMillis, double size) {
     /** Target index of faults of discovery, which have no numbered target. */
-    static final int EVERYONE = -1;
+    static final int NO_TARGET = -1;
 
     /** What a kind of fault affects. */
     enum Target { NODE, GATEWAY, DISCOVERY, ZONE }
@@ -89,37 +89,37 @@
         }
 
         /** Returns the keyword of this kind in a plan, such as {@code kill-gateway}. */
-        String word() {
+        String keyword() {
             return name().toLowerCase(Locale.ROOT).replace('_', '-');
         }
     }
 
     Fault {
-        if (atMillis < 0 || forMillis <= 0) {
-            throw new IllegalArgumentException("invalid times of a fault: " + atMillis + "ms and duration " + forMillis + "ms");
+        if (atMillis < 0 || durationMillis <= 0) {
+            throw new IllegalArgumentException("invalid times of a fault: " + atMillis + "ms and duration " + durationMillis + "ms");
         }
         if (!(size >= 0 && size <= 1e6)) {
             throw new IllegalArgumentException("invalid size of a fault, must be 0 to 1000000: " + size);
         }
-        if (who < 0 && kind.target() != Target.DISCOVERY) {
-            throw new IllegalArgumentException(kind.word() + " needs a " + kind.target().name().toLowerCase(Locale.ROOT));
+        if (targetIndex < 0 && kind.target() != Target.DISCOVERY) {
+            throw new IllegalArgumentException(kind.keyword() + " needs a " + kind.target().name().toLowerCase(Locale.ROOT));
         }
     }
 
     /** Returns the name of the target, as in plans, discovery's list and reports. */
-    String whoText() {
+    String targetName() {
         return switch (kind.target()) {
-            case NODE -> Names.node(who);
-            case GATEWAY -> Names.gateway(who);
+            case NODE -> LabNames.nodeName(targetIndex);
+            case GATEWAY -> LabNames.gatewayName(targetIndex);
             case DISCOVERY -> "discovery";
-            case ZONE -> FleetConfig.ZONES.get(who);
+            case ZONE -> FleetConfig.ZONES.get(targetIndex);
         };
     }
 
     /** Returns the fault as a line of a plan that {@link FaultPlan#parse} can read. */
     @Override
     public String toString() {
-        return "at " + atMillis + "ms " + kind.word() + " " + whoText() + " for " + forMillis + "ms size "
+        return "at " + atMillis + "ms " + kind.keyword() + " " + targetName() + " for " + durationMillis + "ms size "
                 + (size == Math.rint(size) ? String.valueOf((long) size) : String.valueOf(size));
     }
 }
--- a/src/main/java/cinderhollow/lab/FleetConfig.java
+++ b/src/main/java/cinderhollow/lab/FleetConfig.java
@@ -1,7 +1,7 @@
 package cinderhollow.lab;
 
 import cinderhollow.lab.Auditor.Effect;
-import cinderhollow.lab.Auditor.Grade;
+import cinderhollow.lab.Auditor.RequestSemantics;
 import cinderhollow.lab.Auditor.Scope;
 import cinderhollow.lab.NodeModel.Machine;
 import java.util.ArrayList;
@@ -22,53 +22,53 @@
  * @param seconds duration of the arrivals
  * @param seed seed of all random draws
  * @param classes classes of the requests
- * @param impatient fraction of the clients that leave before their answer
- * @param retries maximum number of retries of a client
- * @param descriptors limit of file descriptors that each gateway is configured with
- * @param figures parameters of the nodes' starts and drains
- * @param governed the operator's file of the gateways, or null
+ * @param abandonFraction fraction of the clients that leave before their answer
+ * @param maxRetries maximum number of retries of a client
+ * @param maxDescriptors limit of file descriptors that each gateway is configured with
+ * @param nodeParameters parameters of the nodes' starts and drains
+ * @param operatorFile the operator's file of the gateways, or null
  */
 public record FleetConfig(int nodes, int gateways, double rate, long seconds, long seed, List<RequestClass> classes,
-                   double impatient, int retries, int descriptors, Figures figures, OperatorFile governed) {
+                   double abandonFraction, int maxRetries, int maxDescriptors, NodeParameters nodeParameters, OperatorFile operatorFile) {
     static final List<String> ZONES = List.of("ostim", "sincan", "golbasi");
-    private static final int CELL = 3;
-    private static final double ECO = 0.34;
+    private static final int NODES_PER_CELL = 3;
+    private static final double SLOW_MACHINE_FRACTION = 0.34;
 
     /**
      * A class of requests as in the gateways' settings, with its mean work and its share of the load.
      *
      * @param name name of the class, which is also the first segment of its path
-     * @param semantics effect: safe, keyed or unsafe
-     * @param scope which nodes drop a repeat of a keyed request: all, zone or cell
-     * @param windowMillis how long repeats are dropped
+     * @param effect effect: safe, keyed or unsafe
+     * @param dedupScope which nodes drop a repeat of a keyed request: all, zone or cell
+     * @param dedupWindowMillis how long repeats are dropped
      * @param aimMillis target latency
      * @param deadlineMillis how long a client waits, over all its tries
-     * @param workMillis mean work of a request, in milliseconds of a reference machine (relative speed 1)
+     * @param meanWorkMillis mean work of a request, in milliseconds of a reference machine (relative speed 1)
      * @param share its share of the requests, relative to those of the other classes
-     * @param value worth of an answer
+     * @param worth worth of an answer
      */
-    public record RequestClass(String name, String semantics, String scope, long windowMillis, long aimMillis,
-                               long deadlineMillis, double workMillis, double share, double value) { }
+    public record RequestClass(String name, String effect, String dedupScope, long dedupWindowMillis, long aimMillis,
+                               long deadlineMillis, double meanWorkMillis, double share, double worth) { }
 
     /**
      * Parameters of the nodes' starts and drains, some of which the auditor's rules use too.
      *
-     * @param coldFrom fraction of its capacity that a node has just after its start
+     * @param coldCapacityFraction fraction of its capacity that a node has just after its start
      * @param warmUpMillis time after which a started node is warm at the latest
      * @param overloadFactor a cold node crashes when it is sent more than this many times its current capacity
-     * @param overloadForMillis time over which the overload factor counts
+     * @param overloadWindowMillis time over which the overload factor counts
      * @param drainGraceMillis how long after the notification of a drain a gateway may still send to the node
-     * @param instant whether nodes answer at once, to measure gateways
+     * @param instantAnswers whether nodes answer at once, to measure gateways
      */
-    public record Figures(double coldFrom, long warmUpMillis, double overloadFactor, long overloadForMillis,
-                          long drainGraceMillis, boolean instant) { }
+    public record NodeParameters(double coldCapacityFraction, long warmUpMillis, double overloadFactor, long overloadWindowMillis,
+                          long drainGraceMillis, boolean instantAnswers) { }
 
     /** An operator's file that all gateways get or, to compare both cases within one run, every second one. */
-    public record OperatorFile(String file, boolean everySecond) { }
+    public record OperatorFile(String path, boolean everySecondGateway) { }
 
     /** The node parameters that the documentation of the first deployment states. */
-    public static final Figures USUAL = new Figures(0.31, 8_400, 2.5, 1_500, 1_000, false);
-    private static final long SLACK_MILLIS = 50, IDLE_MILLIS = 15_000, DIAL_MILLIS = 250;
+    public static final NodeParameters DEFAULT_NODE_PARAMETERS = new NodeParameters(0.31, 8_400, 2.5, 1_500, 1_000, false);
+    private static final long ANSWER_SLACK_MILLIS = 50, IDLE_TIMEOUT_MILLIS = 15_000, CONNECT_TIMEOUT_MILLIS = 250;
 
     /**
      * Checks the sizes, so that a run does not fail later.
@@ -84,72 +84,72 @@
         require(!classes.isEmpty(), "classes", 0, "at least one");
     }
 
-    private static void require(boolean holds, String name, Number value, String allowed) {
-        if (!holds) {
+    private static void require(boolean valid, String name, Number value, String allowed) {
+        if (!valid) {
             throw new IllegalArgumentException(name + " can't be " + value + "; allowed: " + allowed);
         }
     }
 
     /** Returns the classes of the first deployment. */
-    public static List<RequestClass> usualClasses() {
+    public static List<RequestClass> defaultClasses() {
         return List.of(new RequestClass("status", "safe", "all", 0, 150, 750, 20, 0.51, 1),
                 new RequestClass("submit", "unsafe", "all", 0, 100, 300, 10, 0.49, 5));
     }
 
     /** Returns a fleet with the default classes and node parameters. */
     public static FleetConfig withDefaults(int nodes, int gateways, double rate, long seconds, long seed) {
-        return new FleetConfig(nodes, gateways, rate, seconds, seed, usualClasses(), 0.01, 2, 1024, USUAL, null);
+        return new FleetConfig(nodes, gateways, rate, seconds, seed, defaultClasses(), 0.01, 2, 1024, DEFAULT_NODE_PARAMETERS, null);
     }
 
     /** Returns a copy with another fraction of clients that leave before their answer. */
-    public FleetConfig withImpatient(double part) {
-        return new FleetConfig(nodes, gateways, rate, seconds, seed, classes, part, retries, descriptors, figures, governed);
+    public FleetConfig withAbandonFraction(double fraction) {
+        return new FleetConfig(nodes, gateways, rate, seconds, seed, classes, fraction, maxRetries, maxDescriptors, nodeParameters, operatorFile);
     }
 
     /** Returns a copy with other classes. */
     public FleetConfig withClasses(List<RequestClass> others) {
-        return new FleetConfig(nodes, gateways, rate, seconds, seed, others, impatient, retries, descriptors, figures, governed);
+        return new FleetConfig(nodes, gateways, rate, seconds, seed, others, abandonFraction, maxRetries, maxDescriptors, nodeParameters, operatorFile);
     }
 
     /** Returns a copy with another limit of file descriptors for each gateway. */
-    public FleetConfig withDescriptors(int limit) {
-        return new FleetConfig(nodes, gateways, rate, seconds, seed, classes, impatient, retries, limit, figures, governed);
+    public FleetConfig withMaxDescriptors(int limit) {
+        return new FleetConfig(nodes, gateways, rate, seconds, seed, classes, abandonFraction, maxRetries, limit, nodeParameters, operatorFile);
     }
 
     /** Returns a copy with an operator's file. */
     public FleetConfig withOperatorFile(OperatorFile file) {
-        return new FleetConfig(nodes, gateways, rate, seconds, seed, classes, impatient, retries, descriptors, figures, file);
+        return new FleetConfig(nodes, gateways, rate, seconds, seed, classes, abandonFraction, maxRetries, maxDescriptors, nodeParameters, file);
     }
 
     /** Returns the path of this gateway's operator file, or null if it has none. */
-    String operatorOf(int gateway) {
-        return governed == null || governed.everySecond() && gateway % 2 == 0 ? null : governed.file();
+    String operatorFileOf(int gateway) {
+        return operatorFile == null || operatorFile.everySecondGateway() && gateway % 2 == 0 ? null : operatorFile.path();
     }
 
     /** Returns the effect and dedup of each class by its name. */
-    Map<String, Grade> grades() {
-        Map<String, Grade> grades = new HashMap<>();
+    Map<String, RequestSemantics> semanticsByClass() {
+        Map<String, RequestSemantics> semantics = new HashMap<>();
         for (RequestClass c : classes) {
-            grades.put(c.name(), new Grade(Effect.valueOf(c.semantics().toUpperCase(Locale.ROOT)),
-                    Scope.valueOf(c.scope().toUpperCase(Locale.ROOT)), TimeUnit.MILLISECONDS.toNanos(c.windowMillis())));
+            semantics.put(c.name(), new RequestSemantics(Effect.valueOf(c.effect().toUpperCase(Locale.ROOT)),
+                    Scope.valueOf(c.dedupScope().toUpperCase(Locale.ROOT)), TimeUnit.MILLISECONDS.toNanos(c.dedupWindowMillis())));
         }
-        return grades;
+        return semantics;
     }
 
     /** Returns the zone and cell of each node. Nodes are assigned to the zones in turn, and to cells of three within a zone. */
-    List<Auditor.Place> places() {
-        List<Auditor.Place> places = new ArrayList<>();
+    List<Auditor.NodeLocation> nodeLocations() {
+        List<Auditor.NodeLocation> locations = new ArrayList<>();
         for (int i = 0; i < nodes; i++) {
-            places.add(new Auditor.Place(ZONES.get(i % ZONES.size()),
-                    i % ZONES.size() + ZONES.size() * (i / ZONES.size() / CELL)));
+            locations.add(new Auditor.NodeLocation(ZONES.get(i % ZONES.size()),
+                    i % ZONES.size() + ZONES.size() * (i / ZONES.size() / NODES_PER_CELL)));
         }
-        return places;
+        return locations;
     }
 
     /** Returns the time limits that the auditor checks. */
     Auditor.Limits limits() {
-        return new Auditor.Limits(TimeUnit.MILLISECONDS.toNanos(SLACK_MILLIS),
-                TimeUnit.MILLISECONDS.toNanos(figures.drainGraceMillis()));
+        return new Auditor.Limits(TimeUnit.MILLISECONDS.toNanos(ANSWER_SLACK_MILLIS),
+                TimeUnit.MILLISECONDS.toNanos(nodeParameters.drainGraceMillis()));
     }
 
     /** Returns a machine for each node, of two kinds, with speeds drawn from the seed. */
@@ -157,10 +157,10 @@
         SplittableRandom random = new SplittableRandom(seed);
         List<Machine> machines = new ArrayList<>();
         for (int i = 0; i < nodes; i++) {
-            double speed = random.nextDouble() < ECO ? random.nextDouble(0.64, 0.86) : random.nextDouble(0.85, 1.1);
-            machines.add(new Machine(1, speed, 400, figures.coldFrom(),
-                    TimeUnit.MILLISECONDS.toNanos(figures.warmUpMillis()), figures.overloadFactor(),
-                    TimeUnit.MILLISECONDS.toNanos(figures.overloadForMillis())));
+            double speed = random.nextDouble() < SLOW_MACHINE_FRACTION ? random.nextDouble(0.64, 0.86) : random.nextDouble(0.85, 1.1);
+            machines.add(new Machine(1, speed, 400, nodeParameters.coldCapacityFraction(),
+                    TimeUnit.MILLISECONDS.toNanos(nodeParameters.warmUpMillis()), nodeParameters.overloadFactor(),
+                    TimeUnit.MILLISECONDS.toNanos(nodeParameters.overloadWindowMillis())));
         }
         return machines;
     }
@@ -171,31 +171,31 @@
     }
 
     /** Returns what all nodes allow and cost, beyond their machines. */
-    StandInNode.Ways ways() {
-        Map<String, Double> work = new HashMap<>();
-        classes.forEach(c -> work.put(c.name(), c.workMillis() * TimeUnit.MILLISECONDS.toNanos(1)));
-        return new StandInNode.Ways(160, TimeUnit.MILLISECONDS.toNanos(IDLE_MILLIS),
-                figures.instant() ? 0 : TimeUnit.MILLISECONDS.toNanos(3), work, figures.instant());
+    StandInNode.Profile nodeProfile() {
+        Map<String, Double> meanWorkNanos = new HashMap<>();
+        classes.forEach(c -> meanWorkNanos.put(c.name(), c.meanWorkMillis() * TimeUnit.MILLISECONDS.toNanos(1)));
+        return new StandInNode.Profile(160, TimeUnit.MILLISECONDS.toNanos(IDLE_TIMEOUT_MILLIS),
+                nodeParameters.instantAnswers() ? 0 : TimeUnit.MILLISECONDS.toNanos(3), meanWorkNanos, nodeParameters.instantAnswers());
     }
 
     /** Returns the longest deadline of the classes. */
-    long longestDeadlineMillis() {
+    long maxDeadlineMillis() {
         return classes.stream().mapToLong(RequestClass::deadlineMillis).max().orElseThrow();
     }
 
     /** Returns the settings of one gateway, in the form of the platform's JSON configuration file. */
     Map<String, Object> settings(int gateway) {
-        List<Map<String, Object>> grades = new ArrayList<>();
+        List<Map<String, Object>> classSettings = new ArrayList<>();
         for (RequestClass c : classes) {
-            Map<String, Object> grade = new LinkedHashMap<>();
-            grade.put("name", c.name());
-            grade.put("semantics", c.semantics());
-            grade.put("dedup_scope", c.scope());
-            grade.put("window_ns", TimeUnit.MILLISECONDS.toNanos(c.windowMillis()));
-            grade.put("aim_ns", TimeUnit.MILLISECONDS.toNanos(c.aimMillis()));
-            grade.put("deadline_ns", TimeUnit.MILLISECONDS.toNanos(c.deadlineMillis()));
-            grade.put("value", c.value());
-            grades.add(grade);
+            Map<String, Object> classSetting = new LinkedHashMap<>();
+            classSetting.put("name", c.name());
+            classSetting.put("semantics", c.effect());
+            classSetting.put("dedup_scope", c.dedupScope());
+            classSetting.put("window_ns", TimeUnit.MILLISECONDS.toNanos(c.dedupWindowMillis()));
+            classSetting.put("aim_ns", TimeUnit.MILLISECONDS.toNanos(c.aimMillis()));
+            classSetting.put("deadline_ns", TimeUnit.MILLISECONDS.toNanos(c.deadlineMillis()));
+            classSetting.put("value", c.worth());
+            classSettings.add(classSetting);
         }
         Map<String, Object> settings = new LinkedHashMap<>();
         settings.put("group_size", gateways);
@@ -203,17 +203,17 @@
         settings.put("zone", ZONES.get(gateway % ZONES.size()));
         settings.put("discovery", "subscribe");
         settings.put("resolution_ns", 1_000_000);
-        settings.put("grades", grades);
+        settings.put("grades", classSettings);
         settings.put("allowed", Map.of("max_attempts", 5, "may_cancel", true, "may_duplicate", true,
                 "retry_after", true, "max_retry_after_ns", 400_000_000,
-                "dial_timeout_ns", TimeUnit.MILLISECONDS.toNanos(DIAL_MILLIS),
-                "conn_idle_ns", TimeUnit.MILLISECONDS.toNanos(IDLE_MILLIS)));
-        settings.put("obligations", Map.of("answer_slack_ns", TimeUnit.MILLISECONDS.toNanos(SLACK_MILLIS),
-                "drain_grace_ns", TimeUnit.MILLISECONDS.toNanos(figures.drainGraceMillis()),
-                "ask_within_ns", TimeUnit.SECONDS.toNanos(10), "cold_from", figures.coldFrom(),
-                "warm_up_ns", TimeUnit.MILLISECONDS.toNanos(figures.warmUpMillis()),
-                "overload_factor", figures.overloadFactor(),
-                "overload_for_ns", TimeUnit.MILLISECONDS.toNanos(figures.overloadForMillis())));
+                "dial_timeout_ns", TimeUnit.MILLISECONDS.toNanos(CONNECT_TIMEOUT_MILLIS),
+                "conn_idle_ns", TimeUnit.MILLISECONDS.toNanos(IDLE_TIMEOUT_MILLIS)));
+        settings.put("obligations", Map.of("answer_slack_ns", TimeUnit.MILLISECONDS.toNanos(ANSWER_SLACK_MILLIS),
+                "drain_grace_ns", TimeUnit.MILLISECONDS.toNanos(nodeParameters.drainGraceMillis()),
+                "ask_within_ns", TimeUnit.SECONDS.toNanos(10), "cold_from", nodeParameters.coldCapacityFraction(),
+                "warm_up_ns", TimeUnit.MILLISECONDS.toNanos(nodeParameters.warmUpMillis()),
+                "overload_factor", nodeParameters.overloadFactor(),
+                "overload_for_ns", TimeUnit.MILLISECONDS.toNanos(nodeParameters.overloadWindowMillis())));
         return settings;
     }
 }
--- a/src/main/java/cinderhollow/lab/Gateways.java
+++ b/src/main/java/cinderhollow/lab/GatewayLauncher.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 
 /** Starts gateways: real processes, or scripted gateways in tests. */
-public interface Gateways {
+public interface GatewayLauncher {
     /**
      * What a gateway is started with.
      *
@@ -17,7 +17,7 @@
     record Spec(int number, Map<String, String> environment, Path folder) { }
 
     /** A gateway that was started. */
-    interface Running {
+    interface RunningGateway {
         /** Returns whether it has not exited yet. */
         boolean isAlive();
 
@@ -28,21 +28,21 @@
         void kill();
 
         /** Asks it to reload its configuration (SIGHUP). */
-        void hangUp();
+        void reload();
 
         /** Pauses it (SIGSTOP) or resumes it (SIGCONT), without any notification to it. */
-        void pause(boolean on);
+        void setPaused(boolean paused);
 
         /** Returns the CPU time that it has used so far. */
-        Duration cpu();
+        Duration cpuTime();
 
         /** Waits for its exit; returns false if it has not exited within this time. */
-        boolean awaitEnd(Duration most) throws InterruptedException;
+        boolean awaitExit(Duration timeout) throws InterruptedException;
 
         /** Returns the last lines of its log, to report how it ended. */
-        String lastWords();
+        String logTail();
     }
 
     /** Starts a gateway and returns it; it need not be ready yet. */
-    Running start(Spec spec) throws IOException;
+    RunningGateway start(Spec spec) throws IOException;
 }
--- a/src/main/java/cinderhollow/lab/LoadBenchmark.java
+++ b/src/main/java/cinderhollow/lab/LoadBenchmark.java
@@ -52,37 +52,37 @@
     public enum Target {
         GATEWAY("gateway"), RELAY("bare relay"), CODEC("relay with codec");
 
-        private final String words;
+        private final String description;
 
-        Target(String words) {
-            this.words = words;
+        Target(String description) {
+            this.description = description;
         }
 
         /** Returns the name in the result. */
         @Override
         public String toString() {
-            return words;
+            return description;
         }
     }
 
-    private static final int MOST_LISTENERS = 50, LOOPS = 3, DESCRIPTORS = 16_384;
-    private static final int LARGEST_BODY = 64 * 1024, READY_MILLIS = 30_000, END_MILLIS = 6_000;
-    private static final long LONGEST_MICROS = TimeUnit.SECONDS.toMicros(60);
+    private static final int MAX_LISTENERS = 50, EVENT_LOOPS = 3, MAX_DESCRIPTORS = 16_384;
+    private static final int MAX_BODY_BYTES = 64 * 1024, START_TIMEOUT_MILLIS = 30_000, SHUTDOWN_TIMEOUT_MILLIS = 6_000;
+    private static final long MAX_LATENCY_MICROS = TimeUnit.SECONDS.toMicros(60);
     private static final byte[] NODE_ANSWER = ("HTTP/1.1 200 OK\r\nContent-Length: 20\r\n"
             + "X-Server-Load: qps=100,util=0.5,eps=0\r\n\r\n" + "a".repeat(20)).getBytes(StandardCharsets.US_ASCII);
-    private static final String BODY = "q".repeat(200);
+    private static final String REQUEST_BODY = "q".repeat(200);
 
     private final int nodes;
     private final int connections;
-    private final Target way;
-    private final int changes;
-    private final String cpus;
-    private final String operator;
-    private final List<String> flags;
+    private final Target target;
+    private final int changesPerSecond;
+    private final String cpuList;
+    private final String operatorFile;
+    private final List<String> jvmFlags;
     private final Path folder;
-    private final MultiThreadIoEventLoopGroup loops = new MultiThreadIoEventLoopGroup(LOOPS, NioIoHandler.newFactory());
-    private volatile Process measured;
-    private volatile boolean counting;
+    private final MultiThreadIoEventLoopGroup loops = new MultiThreadIoEventLoopGroup(EVENT_LOOPS, NioIoHandler.newFactory());
+    private volatile Process measuredProcess;
+    private volatile boolean recording;
     private boolean closed;
 
     /**
@@ -92,7 +92,7 @@
      *
      * @throws IllegalArgumentException if the number of nodes or connections is out of range
      */
-    public LoadBenchmark(int nodes, int connections, Target way, int changes, String cpus, String operator, List<String> flags)
+    public LoadBenchmark(int nodes, int connections, Target target, int changesPerSecond, String cpuList, String operatorFile, List<String> jvmFlags)
             throws IOException {
         if (nodes < 1 || nodes > 100_000 || connections < 1 || connections > 5_000) {
             throw new IllegalArgumentException("the number of nodes must be 1 to 100000, and that of connections 1 to 5000");
@@ -100,116 +100,116 @@
         InternalLoggerFactory.setDefaultFactory(JdkLoggerFactory.INSTANCE);
         this.nodes = nodes;
         this.connections = connections;
-        this.way = way;
-        this.changes = changes;
-        this.cpus = cpus;
-        this.operator = operator;
-        this.flags = flags;
+        this.target = target;
+        this.changesPerSecond = changesPerSecond;
+        this.cpuList = cpuList;
+        this.operatorFile = operatorFile;
+        this.jvmFlags = jvmFlags;
         folder = Files.createTempDirectory("cinderhollow-load");
     }
 
     /** Warms up, measures for this many seconds, and returns the result as one line for people. */
     public String run(int warmUpSeconds, int seconds) throws IOException, InterruptedException, ExecutionException {
         List<InetSocketAddress> listeners = new ArrayList<>();
-        for (int i = 0; i < Math.min(nodes, MOST_LISTENERS); i++) {
-            listeners.add(node());
+        for (int i = 0; i < Math.min(nodes, MAX_LISTENERS); i++) {
+            listeners.add(startNode());
         }
-        int port = Ports.free();
+        int port = Ports.allocate();
         start(port, listeners);
         awaitListening(port);
-        List<Asker> askers = new ArrayList<>();
-        Bootstrap dial = new Bootstrap().channel(NioSocketChannel.class)
+        List<ClosedLoopClient> clients = new ArrayList<>();
+        Bootstrap bootstrap = new Bootstrap().channel(NioSocketChannel.class)
                 .option(ChannelOption.TCP_NODELAY, true);
         for (int i = 0; i < connections; i++) {
-            Asker asker = new Asker(i, dial, port);
-            askers.add(asker);
-            asker.dial();
+            ClosedLoopClient client = new ClosedLoopClient(i, bootstrap, port);
+            clients.add(client);
+            client.connect();
         }
         TimeUnit.SECONDS.sleep(warmUpSeconds);
-        Duration before = measured.info().totalCpuDuration().orElse(Duration.ZERO);
-        long begin = System.nanoTime();
-        counting = true;
+        Duration cpuTimeBefore = measuredProcess.info().totalCpuDuration().orElse(Duration.ZERO);
+        long startNanos = System.nanoTime();
+        recording = true;
         TimeUnit.SECONDS.sleep(seconds);
-        counting = false;
-        double took = (System.nanoTime() - begin) / 1e9;
-        Duration after = measured.info().totalCpuDuration().orElse(Duration.ZERO);
-        return result(askers, took, after.minus(before));
+        recording = false;
+        double elapsedSeconds = (System.nanoTime() - startNanos) / 1e9;
+        Duration cpuTimeAfter = measuredProcess.info().totalCpuDuration().orElse(Duration.ZERO);
+        return formatResult(clients, elapsedSeconds, cpuTimeAfter.minus(cpuTimeBefore));
     }
 
-    private String result(List<Asker> askers, double took, Duration cpuTime)
+    private String formatResult(List<ClosedLoopClient> clients, double elapsedSeconds, Duration cpuTime)
             throws InterruptedException, ExecutionException {
-        Histogram all = new Histogram(LONGEST_MICROS, 2);
+        Histogram latencies = new Histogram(MAX_LATENCY_MICROS, 2);
         long served = 0;
-        long others = 0;
-        for (Asker asker : askers) {
-            all.add(asker.loop.submit(() -> asker.micros.copy()).get());
-            served += asker.served;
-            others += asker.others;
+        long notServed = 0;
+        for (ClosedLoopClient client : clients) {
+            latencies.add(client.loop.submit(() -> client.latencyMicros.copy()).get());
+            served += client.served;
+            notServed += client.notServed;
         }
         return String.format(Locale.ROOT, "%s, %d nodes, %d connections: %.0f a second, p50 %.2f ms, p99 %.2f ms, "
-                + "most %.2f ms, CPU %.1f us a request, %d of %d not served", way, nodes, connections,
-                (served + others) / took, all.getValueAtPercentile(50) / 1e3, all.getValueAtPercentile(99) / 1e3, all.getMaxValue() / 1e3,
-                cpuTime.toNanos() / 1e3 / Math.max(1, served + others), others, served + others);
+                + "most %.2f ms, CPU %.1f us a request, %d of %d not served", target, nodes, connections,
+                (served + notServed) / elapsedSeconds, latencies.getValueAtPercentile(50) / 1e3, latencies.getValueAtPercentile(99) / 1e3, latencies.getMaxValue() / 1e3,
+                cpuTime.toNanos() / 1e3 / Math.max(1, served + notServed), notServed, served + notServed);
     }
 
     private void start(int port, List<InetSocketAddress> listeners) throws IOException {
         List<String> command = new ArrayList<>();
-        if (cpus != null) {
-            command.addAll(List.of("taskset", "-c", cpus));
+        if (cpuList != null) {
+            command.addAll(List.of("taskset", "-c", cpuList));
         }
-        command.addAll(GatewayProcess.java(flags, folder));
+        command.addAll(GatewayProcess.javaCommand(jvmFlags, folder));
         ProcessBuilder builder = new ProcessBuilder(command).redirectErrorStream(true)
                 .redirectOutput(folder.resolve("log").toFile());
-        if (way != Target.GATEWAY) {
+        if (target != Target.GATEWAY) {
             command.addAll(List.of("lab", "relay", "--listen", String.valueOf(port), "--to",
                     String.valueOf(listeners.get(0).getPort())));
-            if (way == Target.CODEC) {
+            if (target == Target.CODEC) {
                 command.add("--codec");
             }
         } else {
             command.add("serve");
             Path config = folder.resolve("config.json");
-            Files.writeString(config, StandInDiscovery.json(config(listeners)));
+            Files.writeString(config, StandInDiscovery.toJson(buildConfig(listeners)));
             // Without changes no discovery is needed, since the configuration has the whole list: nothing listens on this port.
-            String discovery = changes == 0 ? "127.0.0.1:1" : StandInDiscovery.text(tellingChanges(listeners));
+            String discovery = changesPerSecond == 0 ? "127.0.0.1:1" : StandInDiscovery.formatAddress(startChangingDiscovery(listeners));
             builder.environment().putAll(Map.of("LB_LISTEN", "127.0.0.1:" + port, "LB_DISCOVERY", discovery,
                     "LB_CONFIG", config.toString()));
-            if (operator != null) {
-                builder.environment().put("LB_OPERATOR", operator);
+            if (operatorFile != null) {
+                builder.environment().put("LB_OPERATOR", operatorFile);
             }
         }
-        measured = builder.start();
+        measuredProcess = builder.start();
     }
 
-    private Map<String, Object> config(List<InetSocketAddress> listeners) {
-        FleetConfig site = FleetConfig.withDefaults(nodes, 1, 1, 1, 1);
+    private Map<String, Object> buildConfig(List<InetSocketAddress> listeners) {
+        FleetConfig fleetConfig = FleetConfig.withDefaults(nodes, 1, 1, 1, 1);
         List<Map<String, Object>> endpoints = new ArrayList<>();
         for (int i = 0; i < nodes; i++) {
-            endpoints.add(endpoint(i, listeners, "up"));
+            endpoints.add(buildEndpoint(i, listeners, "up"));
         }
         Map<String, Object> config = new LinkedHashMap<>();
         config.put("seed", "2a");
-        config.put("limits", Map.of("sockets", DESCRIPTORS));
+        config.put("limits", Map.of("sockets", MAX_DESCRIPTORS));
         config.put("known", Map.of("index", 1, "snapshot", true, "endpoints", endpoints));
-        config.put("settings", site.settings(0));
+        config.put("settings", fleetConfig.settings(0));
         return config;
     }
 
-    private static Map<String, Object> endpoint(int number, List<InetSocketAddress> listeners, String status) {
-        return Map.of("name", Names.node(number), "address",
-                StandInDiscovery.text(listeners.get(number % listeners.size())), "zone", "ostim", "type", "std",
+    private static Map<String, Object> buildEndpoint(int number, List<InetSocketAddress> listeners, String status) {
+        return Map.of("name", LabNames.nodeName(number), "address",
+                StandInDiscovery.formatAddress(listeners.get(number % listeners.size())), "zone", "ostim", "type", "std",
                 "group", 0, "status", status, "weight", 1.0, "since_ms", 0);
     }
 
     /** Starts a discovery that sets one node after the other to draining, and the previous one back to up. */
-    private InetSocketAddress tellingChanges(List<InetSocketAddress> listeners) throws IOException {
+    private InetSocketAddress startChangingDiscovery(List<InetSocketAddress> listeners) throws IOException {
         try {
             return (InetSocketAddress) new ServerBootstrap().group(loops).channel(NioServerSocketChannel.class)
                     .childHandler(new ChannelInitializer<Channel>() {
                         @Override
                         protected void initChannel(Channel channel) {
-                            channel.pipeline().addLast(new HttpRequestDecoder(), new HttpObjectAggregator(LARGEST_BODY),
-                                    new Changes(listeners));
+                            channel.pipeline().addLast(new HttpRequestDecoder(), new HttpObjectAggregator(MAX_BODY_BYTES),
+                                    new ListChangeHandler(listeners));
                         }
                     }).bind("127.0.0.1", 0).sync().channel().localAddress();
         } catch (InterruptedException e) {
@@ -218,11 +218,11 @@
     }
 
     /** Answers a watch with list changes at a steady rate. */
-    private final class Changes extends SimpleChannelInboundHandler<FullHttpRequest> {
+    private final class ListChangeHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
         private final List<InetSocketAddress> listeners;
-        private int told;
+        private int changesSent;
 
-        Changes(List<InetSocketAddress> listeners) {
+        ListChangeHandler(List<InetSocketAddress> listeners) {
             this.listeners = listeners;
         }
 
@@ -230,14 +230,14 @@
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
             ctx.writeAndFlush(Unpooled.copiedBuffer("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n",
                     StandardCharsets.US_ASCII));
-            long every = TimeUnit.SECONDS.toNanos(1) / changes;
-            ctx.executor().scheduleAtFixedRate(() -> tell(ctx), every, every, TimeUnit.NANOSECONDS);
+            long intervalNanos = TimeUnit.SECONDS.toNanos(1) / changesPerSecond;
+            ctx.executor().scheduleAtFixedRate(() -> sendChange(ctx), intervalNanos, intervalNanos, TimeUnit.NANOSECONDS);
         }
 
-        private void tell(ChannelHandlerContext ctx) {
-            String line = StandInDiscovery.json(Map.of("index", ++told, "snapshot", false, "endpoints",
-                    List.of(endpoint(told % nodes, listeners, "draining"),
-                            endpoint((told - 1) % nodes, listeners, "up")))) + "\n";
+        private void sendChange(ChannelHandlerContext ctx) {
+            String line = StandInDiscovery.toJson(Map.of("index", ++changesSent, "snapshot", false, "endpoints",
+                    List.of(buildEndpoint(changesSent % nodes, listeners, "draining"),
+                            buildEndpoint((changesSent - 1) % nodes, listeners, "up")))) + "\n";
             ctx.writeAndFlush(Unpooled.copiedBuffer(Integer.toHexString(line.length()) + "\r\n" + line + "\r\n",
                     StandardCharsets.US_ASCII));
         }
@@ -249,19 +249,19 @@
     }
 
     /** Starts a node that answers at once. */
-    private InetSocketAddress node() throws InterruptedException {
+    private InetSocketAddress startNode() throws InterruptedException {
         return (InetSocketAddress) new ServerBootstrap().group(loops).channel(NioServerSocketChannel.class)
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
                         channel.pipeline().addLast(new HttpRequestDecoder(),
-                                new HttpObjectAggregator(LARGEST_BODY), new Answers());
+                                new HttpObjectAggregator(MAX_BODY_BYTES), new FixedAnswerHandler());
                     }
                 }).bind("127.0.0.1", 0).sync().channel().localAddress();
     }
 
     /** Answers each request at once with a fixed answer. */
-    private static final class Answers extends SimpleChannelInboundHandler<FullHttpRequest> {
+    private static final class FixedAnswerHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
             ctx.writeAndFlush(Unpooled.wrappedBuffer(NODE_ANSWER));
@@ -274,13 +274,13 @@
     }
 
     private void awaitListening(int port) throws InterruptedException, IOException {
-        long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(READY_MILLIS);
+        long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(START_TIMEOUT_MILLIS);
         while (true) {
             try {
                 new Socket(InetAddress.getLoopbackAddress(), port).close();
                 return;
             } catch (IOException e) {
-                if (!measured.isAlive() || System.nanoTime() > end) {
+                if (!measuredProcess.isAlive() || System.nanoTime() > deadlineNanos) {
                     throw new IOException("the process to be measured did not start listening; its log: "
                             + Files.readString(folder.resolve("log")), e);
                 }
@@ -290,20 +290,20 @@
     }
 
     /** A closed-loop client: it sends the next request as soon as it is answered. */
-    private final class Asker extends SimpleChannelInboundHandler<FullHttpResponse> {
+    private final class ClosedLoopClient extends SimpleChannelInboundHandler<FullHttpResponse> {
         private final int number;
-        private final Bootstrap dial;
+        private final Bootstrap bootstrap;
         private final int port;
-        private final Histogram micros = new Histogram(LONGEST_MICROS, 2);
+        private final Histogram latencyMicros = new Histogram(MAX_LATENCY_MICROS, 2);
         private volatile EventLoop loop;
         private volatile long served;
-        private volatile long others;
-        private long asked;
-        private long sentAt;
+        private volatile long notServed;
+        private long requestsSent;
+        private long sentAtNanos;
 
-        Asker(int number, Bootstrap dial, int port) {
+        ClosedLoopClient(int number, Bootstrap bootstrap, int port) {
             this.number = number;
-            this.dial = dial;
+            this.bootstrap = bootstrap;
             this.port = port;
             loop = loops.next();
         }
@@ -313,40 +313,40 @@
             return true;
         }
 
-        void dial() {
-            dial.clone().group(loop).handler(new ChannelInitializer<Channel>() {
+        void connect() {
+            bootstrap.clone().group(loop).handler(new ChannelInitializer<Channel>() {
                 @Override
                 protected void initChannel(Channel channel) {
-                    channel.pipeline().addLast(new HttpResponseDecoder(), new HttpObjectAggregator(LARGEST_BODY),
-                            Asker.this);
+                    channel.pipeline().addLast(new HttpResponseDecoder(), new HttpObjectAggregator(MAX_BODY_BYTES),
+                            ClosedLoopClient.this);
                 }
             }).connect("127.0.0.1", port);
         }
 
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
-            ask(ctx);
+            sendRequest(ctx);
         }
 
-        private void ask(ChannelHandlerContext ctx) {
-            boolean safe = asked++ % 2 == 0;
+        private void sendRequest(ChannelHandlerContext ctx) {
+            boolean safe = requestsSent++ % 2 == 0;
             String head = (safe ? "GET /status/7" : "POST /submit") + " HTTP/1.1\r\nHost: x\r\nX-Request-ID: " + number
-                    + "." + asked + "\r\nX-Timeout: 20000m\r\n" + (safe ? "\r\n" : "Content-Length: " + BODY.length()
-                    + "\r\n\r\n" + BODY);
-            sentAt = System.nanoTime();
+                    + "." + requestsSent + "\r\nX-Timeout: 20000m\r\n" + (safe ? "\r\n" : "Content-Length: " + REQUEST_BODY.length()
+                    + "\r\n\r\n" + REQUEST_BODY);
+            sentAtNanos = System.nanoTime();
             ctx.writeAndFlush(Unpooled.copiedBuffer(head, StandardCharsets.US_ASCII));
         }
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse answer) {
-            if (counting) {
-                micros.recordValue(Math.min(LONGEST_MICROS, TimeUnit.NANOSECONDS.toMicros(System.nanoTime() - sentAt)));
-                boolean fine = answer.status().code() == 200;
-                served += fine ? 1 : 0;
-                others += fine ? 0 : 1;
+            if (recording) {
+                latencyMicros.recordValue(Math.min(MAX_LATENCY_MICROS, TimeUnit.NANOSECONDS.toMicros(System.nanoTime() - sentAtNanos)));
+                boolean ok = answer.status().code() == 200;
+                served += ok ? 1 : 0;
+                notServed += ok ? 0 : 1;
             }
             if (HttpUtil.isKeepAlive(answer)) {
-                ask(ctx);
+                sendRequest(ctx);
             } else {
                 ctx.close();
             }
@@ -355,7 +355,7 @@
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
             if (!loops.isShuttingDown()) {
-                dial();
+                connect();
             }
         }
 
@@ -369,10 +369,10 @@
      * Starts a relay that forwards each connection to {@code listenPort} over a connection of its own to {@code nodePort}, on one
      * event loop, until the process exits. With {@code codec} it decodes and encodes the HTTP messages on their way.
      */
-    public static void relay(int listen, int to, boolean codec) throws InterruptedException {
+    public static void relay(int listenPort, int nodePort, boolean codec) throws InterruptedException {
         InternalLoggerFactory.setDefaultFactory(JdkLoggerFactory.INSTANCE);
-        MultiThreadIoEventLoopGroup one = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-        new ServerBootstrap().group(one).channel(NioServerSocketChannel.class)
+        MultiThreadIoEventLoopGroup loopGroup = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
+        new ServerBootstrap().group(loopGroup).channel(NioServerSocketChannel.class)
                 .childOption(ChannelOption.AUTO_READ, false)
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
@@ -383,37 +383,37 @@
                                     protected void initChannel(Channel channel) {
                                         if (codec) {
                                             channel.pipeline().addLast(new HttpClientCodec(),
-                                                    new HttpObjectAggregator(LARGEST_BODY));
+                                                    new HttpObjectAggregator(MAX_BODY_BYTES));
                                         }
-                                        channel.pipeline().addLast(new Passes(client));
+                                        channel.pipeline().addLast(new ForwardingHandler(client));
                                     }
                                 })
-                                .connect("127.0.0.1", to).addListener(up -> client.config().setAutoRead(up.isSuccess()))
+                                .connect("127.0.0.1", nodePort).addListener(up -> client.config().setAutoRead(up.isSuccess()))
                                 .channel();
                         if (codec) {
-                            client.pipeline().addLast(new HttpServerCodec(), new HttpObjectAggregator(LARGEST_BODY));
+                            client.pipeline().addLast(new HttpServerCodec(), new HttpObjectAggregator(MAX_BODY_BYTES));
                         }
-                        client.pipeline().addLast(new Passes(node));
+                        client.pipeline().addLast(new ForwardingHandler(node));
                     }
-                }).bind("127.0.0.1", listen).sync();
+                }).bind("127.0.0.1", listenPort).sync();
     }
 
     /** Forwards what it reads to the other connection, and closes that when its own is closed. */
-    private static final class Passes extends ChannelInboundHandlerAdapter {
-        private final Channel other;
+    private static final class ForwardingHandler extends ChannelInboundHandlerAdapter {
+        private final Channel otherChannel;
 
-        Passes(Channel other) {
-            this.other = other;
+        ForwardingHandler(Channel otherChannel) {
+            this.otherChannel = otherChannel;
         }
 
         @Override
         public void channelRead(ChannelHandlerContext ctx, Object bytes) {
-            other.writeAndFlush(bytes).addListener(ChannelFutureListener.CLOSE_ON_FAILURE);
+            otherChannel.writeAndFlush(bytes).addListener(ChannelFutureListener.CLOSE_ON_FAILURE);
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
-            other.close();
+            otherChannel.close();
         }
 
         @Override
@@ -432,16 +432,16 @@
             closed = true;
         }
         try {
-            if (measured != null) {
-                measured.destroy();
-                if (!measured.waitFor(END_MILLIS, TimeUnit.MILLISECONDS)) {
-                    measured.destroyForcibly().waitFor();
+            if (measuredProcess != null) {
+                measuredProcess.destroy();
+                if (!measuredProcess.waitFor(SHUTDOWN_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)) {
+                    measuredProcess.destroyForcibly().waitFor();
                 }
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
         loops.shutdownGracefully(0, 500, TimeUnit.MILLISECONDS);
-        Lab.remove(folder);
+        Lab.deleteFolder(folder);
     }
 }
--- a/src/main/java/cinderhollow/lab/BadClients.java
+++ b/src/main/java/cinderhollow/lab/MisbehavingClients.java
@@ -13,10 +13,10 @@
 import java.util.concurrent.TimeUnit;
 
 /** Clients that send malformed requests, or connect and send nothing. One event loop owns all state. */
-final class BadClients {
+final class MisbehavingClients {
     /** Delay in milliseconds before a silent client whose connection was closed connects again. */
-    private static final long RECONNECT_MILLIS = 100;
-    private static final List<String> UNREADABLE = List.of(
+    private static final long RECONNECT_DELAY_MILLIS = 100;
+    private static final List<String> MALFORMED_REQUESTS = List.of(
             "GET /status/1 HTTP/1.1\r\nHost: x\r\n\r\n",
             "\u0001\u0002\u0003 garbage\r\n\r\n",
             "POST /submit HTTP/1.1\r\nX-Request-ID: rude-1\r\nContent-Length: -5\r\n\r\n",
@@ -30,57 +30,57 @@
             "POST /submit HTTP/1.1\r\nHost: x\r\nX-Request-ID: rude-8\r\nContent-Length: 900000\r\n\r\n" + "x".repeat(3_000));
 
     private final EventLoop loop;
-    private final Bootstrap dial;
-    private final List<InetSocketAddress> gateways;
-    private long owed;
-    private long ended;
+    private final Bootstrap bootstrap;
+    private final List<InetSocketAddress> gatewayAddresses;
+    private long malformedConnections;
+    private long closedMalformedConnections;
 
     /** Creates clients that connect to these gateways by the bootstrap, whose event loop must be {@code loop}. */
-    BadClients(EventLoop loop, Bootstrap dial, List<InetSocketAddress> gateways) {
+    MisbehavingClients(EventLoop loop, Bootstrap bootstrap, List<InetSocketAddress> gatewayAddresses) {
         this.loop = loop;
-        this.dial = dial;
-        this.gateways = List.copyOf(gateways);
+        this.bootstrap = bootstrap;
+        this.gatewayAddresses = List.copyOf(gatewayAddresses);
     }
 
     /** Opens connections that send malformed requests. The gateway must answer each with an error or close it. */
-    void rude(int gateway, int count) {
+    void sendMalformed(int gateway, int count) {
         for (int i = 0; i < count; i++) {
-            String text = UNREADABLE.get(i % UNREADABLE.size());
-            owed++;
-            Channel channel = dial.clone().handler(new Talker(text)).connect(gateways.get(gateway)).channel();
-            channel.closeFuture().addListener(closed -> ended++);
+            String text = MALFORMED_REQUESTS.get(i % MALFORMED_REQUESTS.size());
+            malformedConnections++;
+            Channel channel = bootstrap.clone().handler(new SendOnceHandler(text)).connect(gatewayAddresses.get(gateway)).channel();
+            channel.closeFuture().addListener(closed -> closedMalformedConnections++);
         }
     }
 
     /** Returns the number of connections with a malformed request that have got neither an error nor a close. */
-    long rudeLeft() {
-        return owed - ended;
+    long openMalformedConnections() {
+        return malformedConnections - closedMalformedConnections;
     }
 
     /** Starts clients that connect and send nothing, and connect again when they are closed, for this time. */
-    void crowd(int gateway, int count, long millis) {
-        long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(millis);
+    void startSilentClients(int gateway, int count, long millis) {
+        long untilNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(millis);
         for (int i = 0; i < count; i++) {
-            sayNothing(gateway, until);
+            connectSilently(gateway, untilNanos);
         }
     }
 
-    private void sayNothing(int gateway, long until) {
-        long left = until - System.nanoTime();
-        if (left <= 0) {
+    private void connectSilently(int gateway, long untilNanos) {
+        long remainingNanos = untilNanos - System.nanoTime();
+        if (remainingNanos <= 0) {
             return;
         }
-        Channel channel = dial.clone().handler(new Talker("")).connect(gateways.get(gateway)).channel();
-        loop.schedule(() -> channel.close(), left, TimeUnit.NANOSECONDS);
+        Channel channel = bootstrap.clone().handler(new SendOnceHandler("")).connect(gatewayAddresses.get(gateway)).channel();
+        loop.schedule(() -> channel.close(), remainingNanos, TimeUnit.NANOSECONDS);
         channel.closeFuture().addListener(closed ->
-                loop.schedule(() -> sayNothing(gateway, until), RECONNECT_MILLIS, TimeUnit.MILLISECONDS));
+                loop.schedule(() -> connectSilently(gateway, untilNanos), RECONNECT_DELAY_MILLIS, TimeUnit.MILLISECONDS));
     }
 
     /** Sends a text once it is connected, and closes the connection at the first bytes of an answer. */
-    private static final class Talker extends ChannelInboundHandlerAdapter {
+    private static final class SendOnceHandler extends ChannelInboundHandlerAdapter {
         private final String text;
 
-        Talker(String text) {
+        SendOnceHandler(String text) {
             this.text = text;
         }
 
--- a/src/main/java/cinderhollow/lab/Report.java
+++ b/src/main/java/cinderhollow/lab/Report.java
@@ -20,64 +20,64 @@
      * @param p99Millis 99th percentile of that latency
      * @param nodesUp nodes that are up at its end
      * @param nodes all nodes
-     * @param goingOn faults that are active at its end
+     * @param activeFaults faults that are active at its end
      */
-    public record Second(long second, long served, long refused, long failed, long retries, double p50Millis,
-                         double p99Millis, long nodesUp, long nodes, List<String> goingOn) {
+    public record Progress(long second, long served, long refused, long failed, long retries, double p50Millis,
+                         double p99Millis, long nodesUp, long nodes, List<String> activeFaults) {
         /** Returns the summary as one line with columns of fixed width. */
         @Override
         public String toString() {
             return String.format(Locale.ROOT,
                     "%4ds  served %5d  refused %4d  failed %4d  retries %4d  p50 %6.1fms  p99 %6.1fms  nodes %d/%d  %s",
                     second, served, refused, failed, retries, p50Millis, p99Millis, nodesUp, nodes,
-                    goingOn.isEmpty() ? "" : String.join(", ", goingOn)).stripTrailing();
+                    activeFaults.isEmpty() ? "" : String.join(", ", activeFaults)).stripTrailing();
         }
     }
 
-    private static final int LATE_MILLIS = 50;
+    private static final int LATENESS_NOTE_MILLIS = 50;
 
-    private final FleetConfig site;
+    private final FleetConfig fleetConfig;
     private final FaultPlan plan;
     private final Map<String, Map<String, Object>> byClass = new LinkedHashMap<>();
     private final Map<String, Map<String, Object>> byGateway = new LinkedHashMap<>();
-    private final Map<String, Object> all;
+    private final Map<String, Object> totals;
     private final long openMalformedConnections;
-    private final Auditor.Counts counts;
+    private final Auditor.Counts auditCounts;
     private final List<Breach> breaches;
     private final long breachCount;
     private final long answeredLate;
     private final double worstLatenessMillis;
-    private final double cpuSeconds;
+    private final double gatewayCpuSeconds;
 
-    Report(FleetConfig site, FaultPlan plan, Tally all, Map<String, Tally> byClass, Map<String, Tally> byGateway, long rudeLeft,
-           Auditor.Counts counts, Map<String, Long> sends, List<Breach> breaches, long breachCount, long answeredLate, long lateNanos,
-           double cpuSeconds) {
+    Report(FleetConfig fleetConfig, FaultPlan plan, RequestStats totals, Map<String, RequestStats> byClass, Map<String, RequestStats> byGateway, long openMalformedConnections,
+           Auditor.Counts auditCounts, Map<String, Long> attemptCounts, List<Breach> breaches, long breachCount, long answeredLate, long worstLatenessNanos,
+           double gatewayCpuSeconds) {
         this.answeredLate = answeredLate;
-        this.site = site;
+        this.fleetConfig = fleetConfig;
         this.plan = plan;
-        this.all = all.row();
-        byClass.forEach((name, tally) -> this.byClass.put(name, tally.row()));
-        byGateway.forEach((name, tally) -> {
-            Map<String, Object> row = tally.row();
-            row.put("sends", sends.getOrDefault(name, 0L));
+        this.totals = totals.toMap();
+        byClass.forEach((name, stats) -> this.byClass.put(name, stats.toMap()));
+        byGateway.forEach((name, stats) -> {
+            Map<String, Object> row = stats.toMap();
+            row.put("sends", attemptCounts.getOrDefault(name, 0L));
             this.byGateway.put(name, row);
         });
-        this.openMalformedConnections = rudeLeft;
-        this.counts = counts;
+        this.openMalformedConnections = openMalformedConnections;
+        this.auditCounts = auditCounts;
         this.breaches = List.copyOf(breaches);
         this.breachCount = breachCount;
-        worstLatenessMillis = lateNanos / 1e6;
-        this.cpuSeconds = cpuSeconds;
+        worstLatenessMillis = worstLatenessNanos / 1e6;
+        this.gatewayCpuSeconds = gatewayCpuSeconds;
     }
 
     /** Returns whether no rule was broken and every request could be checked. */
     public boolean isClean() {
-        return breachCount == 0 && counts.unaudited() == 0;
+        return breachCount == 0 && auditCounts.unaudited() == 0;
     }
 
     /** Returns the number of overload crashes of cold nodes that were not judged because the lab itself ran too late. */
-    public long fallsNotJudged() {
-        return counts.unjudgedFalls();
+    public long unjudgedOverloadCrashes() {
+        return auditCounts.unjudgedOverloadCrashes();
     }
 
     /** Returns the first breaches, up to a bound. */
@@ -86,18 +86,18 @@
     }
 
     /** Returns the fraction of the requests that were served within their aim. */
-    public double inAim() {
-        return number(all, "in_aim") / Math.max(1, number(all, "asked"));
+    public double inAimFraction() {
+        return figureOf(totals, "in_aim") / Math.max(1, figureOf(totals, "asked"));
     }
 
     /** Returns the number of requests of all clients, each counted once however often it was tried. */
     public long requests() {
-        return (long) number(all, "asked");
+        return (long) figureOf(totals, "asked");
     }
 
     /** Returns the number of requests that were answered with 200. */
     public long served() {
-        return (long) number(all, "served");
+        return (long) figureOf(totals, "served");
     }
 
     /** Returns the number of connections with a malformed request that got neither an error nor a close. */
@@ -116,38 +116,38 @@
     }
 
     /** Returns a figure of a class's tries at a gateway, by its name in the rows of {@code --json}, such as {@code sends}. */
-    public double ofGateway(int gateway, String requestClass, String figure) {
-        return number(byGateway.get(Names.gatewayAndClass(gateway, requestClass)), figure);
+    public double gatewayFigure(int gateway, String requestClass, String figure) {
+        return figureOf(byGateway.get(LabNames.gatewayClassKey(gateway, requestClass)), figure);
     }
 
     /** Returns the CPU time of all gateways, divided by the number of clients' requests, in microseconds. */
     public double cpuMicrosPerRequest() {
-        return cpuSeconds * 1e6 / Math.max(1, number(all, "asked"));
+        return gatewayCpuSeconds * 1e6 / Math.max(1, figureOf(totals, "asked"));
     }
 
-    private static double number(Map<String, Object> row, String name) {
+    private static double figureOf(Map<String, Object> row, String name) {
         return ((Number) row.get(name)).doubleValue();
     }
 
     /** Returns the report as a map, for programs. */
     public Map<String, Object> toMap() {
         Map<String, Object> map = new LinkedHashMap<>();
-        map.put("seed", site.seed());
-        map.put("nodes", site.nodes());
-        map.put("gateways", site.gateways());
-        map.put("rate", site.rate());
-        map.put("seconds", site.seconds());
+        map.put("seed", fleetConfig.seed());
+        map.put("nodes", fleetConfig.nodes());
+        map.put("gateways", fleetConfig.gateways());
+        map.put("rate", fleetConfig.rate());
+        map.put("seconds", fleetConfig.seconds());
         map.put("plan", plan.faults().stream().map(Fault::toString).toList());
-        map.put("all", all);
+        map.put("all", totals);
         map.put("classes", byClass);
         map.put("gateways_tries", byGateway);
         map.put("gateway_cpu_us_per_request", cpuMicrosPerRequest());
         map.put("rude_left", openMalformedConnections);
         Map<String, Object> audit = new LinkedHashMap<>();
-        audit.put("tries", counts.asked());
-        audit.put("excused_by_kills", counts.excused());
-        audit.put("unaudited", counts.unaudited());
-        audit.put("falls_not_judged", counts.unjudgedFalls());
+        audit.put("tries", auditCounts.requests());
+        audit.put("excused_by_kills", auditCounts.excused());
+        audit.put("unaudited", auditCounts.unaudited());
+        audit.put("falls_not_judged", auditCounts.unjudgedOverloadCrashes());
         audit.put("answered_late", answeredLate);
         audit.put("lab_late_ms", worstLatenessMillis);
         audit.put("breaches", breachCount);
@@ -159,7 +159,7 @@
 
     /** Returns {@link #toMap} as JSON. */
     public String toJson() {
-        return StandInDiscovery.json(toMap());
+        return StandInDiscovery.toJson(toMap());
     }
 
     /** Returns the report for people: a table by class and by gateway, and the verdict. */
@@ -168,15 +168,15 @@
         List<String> lines = new ArrayList<>();
         lines.add(String.format(Locale.ROOT, "%-12s %9s %9s %9s %8s %8s %6s %7s %8s %8s %8s", "requests", "asked", "served",
                 "in aim", "refused", "failed", "left", "broken", "retries", "p50 ms", "p99 ms"));
-        byClass.forEach((name, row) -> lines.add(line(name, row)));
-        lines.add(line("all", all));
+        byClass.forEach((name, row) -> lines.add(formatRow(name, row)));
+        lines.add(formatRow("all", totals));
         lines.add(String.format(Locale.ROOT, "%-12s (tries; a try that is refused may be served elsewhere)", "gateways"));
-        byGateway.forEach((name, row) -> lines.add(line(name, row) + "   sends " + row.get("sends")));
+        byGateway.forEach((name, row) -> lines.add(formatRow(name, row) + "   sends " + row.get("sends")));
         lines.add(String.format(Locale.ROOT, "gateways' CPU for a request: %.0f us", cpuMicrosPerRequest()));
         if (openMalformedConnections > 0) {
             lines.add(openMalformedConnections + " rude connections got neither an error nor a close");
         }
-        if (worstLatenessMillis > LATE_MILLIS) {
+        if (worstLatenessMillis > LATENESS_NOTE_MILLIS) {
             lines.add(String.format(Locale.ROOT, "the lab itself ran up to %.0f ms late; limits of time were judged with "
                     + "that in mind", worstLatenessMillis));
         }
@@ -184,14 +184,14 @@
             lines.add(answeredLate + " answers came after their client's time");
         }
         breaches.forEach(breach -> lines.add(breach.toString()));
-        String looked = counts.asked() + " tries, " + counts.excused() + " excused by kills, " + counts.unaudited()
-                + " not looked at" + (counts.unjudgedFalls() > 0 ? ", " + counts.unjudgedFalls() + " falls not judged" : "");
-        lines.add(isClean() ? "auditor: clean (" + looked + ")"
-                : "auditor: " + breachCount + " breaches of the rules (" + looked + ")");
+        String auditSummary = auditCounts.requests() + " tries, " + auditCounts.excused() + " excused by kills, " + auditCounts.unaudited()
+                + " not looked at" + (auditCounts.unjudgedOverloadCrashes() > 0 ? ", " + auditCounts.unjudgedOverloadCrashes() + " falls not judged" : "");
+        lines.add(isClean() ? "auditor: clean (" + auditSummary + ")"
+                : "auditor: " + breachCount + " breaches of the rules (" + auditSummary + ")");
         return String.join("\n", lines);
     }
 
-    private static String line(String name, Map<String, Object> row) {
+    private static String formatRow(String name, Map<String, Object> row) {
         return String.format(Locale.ROOT, "%-12s %9s %9s %9s %8s %8s %6s %7s %8s %8.1f %8.1f", name, row.get("asked"),
                 row.get("served"), row.get("in_aim"), row.get("refused"), row.get("failed"), row.get("left"),
                 row.get("broken"), row.get("retries"), row.get("p50_ms"), row.get("p99_ms"));
--- a/src/main/java/cinderhollow/lab/SignalSender.java
+++ b/src/main/java/cinderhollow/lab/SignalSender.java
@@ -14,14 +14,14 @@
 final class SignalSender {
     private static SignalSender shared;
 
-    private final BufferedWriter commands;
-    private final BufferedReader answers;
+    private final BufferedWriter shellInput;
+    private final BufferedReader shellOutput;
 
     private SignalSender() throws IOException {
         // Uses the shell's builtin kill, since there may be no such command on the path.
         Process shell = new ProcessBuilder("/bin/sh").redirectError(ProcessBuilder.Redirect.INHERIT).start();
-        commands = new BufferedWriter(new OutputStreamWriter(shell.getOutputStream(), StandardCharsets.US_ASCII));
-        answers = new BufferedReader(new InputStreamReader(shell.getInputStream(), StandardCharsets.US_ASCII));
+        shellInput = new BufferedWriter(new OutputStreamWriter(shell.getOutputStream(), StandardCharsets.US_ASCII));
+        shellOutput = new BufferedReader(new InputStreamReader(shell.getInputStream(), StandardCharsets.US_ASCII));
     }
 
     /** Sends the signal of this name, such as STOP, and returns once it is sent. Does nothing if the process no longer exists. */
@@ -30,17 +30,17 @@
             if (shared == null) {
                 shared = new SignalSender();
             }
-            shared.command("kill -" + name + " " + pid + " 2>/dev/null; echo sent");
+            shared.runCommand("kill -" + name + " " + pid + " 2>/dev/null; echo sent");
         } catch (IOException e) {
             shared = null;
             throw new IllegalStateException("could not send a signal: " + e.getMessage(), e);
         }
     }
 
-    private void command(String line) throws IOException {
-        commands.write(line + "\n");
-        commands.flush();
-        if (answers.readLine() == null) {
+    private void runCommand(String line) throws IOException {
+        shellInput.write(line + "\n");
+        shellInput.flush();
+        if (shellOutput.readLine() == null) {
             throw new IOException("the shell that sends signals has exited");
         }
     }
--- a/src/main/java/cinderhollow/lab/SingleNode.java
+++ b/src/main/java/cinderhollow/lab/SingleNode.java
@@ -17,12 +17,12 @@
             throw new IllegalArgumentException("the port must be 0 to 65535, and the work 0 to 60000 ms");
         }
         InternalLoggerFactory.setDefaultFactory(JdkLoggerFactory.INSTANCE);
-        MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
+        MultiThreadIoEventLoopGroup loopGroup = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         NodeModel.Machine machine = new NodeModel.Machine(1, 1, 400, 0.31, TimeUnit.SECONDS.toNanos(8), 2.5,
                 TimeUnit.MILLISECONDS.toNanos(1_500));
-        StandInNode.Ways ways = new StandInNode.Ways(160, TimeUnit.SECONDS.toNanos(15), 0,
+        StandInNode.Profile profile = new StandInNode.Profile(160, TimeUnit.SECONDS.toNanos(15), 0,
                 Map.of("", workMillis * TimeUnit.MILLISECONDS.toNanos(1)), workMillis == 0);
-        return new StandInNode(port, group.next(), machine, TimeUnit.MILLISECONDS.toNanos(200), ways, port,
+        return new StandInNode(port, loopGroup.next(), machine, TimeUnit.MILLISECONDS.toNanos(200), profile, port,
                 sighting -> { }).listen(port).getPort();
     }
 }
--- a/src/main/java/cinderhollow/lab/StandInDiscovery.java
+++ b/src/main/java/cinderhollow/lab/StandInDiscovery.java
@@ -43,10 +43,10 @@
     enum Status {
         UP("up"), DRAINING("draining"), REMOVED("removed");
 
-        private final String word;
+        private final String wireName;
 
-        Status(String word) {
-            this.word = word;
+        Status(String wireName) {
+            this.wireName = wireName;
         }
     }
 
@@ -54,42 +54,42 @@
     private static final class Entry {
         /** The address for the gateways of each zone, or a single one for all zones. */
         private final List<String> addresses;
-        private final Auditor.Place place;
+        private final Auditor.NodeLocation location;
         private Status status = Status.UP;
-        private long sinceMillis;
+        private long startedAtMillis;
         private long version = 1;
 
-        Entry(List<String> addresses, Auditor.Place place) {
+        Entry(List<String> addresses, Auditor.NodeLocation location) {
             this.addresses = addresses;
-            this.place = place;
+            this.location = location;
         }
     }
 
-    private static final long EMPTY_LINE_MILLIS = 2_000, OLD_WATCH_MILLIS = 1_500;
-    private static final int LARGEST_REQUEST = 8 * 1024;
+    private static final long KEEP_ALIVE_LINE_MILLIS = 2_000, OLD_WATCH_GRACE_MILLIS = 1_500;
+    private static final int MAX_REQUEST_BYTES = 8 * 1024;
 
     private final EventLoop loop;
-    private final Consumer<Sighting> auditor;
+    private final Consumer<Observation> observer;
     private final List<Entry> entries = new ArrayList<>();
     private final List<Channel> acceptors = new ArrayList<>();
     private final Set<Watch> watches = new LinkedHashSet<>();
     private long index = 1;
     private boolean down;
 
-    StandInDiscovery(EventLoop loop, Consumer<Sighting> auditor) {
+    StandInDiscovery(EventLoop loop, Consumer<Observation> observer) {
         this.loop = loop;
-        this.auditor = auditor;
-        loop.scheduleWithFixedDelay(() -> watches.forEach(watch -> watch.write("\n")),
-                EMPTY_LINE_MILLIS, EMPTY_LINE_MILLIS, TimeUnit.MILLISECONDS);
+        this.observer = observer;
+        loop.scheduleWithFixedDelay(() -> watches.forEach(watch -> watch.writeChunk("\n")),
+                KEEP_ALIVE_LINE_MILLIS, KEEP_ALIVE_LINE_MILLIS, TimeUnit.MILLISECONDS);
     }
 
     /** Adds a node that has long been up, with one address for all zones or one for each. Call it before the start only. */
-    void add(List<InetSocketAddress> addresses, Auditor.Place place) {
-        entries.add(new Entry(addresses.stream().map(StandInDiscovery::text).toList(), place));
+    void addNode(List<InetSocketAddress> addresses, Auditor.NodeLocation location) {
+        entries.add(new Entry(addresses.stream().map(StandInDiscovery::formatAddress).toList(), location));
     }
 
     /** Formats an address as host:port. */
-    static String text(InetSocketAddress address) {
+    static String formatAddress(InetSocketAddress address) {
         return address.getAddress().getHostAddress() + ":" + address.getPort();
     }
 
@@ -97,13 +97,13 @@
      * Opens a new address for each gateway and returns them. The previous addresses accept no more connections, and their watches
      * are closed after a grace.
      */
-    List<String> open(int gateways) throws InterruptedException {
-        List<Channel> old = List.copyOf(acceptors);
+    List<String> openListeners(int gateways) throws InterruptedException {
+        List<Channel> oldAcceptors = List.copyOf(acceptors);
         acceptors.clear();
-        old.forEach(Channel::close);
+        oldAcceptors.forEach(Channel::close);
         loop.execute(() -> {
-            List<Watch> before = List.copyOf(watches);
-            loop.schedule(() -> before.forEach(watch -> watch.channel.close()), OLD_WATCH_MILLIS, TimeUnit.MILLISECONDS);
+            List<Watch> oldWatches = List.copyOf(watches);
+            loop.schedule(() -> oldWatches.forEach(watch -> watch.channel.close()), OLD_WATCH_GRACE_MILLIS, TimeUnit.MILLISECONDS);
         });
         List<String> addresses = new ArrayList<>();
         for (int i = 0; i < gateways; i++) {
@@ -112,37 +112,37 @@
                     .childHandler(new ChannelInitializer<Channel>() {
                         @Override
                         protected void initChannel(Channel channel) {
-                            channel.pipeline().addLast(new HttpServerCodec(), new HttpObjectAggregator(LARGEST_REQUEST),
-                                    new Caller(gateway));
+                            channel.pipeline().addLast(new HttpServerCodec(), new HttpObjectAggregator(MAX_REQUEST_BYTES),
+                                    new RequestHandler(gateway));
                         }
                     }).bind("127.0.0.1", 0).sync().channel();
             acceptors.add(acceptor);
-            addresses.add(text((InetSocketAddress) acceptor.localAddress()));
+            addresses.add(formatAddress((InetSocketAddress) acceptor.localAddress()));
         }
         return addresses;
     }
 
     /** Returns the current list for this gateway, as a snapshot message of discovery. */
-    Map<String, Object> whole(int gateway) {
-        return message(gateway, true, 0);
+    Map<String, Object> buildSnapshot(int gateway) {
+        return buildMessage(gateway, true, 0);
     }
 
     /** Sets a node's status and start time (Unix time in milliseconds, or 0 if unknown), and notifies all watches. */
-    void learn(int node, Status status, long sinceMillis) {
+    void updateStatus(int node, Status status, long startedAtMillis) {
         loop.execute(() -> {
             Entry entry = entries.get(node);
             entry.status = status;
-            entry.sinceMillis = sinceMillis;
+            entry.startedAtMillis = startedAtMillis;
             entry.version = ++index;
-            watches.forEach(watch -> watch.tell(index - 1));
+            watches.forEach(watch -> watch.sendChanges(index - 1));
         });
     }
 
     /** Starts an outage, in which calls get 503 and all watches are closed, or ends it. */
-    void outage(boolean on) {
+    void setOutage(boolean active) {
         loop.execute(() -> {
-            down = on;
-            if (on) {
+            down = active;
+            if (active) {
                 List.copyOf(watches).forEach(watch -> watch.channel.close());
             }
         });
@@ -154,32 +154,32 @@
         loop.execute(() -> List.copyOf(watches).forEach(watch -> watch.channel.close()));
     }
 
-    private Map<String, Object> message(int gateway, boolean snapshot, long since) {
-        List<Map<String, Object>> list = new ArrayList<>();
+    private Map<String, Object> buildMessage(int gateway, boolean snapshot, long sinceIndex) {
+        List<Map<String, Object>> endpoints = new ArrayList<>();
         for (int i = 0; i < entries.size(); i++) {
             Entry entry = entries.get(i);
-            if (snapshot ? entry.status != Status.REMOVED : entry.version > since) {
+            if (snapshot ? entry.status != Status.REMOVED : entry.version > sinceIndex) {
                 Map<String, Object> fields = new LinkedHashMap<>();
-                fields.put("name", Names.node(i));
+                fields.put("name", LabNames.nodeName(i));
                 fields.put("address", entry.addresses.get(FleetConfig.zoneOf(gateway) % entry.addresses.size()));
-                fields.put("zone", entry.place.zone());
+                fields.put("zone", entry.location.zone());
                 fields.put("type", "std");
-                fields.put("group", entry.place.cell());
-                fields.put("status", entry.status.word);
+                fields.put("group", entry.location.cell());
+                fields.put("status", entry.status.wireName);
                 fields.put("weight", 1.0);
-                fields.put("since_ms", entry.sinceMillis);
-                list.add(fields);
+                fields.put("since_ms", entry.startedAtMillis);
+                endpoints.add(fields);
             }
         }
         Map<String, Object> message = new LinkedHashMap<>();
         message.put("index", index);
         message.put("snapshot", snapshot);
-        message.put("endpoints", list);
+        message.put("endpoints", endpoints);
         return message;
     }
 
     /** Formats a map as JSON. */
-    static String json(Map<String, Object> message) {
+    static String toJson(Map<String, Object> message) {
         try {
             return JSON.std.asString(message);
         } catch (IOException e) {
@@ -188,37 +188,37 @@
     }
 
     /** What a message says of a node. */
-    private record News(int node, boolean up, boolean hasStart) { }
+    private record NodeUpdate(int node, boolean up, boolean hasStartTime) { }
 
     /** Returns what a message says of nodes. It is kept until the message is written, since the list may change meanwhile. */
-    private List<News> news(boolean snapshot, long since) {
-        List<News> news = new ArrayList<>();
+    private List<NodeUpdate> nodeUpdates(boolean snapshot, long sinceIndex) {
+        List<NodeUpdate> updates = new ArrayList<>();
         for (int i = 0; i < entries.size(); i++) {
             Entry entry = entries.get(i);
-            if (snapshot || entry.version > since) {
-                news.add(new News(i, entry.status == Status.UP, entry.sinceMillis > 0));
+            if (snapshot || entry.version > sinceIndex) {
+                updates.add(new NodeUpdate(i, entry.status == Status.UP, entry.startedAtMillis > 0));
             }
         }
-        return news;
+        return updates;
     }
 
     /** Reports the updates as notified to the gateway, as of now: it is called once the message has been written. */
-    private void told(int gateway, List<News> news) {
-        long at = System.nanoTime();
-        for (News one : news) {
-            auditor.accept(new Sighting.Told(at, gateway, one.node, one.up));
-            if (one.hasStart) {
-                auditor.accept(new Sighting.ToldStart(at, gateway, one.node));
+    private void recordNotified(int gateway, List<NodeUpdate> updates) {
+        long nowNanos = System.nanoTime();
+        for (NodeUpdate update : updates) {
+            observer.accept(new Observation.ReadinessNotified(nowNanos, gateway, update.node, update.up));
+            if (update.hasStartTime) {
+                observer.accept(new Observation.StartNotified(nowNanos, gateway, update.node));
             }
         }
     }
 
     /** Answers the calls of a gateway on one connection. */
-    private final class Caller extends SimpleChannelInboundHandler<FullHttpRequest> {
+    private final class RequestHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
         private final int gateway;
         private Watch watch;
 
-        Caller(int gateway) {
+        RequestHandler(int gateway) {
             this.gateway = gateway;
         }
 
@@ -226,30 +226,30 @@
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
             QueryStringDecoder query = new QueryStringDecoder(request.uri());
             if (down || !query.path().equals("/v1/endpoints")) {
-                plain(ctx, down ? HttpResponseStatus.SERVICE_UNAVAILABLE : HttpResponseStatus.NOT_FOUND, "no");
+                writeResponse(ctx, down ? HttpResponseStatus.SERVICE_UNAVAILABLE : HttpResponseStatus.NOT_FOUND, "no");
             } else if (query.parameters().containsKey("follow")) {
                 watch = new Watch(ctx.channel(), gateway);
                 watches.add(watch);
                 DefaultHttpResponse head = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
                 head.headers().set("Transfer-Encoding", "chunked");
                 ctx.write(head);
-                watch.tell(since(query));
+                watch.sendChanges(parseSince(query));
             } else {
-                plain(ctx, HttpResponseStatus.OK, json(whole(gateway)));
-                told(gateway, news(true, 0));
+                writeResponse(ctx, HttpResponseStatus.OK, toJson(buildSnapshot(gateway)));
+                recordNotified(gateway, nodeUpdates(true, 0));
             }
         }
 
-        private long since(QueryStringDecoder query) {
+        private long parseSince(QueryStringDecoder query) {
             try {
-                long since = Long.parseLong(query.parameters().getOrDefault("since", List.of("0")).get(0));
-                return since > index ? 0 : since;
+                long sinceIndex = Long.parseLong(query.parameters().getOrDefault("since", List.of("0")).get(0));
+                return sinceIndex > index ? 0 : sinceIndex;
             } catch (NumberFormatException e) {
                 return 0;
             }
         }
 
-        private void plain(ChannelHandlerContext ctx, HttpResponseStatus status, String text) {
+        private void writeResponse(ChannelHandlerContext ctx, HttpResponseStatus status, String text) {
             ByteBuf body = Unpooled.copiedBuffer(text, StandardCharsets.UTF_8);
             DefaultFullHttpResponse answer = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, body);
             answer.headers().setInt("Content-Length", body.readableBytes());
@@ -278,18 +278,18 @@
         }
 
         /** Sends the changes since this index, or the whole list for index 0. */
-        void tell(long since) {
-            boolean snapshot = since == 0;
-            List<News> news = news(snapshot, since);
-            write(json(message(gateway, snapshot, since)) + "\n").addListener((ChannelFutureListener) written -> {
+        void sendChanges(long sinceIndex) {
+            boolean snapshot = sinceIndex == 0;
+            List<NodeUpdate> updates = nodeUpdates(snapshot, sinceIndex);
+            writeChunk(toJson(buildMessage(gateway, snapshot, sinceIndex)) + "\n").addListener((ChannelFutureListener) written -> {
                 if (written.isSuccess()) {
-                    told(gateway, news);
+                    recordNotified(gateway, updates);
                 }
             });
         }
 
         /** Writes a line as a chunk of the answer. */
-        ChannelFuture write(String line) {
+        ChannelFuture writeChunk(String line) {
             return channel.writeAndFlush(new DefaultHttpContent(Unpooled.copiedBuffer(line, StandardCharsets.UTF_8)));
         }
     }
--- a/src/main/java/cinderhollow/lab/StandInNode.java
+++ b/src/main/java/cinderhollow/lab/StandInNode.java
@@ -41,60 +41,60 @@
     /**
      * What a node allows and costs, beyond its machine. Work is in nanoseconds of the reference machine.
      *
-     * @param mostConnections with more connections than this, requests are rejected
-     * @param idleNanos idle timeout of connections
-     * @param handshakeWork additional work of the first request of a connection
-     * @param meanWork mean work by class; the empty name applies to all other classes
-     * @param instant whether requests take next to no work, to measure gateways
+     * @param maxConnections with more connections than this, requests are rejected
+     * @param idleTimeoutNanos idle timeout of connections
+     * @param handshakeWorkNanos additional work of the first request of a connection
+     * @param meanWorkNanos mean work by class; the empty name applies to all other classes
+     * @param instantAnswers whether requests take next to no work, to measure gateways
      */
-    record Ways(int mostConnections, long idleNanos, double handshakeWork, Map<String, Double> meanWork,
-                boolean instant) { }
+    record Profile(int maxConnections, long idleTimeoutNanos, double handshakeWorkNanos, Map<String, Double> meanWorkNanos,
+                boolean instantAnswers) { }
 
-    private static final int LARGEST_BODY = 64 * 1024, BACKLOG = 256;
-    private static final long SWEEP_MILLIS = 500;
+    private static final int MAX_BODY_BYTES = 64 * 1024, BACKLOG = 256;
+    private static final long IDLE_CHECK_INTERVAL_MILLIS = 500;
 
     private final int number;
     private final EventLoop loop;
     private final NodeModel model;
-    private final Ways ways;
-    private final Consumer<Sighting> auditor;
+    private final Profile profile;
+    private final Consumer<Observation> observer;
     private final SplittableRandom random;
     private final Set<Connection> connections = new LinkedHashSet<>();
-    private final Map<Job, Connection> jobs = new HashMap<>();
-    private final Map<Fault.Kind, Double> faults = new HashMap<>();
+    private final Map<Job, Connection> connectionsByJob = new HashMap<>();
+    private final Map<Fault.Kind, Double> faultFractions = new HashMap<>();
     private Channel acceptor;
     private InetSocketAddress address;
-    private Future<?> wake;
+    private Future<?> completionTimer;
     private boolean draining;
-    private boolean mute;
-    private long runs;
+    private boolean silent;
+    private long executedRequests;
 
-    StandInNode(int number, EventLoop loop, NodeModel.Machine machine, long reportPeriodNanos, Ways ways, long seed,
-                Consumer<Sighting> auditor) {
+    StandInNode(int number, EventLoop loop, NodeModel.Machine machine, long reportPeriodNanos, Profile profile, long seed,
+                Consumer<Observation> observer) {
         this.number = number;
         this.loop = loop;
-        this.ways = ways;
-        this.auditor = auditor;
+        this.profile = profile;
+        this.observer = observer;
         random = new SplittableRandom(seed);
-        model = new NodeModel(machine, reportPeriodNanos, 0.1, seed, System.nanoTime(), this::begins);
+        model = new NodeModel(machine, reportPeriodNanos, 0.1, seed, System.nanoTime(), this::onJobStarted);
     }
 
     /** Listens on this port of the loopback address, 0 for any free one. May be called from any thread. */
     InetSocketAddress listen(int port) throws InterruptedException {
-        acceptor = listener(BACKLOG, true).bind("127.0.0.1", port).sync().channel();
+        acceptor = serverBootstrap(BACKLOG, true).bind("127.0.0.1", port).sync().channel();
         address = (InetSocketAddress) acceptor.localAddress();
-        loop.execute(this::sweep);
+        loop.execute(this::closeIdleConnections);
         return address;
     }
 
-    private ServerBootstrap listener(int backlog, boolean accepts) {
+    private ServerBootstrap serverBootstrap(int backlog, boolean accepts) {
         return new ServerBootstrap().group(loop).channel(NioServerSocketChannel.class)
                 .option(ChannelOption.SO_BACKLOG, backlog).option(ChannelOption.AUTO_READ, accepts)
                 .option(ChannelOption.SO_REUSEADDR, true)
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
-                        channel.pipeline().addLast(new HttpServerCodec(), new HttpObjectAggregator(LARGEST_BODY),
+                        channel.pipeline().addLast(new HttpServerCodec(), new HttpObjectAggregator(MAX_BODY_BYTES),
                                 new Connection(channel));
                     }
                 });
@@ -105,32 +105,32 @@
     }
 
     /** Returns the number of requests run so far. Another thread may read an older value. */
-    long runs() {
-        return runs;
+    long executedRequests() {
+        return executedRequests;
     }
 
     /** Returns whether the node listens, answers and has not crashed from overload. */
     boolean isUp() {
-        return acceptor.isOpen() && !mute && !model.hasFallen();
+        return acceptor.isOpen() && !silent && !model.hasCrashedFromOverload();
     }
 
     /** Crashes the node: its connections are reset, and new ones are refused. */
     void crash() {
         acceptor.close();
         List.copyOf(connections).forEach(Connection::reset);
-        jobs.clear();
+        connectionsByJob.clear();
     }
 
     /** Restarts the node; it is cold. */
     void restart() {
         model.restart(System.nanoTime());
-        auditor.accept(new Sighting.Started(System.nanoTime(), number));
+        observer.accept(new Observation.NodeStarted(System.nanoTime(), number));
         rebind(BACKLOG, true);
     }
 
     /** Cuts the node off, or restores it. While cut off, connections stay open but silent, and new ones are not established. */
-    void vanish(boolean gone) {
-        mute = gone;
+    void setVanished(boolean gone) {
+        silent = gone;
         acceptor.close();
         if (!gone) {
             // A machine that is restored does not know its earlier connections.
@@ -141,7 +141,7 @@
 
     /** Binds the listener again without blocking the event loop; retries until the port is free. */
     private void rebind(int backlog, boolean accepts) {
-        listener(backlog, accepts).bind(address).addListener((ChannelFutureListener) bound -> {
+        serverBootstrap(backlog, accepts).bind(address).addListener((ChannelFutureListener) bound -> {
             if (bound.isSuccess()) {
                 acceptor = bound.channel();
             } else {
@@ -151,29 +151,29 @@
     }
 
     /** Makes the node silent (it accepts connections but does not answer), or ends that. */
-    void silence(boolean on) {
-        mute = on;
+    void setSilent(boolean on) {
+        silent = on;
     }
 
     /** Makes the node reject new requests, or ends that. */
-    void drain(boolean on) {
+    void setDraining(boolean on) {
         draining = on;
     }
 
     /** Sets the factor by which the node works slower; 1 is normal. */
-    void slow(double factor) {
-        model.slowness(factor);
+    void setSlowdownFactor(double factor) {
+        model.setSlowdownFactor(factor);
     }
 
     /** Sets the fraction of requests that meet this fault; 0 ends it. */
-    void trouble(Fault.Kind kind, double part) {
-        faults.put(kind, part);
+    void setFault(Fault.Kind kind, double fraction) {
+        faultFractions.put(kind, fraction);
     }
 
     /** Returns whether the current request meets this fault, by a random draw. */
-    private boolean strikes(Fault.Kind kind) {
-        double part = faults.getOrDefault(kind, 0.0);
-        return part > 0 && random.nextDouble() < part;
+    private boolean shouldInject(Fault.Kind kind) {
+        double fraction = faultFractions.getOrDefault(kind, 0.0);
+        return fraction > 0 && random.nextDouble() < fraction;
     }
 
     /** Closes the listener and all connections for good. */
@@ -183,52 +183,52 @@
     }
 
     /** Closes idle connections, and schedules the next check. */
-    private void sweep() {
+    private void closeIdleConnections() {
         if (acceptor.isOpen()) {
-            long before = System.nanoTime() - ways.idleNanos();
+            long idleSinceLimitNanos = System.nanoTime() - profile.idleTimeoutNanos();
             for (Connection connection : List.copyOf(connections)) {
-                if (!mute && connection.job == null && connection.idleSince <= before) {
+                if (!silent && connection.job == null && connection.idleSinceNanos <= idleSinceLimitNanos) {
                     connection.channel.close();
                 }
             }
         }
         if (!loop.isShuttingDown()) {
-            loop.schedule(this::sweep, SWEEP_MILLIS, TimeUnit.MILLISECONDS);
+            loop.schedule(this::closeIdleConnections, IDLE_CHECK_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
         }
     }
 
-    private void begins(Job job) {
-        runs++;
-        auditor.accept(new Sighting.Ran(System.nanoTime(), job.id, number));
+    private void onJobStarted(Job job) {
+        executedRequests++;
+        observer.accept(new Observation.ExecutionStarted(System.nanoTime(), job.id, number));
     }
 
     /** Sets the timer for the next request that finishes. */
-    private void plan() {
-        if (wake != null) {
-            wake.cancel(false);
+    private void scheduleCompletion() {
+        if (completionTimer != null) {
+            completionTimer.cancel(false);
         }
-        long next = model.nextAt();
-        wake = next == Long.MAX_VALUE ? null
-                : loop.schedule(this::finish, Math.max(0, next - System.nanoTime()), TimeUnit.NANOSECONDS);
+        long nextFinishAtNanos = model.nextFinishAtNanos();
+        completionTimer = nextFinishAtNanos == Long.MAX_VALUE ? null
+                : loop.schedule(this::completeJobs, Math.max(0, nextFinishAtNanos - System.nanoTime()), TimeUnit.NANOSECONDS);
     }
 
-    private void finish() {
-        wake = null;
-        for (Job job : model.finished(System.nanoTime())) {
-            Connection connection = jobs.remove(job);
+    private void completeJobs() {
+        completionTimer = null;
+        for (Job job : model.takeFinished(System.nanoTime())) {
+            Connection connection = connectionsByJob.remove(job);
             if (connection != null) {
-                connection.served(job);
+                connection.sendAnswer(job);
             }
         }
-        plan();
+        scheduleCompletion();
     }
 
     /** A connection from a gateway, with one request at a time. */
     private final class Connection extends SimpleChannelInboundHandler<FullHttpRequest> {
         private final Channel channel;
         private Job job;
-        private long idleSince = System.nanoTime();
-        private boolean fresh = true;
+        private long idleSinceNanos = System.nanoTime();
+        private boolean isNew = true;
 
         Connection(Channel channel) {
             this.channel = channel;
@@ -243,8 +243,8 @@
         public void channelInactive(ChannelHandlerContext ctx) {
             connections.remove(this);
             if (job != null) {
-                model.drop(job);
-                jobs.remove(job);
+                model.abandon(job);
+                connectionsByJob.remove(job);
                 job = null;
             }
         }
@@ -269,67 +269,67 @@
             String id = request.headers().get("X-Request-ID");
             long now = System.nanoTime();
             if (id == null || !request.decoderResult().isSuccess()) {
-                write(HttpResponseStatus.NOT_FOUND, "no such thing", false);
+                writeAnswer(HttpResponseStatus.NOT_FOUND, "no such thing", false);
                 return;
             }
-            if (mute) {
+            if (silent) {
                 return; // A machine that is cut off has not received it, and a silent one never answers.
             }
-            auditor.accept(new Sighting.Received(now, id, number));
-            if (strikes(Fault.Kind.RESET_BEFORE)) {
+            observer.accept(new Observation.AttemptReceived(now, id, number));
+            if (shouldInject(Fault.Kind.RESET_BEFORE)) {
                 reset();
-            } else if (draining || connections.size() > ways.mostConnections()) {
-                turnAway(id);
-            } else if (strikes(Fault.Kind.ERRORS)) {
-                model.failed();
-                auditor.accept(new Sighting.Made(now, id, number, ""));
-                write(HttpResponseStatus.INTERNAL_SERVER_ERROR, "failed", false);
+            } else if (draining || connections.size() > profile.maxConnections()) {
+                reject(id);
+            } else if (shouldInject(Fault.Kind.ERRORS)) {
+                model.recordError();
+                observer.accept(new Observation.AnswerProduced(now, id, number, ""));
+                writeAnswer(HttpResponseStatus.INTERNAL_SERVER_ERROR, "failed", false);
             } else {
-                take(id, firstPart(request.uri()), now);
+                offerToModel(id, firstPathSegment(request.uri()), now);
             }
         }
 
-        private void take(String id, String requestClass, long now) {
-            double mean = ways.meanWork().getOrDefault(requestClass, ways.meanWork().getOrDefault("", 0.0));
-            double work = ways.instant() ? 1 : mean * -Math.log(1 - random.nextDouble());
-            if (fresh) {
-                work += ways.handshakeWork();
-                fresh = false;
+        private void offerToModel(String id, String requestClass, long now) {
+            double meanWorkNanos = profile.meanWorkNanos().getOrDefault(requestClass, profile.meanWorkNanos().getOrDefault("", 0.0));
+            double workNanos = profile.instantAnswers() ? 1 : meanWorkNanos * -Math.log(1 - random.nextDouble());
+            if (isNew) {
+                workNanos += profile.handshakeWorkNanos();
+                isNew = false;
             }
-            boolean stood = !model.hasFallen();
-            job = model.offer(now, id, Names.gatewayOf(id), work);
-            if (model.hasFallen()) {
-                if (stood) {
-                    auditor.accept(new Sighting.Fell(now, number, model.pressure()));
+            boolean wasUp = !model.hasCrashedFromOverload();
+            job = model.offer(now, id, LabNames.gatewayOf(id), workNanos);
+            if (model.hasCrashedFromOverload()) {
+                if (wasUp) {
+                    observer.accept(new Observation.OverloadCrash(now, number, model.workByGateway()));
                 }
                 crash();
             } else if (job == null) {
-                turnAway(id);
+                reject(id);
             } else {
-                jobs.put(job, this);
-                plan();
+                connectionsByJob.put(job, this);
+                scheduleCompletion();
             }
         }
 
-        private void turnAway(String id) {
-            auditor.accept(new Sighting.TurnedAway(System.nanoTime(), id, number));
-            write(HttpResponseStatus.SERVICE_UNAVAILABLE, "full", true);
+        private void reject(String id) {
+            observer.accept(new Observation.AttemptRejected(System.nanoTime(), id, number));
+            writeAnswer(HttpResponseStatus.SERVICE_UNAVAILABLE, "full", true);
         }
 
-        private void served(Job done) {
+        private void sendAnswer(Job finishedJob) {
             job = null;
-            if (mute) {
+            if (silent) {
                 return;
             }
-            String body = "made for " + done.id + " by " + Names.node(number) + ", run " + runs + "\n";
-            if (strikes(Fault.Kind.RESET_AFTER)) {
+            String body = "made for " + finishedJob.id + " by " + LabNames.nodeName(number) + ", run " + executedRequests + "\n";
+            if (shouldInject(Fault.Kind.RESET_AFTER)) {
                 reset();
-            } else if (strikes(Fault.Kind.SPOILT)) {
-                channel.writeAndFlush(Unpooled.copiedBuffer(spoilt(), StandardCharsets.US_ASCII));
+            } else if (shouldInject(Fault.Kind.SPOILT)) {
+                channel.writeAndFlush(Unpooled.copiedBuffer(malformedAnswer(), StandardCharsets.US_ASCII));
             } else {
-                auditor.accept(new Sighting.Made(System.nanoTime(), done.id, number, body));
-                write(HttpResponseStatus.OK, body, false);
-                if (strikes(Fault.Kind.SURPLUS)) {
+                observer.accept(new Observation.AnswerProduced(System.nanoTime(), finishedJob.id, number, body));
+                writeAnswer(HttpResponseStatus.OK, body, false);
+                if (shouldInject(Fault.Kind.SURPLUS)) {
                     channel.writeAndFlush(Unpooled.copiedBuffer("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nagain",
                             StandardCharsets.US_ASCII));
                 }
@@ -337,7 +337,7 @@
         }
 
         /** Returns a random one of several malformed responses. */
-        private String spoilt() {
+        private String malformedAnswer() {
             return switch (random.nextInt(4)) {
                 case 0 -> "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n" + "x".repeat(4000);
                 case 1 -> "?/?? ??\r\n\u0001\u0002noise\r\n\r\n";
@@ -346,23 +346,23 @@
             };
         }
 
-        private void write(HttpResponseStatus status, String text, boolean neverRan) {
+        private void writeAnswer(HttpResponseStatus status, String text, boolean notProcessed) {
             ByteBuf body = Unpooled.copiedBuffer(text, StandardCharsets.UTF_8);
             FullHttpResponse answer = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, body);
             answer.headers().setInt("Content-Length", body.readableBytes());
-            if (neverRan) {
+            if (notProcessed) {
                 answer.headers().set("X-Not-Processed", "1");
             }
-            NodeModel.Load load = model.report(System.nanoTime());
+            NodeModel.LoadReport loadReport = model.report(System.nanoTime());
             answer.headers().set("X-Server-Load", String.format(Locale.ROOT, "qps=%.1f,util=%.3f,eps=%.1f",
-                    load.requestsPerSecond(), load.utilisation(), load.errorsPerSecond()));
-            idleSince = System.nanoTime();
+                    loadReport.requestsPerSecond(), loadReport.utilisation(), loadReport.errorsPerSecond()));
+            idleSinceNanos = System.nanoTime();
             channel.writeAndFlush(answer).addListener(ChannelFutureListener.CLOSE_ON_FAILURE);
         }
     }
 
     /** Returns the first segment of a path, which is the class of the request. */
-    static String firstPart(String uri) {
+    static String firstPathSegment(String uri) {
         int end = 1;
         while (end < uri.length() && uri.charAt(end) != '/' && uri.charAt(end) != '?') {
             end++;
--- a/src/test/java/cinderhollow/lab/PlanTest.java
+++ b/src/test/java/cinderhollow/lab/FaultPlanTest.java
@@ -16,21 +16,21 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** Checks parsing, printing and drawing of fault plans, and the draw of arrivals. */
-class PlanTest {
-    private static final List<String> ALL = Arrays.stream(Kind.values()).map(Kind::word).toList();
+class FaultPlanTest {
+    private static final List<String> ALL_KINDS = Arrays.stream(Kind.values()).map(Kind::keyword).toList();
 
     @Test
     void theSameSeedGivesTheSamePlanAndAnotherOneAnother() {
-        assertEquals(FaultPlan.draw(7, 120, 9, 3, ALL), FaultPlan.draw(7, 120, 9, 3, ALL));
-        assertTrue(!FaultPlan.draw(7, 120, 9, 3, ALL).equals(FaultPlan.draw(8, 120, 9, 3, ALL)));
+        assertEquals(FaultPlan.draw(7, 120, 9, 3, ALL_KINDS), FaultPlan.draw(7, 120, 9, 3, ALL_KINDS));
+        assertTrue(!FaultPlan.draw(7, 120, 9, 3, ALL_KINDS).equals(FaultPlan.draw(8, 120, 9, 3, ALL_KINDS)));
         assertEquals(FaultPlan.demo(7, 20, 9), FaultPlan.demo(7, 20, 9));
     }
 
     /** Guards against printed plans that can't be parsed to repeat a run. */
     @Test
-    void whatIsPrintedIsReadAsTheSamePlan() {
+    void aPrintedPlanParsesToTheSamePlan() {
         for (long seed = 0; seed < 50; seed++) {
-            FaultPlan plan = FaultPlan.draw(seed, 60, 9, 3, ALL);
+            FaultPlan plan = FaultPlan.draw(seed, 60, 9, 3, ALL_KINDS);
             assertEquals(plan, FaultPlan.parse(plan.toString(), 9, 3), "seed " + seed);
         }
     }
@@ -38,12 +38,12 @@
     @Test
     void aDrawnPlanLeavesMostNodesAndAllButOneGatewayAlone() {
         LongStream.range(0, 50).forEach(seed -> {
-            List<Fault> faults = FaultPlan.draw(seed, 120, 9, 3, ALL).faults();
+            List<Fault> faults = FaultPlan.draw(seed, 120, 9, 3, ALL_KINDS).faults();
             assertTrue(faults.size() > 20, "seed " + seed);
-            for (Fault one : faults) {
-                long beside = faults.stream().filter(o -> o != one && o.kind().target() == one.kind().target()
-                        && o.atMillis() <= one.atMillis() && o.atMillis() + o.forMillis() > one.atMillis()).count();
-                assertTrue(beside <= (one.kind().target() == Target.NODE ? 1 : 0), "seed " + seed + ": " + one);
+            for (Fault fault : faults) {
+                long concurrent = faults.stream().filter(o -> o != fault && o.kind().target() == fault.kind().target()
+                        && o.atMillis() <= fault.atMillis() && o.atMillis() + o.durationMillis() > fault.atMillis()).count();
+                assertTrue(concurrent <= (fault.kind().target() == Target.NODE ? 1 : 0), "seed " + seed + ": " + fault);
             }
         });
     }
--- a/src/test/java/cinderhollow/lab/LabTest.java
+++ b/src/test/java/cinderhollow/lab/LabTest.java
@@ -19,9 +19,9 @@
 
 /** Runs whole fleets with real gateways in processes of their own. */
 class LabTest {
-    private static final int PATIENCE_SECONDS = 60;
+    private static final int TIMEOUT_SECONDS = 60;
 
-    private static Report play(FleetConfig site, String plan) throws Exception {
+    private static Report run(FleetConfig site, String plan) throws Exception {
         try (Lab lab = new Lab(site, FaultPlan.parse(plan, site.nodes(), site.gateways()),
                 GatewayProcess.launcher(GatewayProcess.DEPLOYMENT_JVM_FLAGS), second -> { })) {
             return lab.run();
@@ -30,8 +30,8 @@
 
     /** Includes a killed gateway, whose open requests are excused, and nodes that reset connections after a request ran. */
     @Test
-    void theRealGatewayKeepsTheRulesThroughADayOfTrouble() throws Exception {
-        Report report = play(FleetConfig.withDefaults(9, 3, 200, 12, 5), """
+    void theRealGatewayKeepsTheRulesUnderFaults() throws Exception {
+        Report report = run(FleetConfig.withDefaults(9, 3, 200, 12, 5), """
                 at 500ms crash node-1 for 1500ms size 1
                 at 1000ms drain node-2 for 4000ms size 1
                 at 1500ms errors node-3 for 2000ms size 0.9
@@ -54,29 +54,29 @@
 
     /** Guards against reporting lateness as a breach when all cores are busy with other work. */
     @Test
-    void aMachineWithNothingToSpareGivesNoFalseBreach() throws Exception {
-        List<Process> burners = new ArrayList<>();
+    void aFullyLoadedMachineGivesNoFalseBreach() throws Exception {
+        List<Process> busyLoops = new ArrayList<>();
         try {
             for (int i = 0; i < 2 * Runtime.getRuntime().availableProcessors(); i++) {
-                burners.add(new ProcessBuilder("/bin/sh", "-c", "while :; do :; done").start());
+                busyLoops.add(new ProcessBuilder("/bin/sh", "-c", "while :; do :; done").start());
             }
-            Report report = play(FleetConfig.withDefaults(4, 2, 60, 4, 6), "at 500ms crash node-1 for 1000ms size 1\n"
+            Report report = run(FleetConfig.withDefaults(4, 2, 60, 4, 6), "at 500ms crash node-1 for 1000ms size 1\n"
                     + "at 600ms drain node-2 for 2000ms size 1\n");
             assertTrue(report.isClean(), report::toString);
         } finally {
-            burners.forEach(Process::destroyForcibly);
+            busyLoops.forEach(Process::destroyForcibly);
         }
     }
 
     @Test
     void aFleetTooLargeForTheDescriptorsIsRefusedInOneLine() {
         String line = assertThrows(IllegalArgumentException.class, () -> new Lab(FleetConfig.withDefaults(10_000, 50, 1, 1, 1),
-                FaultPlan.calm(), GatewayProcess.launcher(List.of()), second -> { })).getMessage();
+                FaultPlan.empty(), GatewayProcess.launcher(List.of()), second -> { })).getMessage();
         assertTrue(line.startsWith("too few file descriptors: this run may need ") && !line.contains("\n"), line);
     }
 
-    private static Process command(Path folder, Path log, String... arguments) throws Exception {
-        List<String> command = new ArrayList<>(GatewayProcess.java(List.of("-Xmx128m"), folder));
+    private static Process startCommand(Path folder, Path log, String... arguments) throws Exception {
+        List<String> command = new ArrayList<>(GatewayProcess.javaCommand(List.of("-Xmx128m"), folder));
         command.addAll(List.of(arguments));
         return new ProcessBuilder(command).redirectErrorStream(true).redirectOutput(log.toFile()).start();
     }
@@ -85,18 +85,18 @@
     @Test
     void anInterruptedDemoLeavesNothingBehind(@TempDir Path folder, @TempDir Path logs) throws Exception {
         Path log = logs.resolve("demo.log");
-        Process demo = command(folder, log, "demo", "--seconds", "600", "--nodes", "3", "--rate", "50");
+        Process demo = startCommand(folder, log, "demo", "--seconds", "600", "--nodes", "3", "--rate", "50");
         try {
             Await.until("the first seconds", () -> Files.readString(log).contains("   1s  served"));
             List<ProcessHandle> children = demo.descendants().toList();
             assertEquals(3, children.size(), "three gateways");
             new ProcessBuilder("/bin/sh", "-c", "kill -INT " + demo.pid()).start().waitFor();
-            assertTrue(demo.waitFor(PATIENCE_SECONDS, TimeUnit.SECONDS), "the demo exits after SIGINT");
+            assertTrue(demo.waitFor(TIMEOUT_SECONDS, TimeUnit.SECONDS), "the demo exits after SIGINT");
             for (ProcessHandle child : children) {
-                child.onExit().get(PATIENCE_SECONDS, TimeUnit.SECONDS);
+                child.onExit().get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
             }
-            try (Stream<Path> left = Files.list(folder)) {
-                assertEquals(List.of(), left.filter(path -> !path.getFileName().toString().startsWith("hsperf")).toList());
+            try (Stream<Path> remaining = Files.list(folder)) {
+                assertEquals(List.of(), remaining.filter(path -> !path.getFileName().toString().startsWith("hsperf")).toList());
             }
         } finally {
             demo.descendants().forEach(ProcessHandle::destroyForcibly);
@@ -104,35 +104,35 @@
         }
     }
 
-    private static String failure(Path folder, int code, String... arguments) throws Exception {
+    private static String firstErrorLine(Path folder, int expectedExitCode, String... arguments) throws Exception {
         Path log = folder.resolve("out.log");
-        Process process = command(folder, log, arguments);
+        Process process = startCommand(folder, log, arguments);
         try {
-            assertTrue(process.waitFor(PATIENCE_SECONDS, TimeUnit.SECONDS));
+            assertTrue(process.waitFor(TIMEOUT_SECONDS, TimeUnit.SECONDS));
         } finally {
             process.destroyForcibly();
         }
         String text = Files.readString(log);
-        assertEquals(code, process.exitValue(), text);
+        assertEquals(expectedExitCode, process.exitValue(), text);
         assertFalse(text.contains("\tat "), text);
         return text.lines().findFirst().orElse("");
     }
 
     @Test
-    void whatAUserGotWrongIsOneClearLine(@TempDir Path folder) throws Exception {
+    void aUserErrorIsReportedInOneLine(@TempDir Path folder) throws Exception {
         try (ServerSocket taken = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             String listen = "127.0.0.1:" + taken.getLocalPort();
-            String line = failure(folder, 1, "run", "--listen", listen, "--nodes", "127.0.0.1:1", "--class", "a:safe");
+            String line = firstErrorLine(folder, 1, "run", "--listen", listen, "--nodes", "127.0.0.1:1", "--class", "a:safe");
             assertTrue(line.startsWith("cinderhollow: can't listen on ") && line.contains("in use"), line);
         }
-        String noClass = failure(folder, 1, "run", "--nodes", "127.0.0.1:1");
+        String noClass = firstErrorLine(folder, 1, "run", "--nodes", "127.0.0.1:1");
         assertTrue(noClass.contains("no class of requests"), noClass);
         Path plan = Files.writeString(folder.resolve("plan"), "at 1ms explode node-0 for 1ms size 1\n");
-        String badPlan = failure(folder, 1, "demo", "--plan", plan.toString());
+        String badPlan = firstErrorLine(folder, 1, "demo", "--plan", plan.toString());
         assertTrue(badPlan.contains("line 1: no such fault: 'explode'"), badPlan);
-        String badSize = failure(folder, 1, "demo", "--nodes", "0");
+        String badSize = firstErrorLine(folder, 1, "demo", "--nodes", "0");
         assertTrue(badSize.contains("nodes can't be 0"), badSize);
-        String badWord = failure(folder, 2, "demo", "--nodse", "3");
+        String badWord = firstErrorLine(folder, 2, "demo", "--nodse", "3");
         assertTrue(badWord.contains("--nodse"), badWord);
     }
 }
--- a/src/test/java/cinderhollow/lab/ScriptedGateway.java
+++ b/src/test/java/cinderhollow/lab/ScriptedGateway.java
@@ -30,26 +30,26 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /** A gateway with one thread for each connection that keeps all rules except the one that its flaw breaks. */
-final class ScriptedGateway implements Gateways.Running {
+final class ScriptedGateway implements GatewayLauncher.RunningGateway {
     /** The flaws that a scripted gateway may have. */
-    enum Flaw { NONE, RESENDS_AFTER_A_RESET, ANSWERS_TWICE, SWAPS_ANSWERS, LOSES_AT_THE_END, SENDS_TO_DRAINED,
-        FLOODS_THE_COLD, REFUSES_WHAT_RAN }
+    enum Flaw { NONE, RESENDS_AFTER_A_RESET, ANSWERS_TWICE, SWAPS_ANSWERS, LOSES_REQUESTS_AT_SHUTDOWN, SENDS_TO_DRAINING,
+        OVERLOADS_COLD_NODES, REFUSES_AFTER_EXECUTION }
 
-    private static final int MOST_ATTEMPTS = 5, TWICE_EVERY = 20;
+    private static final int MAX_ATTEMPTS = 5, DUPLICATE_ANSWER_INTERVAL = 20;
 
     private final Flaw flaw;
     private final ServerSocket listener;
-    private final InetSocketAddress discovery;
+    private final InetSocketAddress discoveryAddress;
     private final Map<String, Endpoint> nodes = new ConcurrentHashMap<>();
-    private final Set<Socket> clients = ConcurrentHashMap.newKeySet();
-    private final AtomicInteger open = new AtomicInteger();
-    private final AtomicInteger answers = new AtomicInteger();
-    private final Exchanger<String> swap = new Exchanger<>();
-    private volatile boolean listed;
-    private volatile boolean ending;
+    private final Set<Socket> clientSockets = ConcurrentHashMap.newKeySet();
+    private final AtomicInteger openRequests = new AtomicInteger();
+    private final AtomicInteger answersWritten = new AtomicInteger();
+    private final Exchanger<String> bodyExchanger = new Exchanger<>();
+    private volatile boolean discoveryResolved;
+    private volatile boolean shuttingDown;
 
     /** An HTTP message as read from a socket. */
-    private record Message(String first, List<String> headers, String body) {
+    private record Message(String startLine, List<String> headers, String body) {
         String header(String name) {
             return headers.stream().filter(h -> h.regionMatches(true, 0, name + ":", 0, name.length() + 1))
                     .map(h -> h.substring(name.length() + 1).trim()).findFirst().orElse(null);
@@ -77,45 +77,45 @@
             if (length != null && body.length < Integer.parseInt(length)) {
                 return null;
             }
-            return new Message(head.first, head.headers, new String(body, StandardCharsets.UTF_8));
+            return new Message(head.startLine, head.headers, new String(body, StandardCharsets.UTF_8));
         }
     }
 
-    private ScriptedGateway(Flaw flaw, Gateways.Spec spec) throws IOException {
+    private ScriptedGateway(Flaw flaw, GatewayLauncher.Spec spec) throws IOException {
         this.flaw = flaw;
         InetSocketAddress listen = EndpointList.parseAddress(spec.environment().get("LB_LISTEN"));
-        discovery = EndpointList.parseAddress(spec.environment().get("LB_DISCOVERY"));
+        discoveryAddress = EndpointList.parseAddress(spec.environment().get("LB_DISCOVERY"));
         listener = new ServerSocket(listen.getPort(), 200, listen.getAddress());
-        take(EndpointList.read(Json.read(Files.readString(Path.of(spec.environment().get("LB_CONFIG"))))
+        applyList(EndpointList.read(Json.read(Files.readString(Path.of(spec.environment().get("LB_CONFIG"))))
                 .required("known")));
-        daemon(this::watch);
-        daemon(this::accept);
+        startDaemonThread(this::watchDiscovery);
+        startDaemonThread(this::acceptClients);
     }
 
-    static Gateways with(Flaw flaw) {
+    static GatewayLauncher launcher(Flaw flaw) {
         return spec -> new ScriptedGateway(flaw, spec);
     }
 
-    private static void daemon(Runnable work) {
+    private static void startDaemonThread(Runnable work) {
         Thread thread = new Thread(work);
         thread.setDaemon(true);
         thread.start();
     }
 
-    private void take(EndpointList list) {
+    private void applyList(EndpointList list) {
         for (Endpoint endpoint : list.endpoints()) {
-            boolean kept = flaw == Flaw.SENDS_TO_DRAINED && endpoint.info().readiness() == Readiness.DRAINING;
+            boolean keepDraining = flaw == Flaw.SENDS_TO_DRAINING && endpoint.info().readiness() == Readiness.DRAINING;
             if (endpoint.info().readiness() == Readiness.READY) {
                 nodes.put(endpoint.info().id(), endpoint);
-            } else if (!kept) {
+            } else if (!keepDraining) {
                 nodes.remove(endpoint.info().id());
             }
         }
     }
 
-    private void watch() {
-        while (!ending) {
-            try (Socket socket = new Socket(discovery.getAddress(), discovery.getPort())) {
+    private void watchDiscovery() {
+        while (!shuttingDown) {
+            try (Socket socket = new Socket(discoveryAddress.getAddress(), discoveryAddress.getPort())) {
                 socket.getOutputStream().write("GET /v1/endpoints?follow=1&since=1 HTTP/1.1\r\nHost: d\r\n\r\n"
                         .getBytes(StandardCharsets.US_ASCII));
                 BufferedReader in = new BufferedReader(new InputStreamReader(socket.getInputStream(),
@@ -123,22 +123,22 @@
                 // The lines of JSON are mixed with those of the response head and the chunk sizes.
                 for (String line = in.readLine(); line != null; line = in.readLine()) {
                     if (line.startsWith("{")) {
-                        take(EndpointList.read(Json.read(line)));
-                        listed = true;
+                        applyList(EndpointList.read(Json.read(line)));
+                        discoveryResolved = true;
                     }
                 }
             } catch (IOException e) {
-                listed = true; // a failed call to discovery counts as done
+                discoveryResolved = true; // a failed call to discovery counts as done
             }
         }
     }
 
-    private void accept() {
+    private void acceptClients() {
         while (!listener.isClosed()) {
             try {
                 Socket socket = listener.accept();
-                clients.add(socket);
-                daemon(() -> serve(socket));
+                clientSockets.add(socket);
+                startDaemonThread(() -> serve(socket));
             } catch (IOException e) {
                 return;
             }
@@ -149,47 +149,47 @@
         try (socket) {
             InputStream in = new BufferedInputStream(socket.getInputStream());
             for (Message request = Message.read(in); request != null; request = Message.read(in)) {
-                open.incrementAndGet();
+                openRequests.incrementAndGet();
                 try {
-                    answer(socket, request);
+                    answerRequest(socket, request);
                 } finally {
-                    open.decrementAndGet();
-                    tellWaiters();
+                    openRequests.decrementAndGet();
+                    notifyWaiters();
                 }
-                if (ending) {
+                if (shuttingDown) {
                     return;
                 }
             }
         } catch (IOException e) {
             // The client has closed the connection, or this gateway is shutting down.
         } finally {
-            clients.remove(socket);
+            clientSockets.remove(socket);
         }
     }
 
-    private void answer(Socket socket, Message request) throws IOException {
-        if (request.first.startsWith("GET /ready")) {
-            write(socket, listed ? "200 OK" : "503 Starting", "");
+    private void answerRequest(Socket socket, Message request) throws IOException {
+        if (request.startLine.startsWith("GET /ready")) {
+            writeResponse(socket, discoveryResolved ? "200 OK" : "503 Starting", "");
             return;
         }
-        String body = carry(request);
+        String body = forward(request);
         if (body == null) {
             return;
         }
         if (body.startsWith("made for")) {
-            body = flaw == Flaw.SWAPS_ANSWERS ? swapped(body) : body;
-            write(socket, "200 OK", body);
-            if (flaw == Flaw.ANSWERS_TWICE && answers.incrementAndGet() % TWICE_EVERY == 0) {
-                write(socket, "200 OK", body);
+            body = flaw == Flaw.SWAPS_ANSWERS ? swapBody(body) : body;
+            writeResponse(socket, "200 OK", body);
+            if (flaw == Flaw.ANSWERS_TWICE && answersWritten.incrementAndGet() % DUPLICATE_ANSWER_INTERVAL == 0) {
+                writeResponse(socket, "200 OK", body);
             }
         } else {
-            write(socket, body, "");
+            writeResponse(socket, body, "");
         }
     }
 
-    private String swapped(String body) {
+    private String swapBody(String body) {
         try {
-            return swap.exchange(body, 5, TimeUnit.MILLISECONDS);
+            return bodyExchanger.exchange(body, 5, TimeUnit.MILLISECONDS);
         } catch (TimeoutException e) {
             return body;
         } catch (InterruptedException e) {
@@ -199,27 +199,27 @@
     }
 
     /** Returns the body of a node's answer, or the status of this gateway's own answer. */
-    private String carry(Message request) {
-        boolean safe = request.first.startsWith("GET ");
+    private String forward(Message request) {
+        boolean safe = request.startLine.startsWith("GET ");
         long micros = Long.parseLong(request.header("X-Timeout").replace("u", ""));
         // Long before the client's deadline, since this gateway runs in the lab's process and stalls with it.
-        long end = System.nanoTime() + TimeUnit.MICROSECONDS.toNanos(micros) / 2;
+        long deadlineNanos = System.nanoTime() + TimeUnit.MICROSECONDS.toNanos(micros) / 2;
         boolean mayHaveRun = false;
-        for (int i = 0; i < MOST_ATTEMPTS; i++) {
-            int left = (int) TimeUnit.NANOSECONDS.toMillis(end - System.nanoTime());
-            Endpoint node = pick();
-            if (node == null || left <= 1) {
+        for (int i = 0; i < MAX_ATTEMPTS; i++) {
+            int remainingMillis = (int) TimeUnit.NANOSECONDS.toMillis(deadlineNanos - System.nanoTime());
+            Endpoint node = pickNode();
+            if (node == null || remainingMillis <= 1) {
                 return mayHaveRun ? "502 Nobody" : "503 Nobody";
             }
             boolean written = false;
             try (Socket socket = new Socket()) {
-                socket.connect(node.address(), left);
-                socket.setSoTimeout(left);
-                String text = request.first + "\r\n" + String.join("\r\n", request.headers) + "\r\n\r\n" + request.body;
+                socket.connect(node.address(), remainingMillis);
+                socket.setSoTimeout(remainingMillis);
+                String text = request.startLine + "\r\n" + String.join("\r\n", request.headers) + "\r\n\r\n" + request.body;
                 written = true;
                 socket.getOutputStream().write(text.getBytes(StandardCharsets.UTF_8));
                 Message answer = Message.read(new BufferedInputStream(socket.getInputStream()));
-                if (answer != null && answer.first.contains(" 200 ")) {
+                if (answer != null && answer.startLine.contains(" 200 ")) {
                     return answer.body;
                 }
                 if (answer != null && "1".equals(answer.header("X-Not-Processed"))) {
@@ -235,7 +235,7 @@
                     continue;
                 }
             }
-            if (flaw == Flaw.REFUSES_WHAT_RAN) {
+            if (flaw == Flaw.REFUSES_AFTER_EXECUTION) {
                 return "503 It ran";
             }
             if (!safe && flaw != Flaw.RESENDS_AFTER_A_RESET) {
@@ -246,90 +246,90 @@
         return mayHaveRun ? "502 Tried enough" : "503 Tried enough";
     }
 
-    private Endpoint pick() {
+    private Endpoint pickNode() {
         List<Endpoint> all = List.copyOf(nodes.values());
         if (all.isEmpty()) {
             return null;
         }
         Endpoint newest = all.stream().max(Comparator.comparingLong(e -> e.info().startedAtNanos())).orElseThrow();
-        if (flaw == Flaw.FLOODS_THE_COLD && newest.info().startedAtNanos() > 0) {
+        if (flaw == Flaw.OVERLOADS_COLD_NODES && newest.info().startedAtNanos() > 0) {
             return newest;
         }
-        List<Endpoint> calm = all.stream().filter(e -> e.info().startedAtNanos() == 0).toList();
-        List<Endpoint> among = calm.isEmpty() ? all : calm;
-        return among.get(ThreadLocalRandom.current().nextInt(among.size()));
+        List<Endpoint> longRunning = all.stream().filter(e -> e.info().startedAtNanos() == 0).toList();
+        List<Endpoint> candidates = longRunning.isEmpty() ? all : longRunning;
+        return candidates.get(ThreadLocalRandom.current().nextInt(candidates.size()));
     }
 
-    private static void write(Socket socket, String status, String body) throws IOException {
+    private static void writeResponse(Socket socket, String status, String body) throws IOException {
         socket.getOutputStream().write(("HTTP/1.1 " + status + "\r\nContent-Length: " + body.length() + "\r\n\r\n"
                 + body).getBytes(StandardCharsets.UTF_8));
     }
 
     @Override
     public boolean isAlive() {
-        return !listener.isClosed() || open.get() > 0;
+        return !listener.isClosed() || openRequests.get() > 0;
     }
 
     @Override
     public void terminate() {
-        ending = true;
-        closeAll(flaw == Flaw.LOSES_AT_THE_END);
+        shuttingDown = true;
+        closeSockets(flaw == Flaw.LOSES_REQUESTS_AT_SHUTDOWN);
     }
 
-    private void tellWaiters() {
-        synchronized (open) {
-            open.notifyAll();
+    private void notifyWaiters() {
+        synchronized (openRequests) {
+            openRequests.notifyAll();
         }
     }
 
-    private void closeAll(boolean clientsToo) {
+    private void closeSockets(boolean closeClients) {
         try {
             listener.close();
-            if (clientsToo) {
-                for (Socket socket : clients) {
+            if (closeClients) {
+                for (Socket socket : clientSockets) {
                     socket.close();
                 }
             }
         } catch (IOException e) {
             throw new IllegalStateException(e);
         }
-        tellWaiters();
+        notifyWaiters();
     }
 
     @Override
     public void kill() {
-        ending = true;
-        closeAll(true);
+        shuttingDown = true;
+        closeSockets(true);
     }
 
     @Override
-    public void hangUp() {
+    public void reload() {
         // Nothing to reload: it watches the same discovery all the time.
     }
 
     @Override
-    public void pause(boolean on) {
+    public void setPaused(boolean paused) {
         throw new IllegalStateException("a scripted gateway is not a process and can't be paused");
     }
 
     @Override
-    public Duration cpu() {
+    public Duration cpuTime() {
         return Duration.ZERO;
     }
 
     @Override
-    public boolean awaitEnd(Duration most) throws InterruptedException {
-        long end = System.nanoTime() + most.toNanos();
-        synchronized (open) {
-            for (long left = most.toNanos(); isAlive() && left > 0; left = end - System.nanoTime()) {
-                TimeUnit.NANOSECONDS.timedWait(open, left);
+    public boolean awaitExit(Duration timeout) throws InterruptedException {
+        long deadlineNanos = System.nanoTime() + timeout.toNanos();
+        synchronized (openRequests) {
+            for (long remainingNanos = timeout.toNanos(); isAlive() && remainingNanos > 0; remainingNanos = deadlineNanos - System.nanoTime()) {
+                TimeUnit.NANOSECONDS.timedWait(openRequests, remainingNanos);
             }
         }
         return !isAlive();
     }
 
     @Override
-    public String lastWords() {
+    public String logTail() {
         return "scripted";
     }
 }
