--- a/src/main/java/cinderhollow/cli/EmulateCommand.java
+++ b/src/main/java/cinderhollow/cli/EmulateCommand.java
@@ -64,7 +64,7 @@
         long events = 0;
         for (int i = 0; i < results.length; i++) {
             Commands.print(spec, "seed " + (first + i) + ": " + results[i]);
-            sum += results[i].figure();
+            sum += results[i].score();
             events += results[i].events();
         }
         Commands.print(spec, String.format(Locale.ROOT, "mean figure %.4f of %d days; %d events in %.1f s", sum / results.length,
@@ -76,15 +76,15 @@
         Emulation emulation = new Emulation(scenario, seed);
         Emulation.Result result = emulation.run();
         if (printPerSecond) {
-            Commands.print(spec, "seed " + seed + ":" + Arrays.stream(emulation.bySecond()).mapToObj(part -> " " + Math.round(100 * part))
+            Commands.print(spec, "seed " + seed + ":" + Arrays.stream(emulation.inTimeRatioBySecond()).mapToObj(part -> " " + Math.round(100 * part))
                     .collect(Collectors.joining()));
         }
         if (peering) {
             Scenario.Fault f = scenario.fault();
-            Emulation.Leaving leaving = f == null ? emulation.leaving(0, seconds) : emulation.leaving(f.fromSecond(), f.seconds());
+            Emulation.EvacuationReport leaving = f == null ? emulation.measureEvacuation(0, seconds) : emulation.measureEvacuation(f.fromSecond(), f.seconds());
             Commands.print(spec, "seed " + seed + ": " + leaving);
             if (printZoneLog) {
-                emulation.lines().stream().filter(line -> line.contains("zone=")).forEach(line -> Commands.print(spec, line));
+                emulation.logLines().stream().filter(line -> line.contains("zone=")).forEach(line -> Commands.print(spec, line));
             }
         }
         return result;
--- a/src/main/java/cinderhollow/emulator/Emulation.java
+++ b/src/main/java/cinderhollow/emulator/Emulation.java
@@ -45,14 +45,14 @@
         }
 
         /** Returns the score that compares runs: service as the first deployment weighs it, less the cost of connections. */
-        public double figure() {
+        public double score() {
             return 0.45 * inTime + 0.35 * worst + 0.2 * worstClass - 0.08 * handshakes;
         }
 
         @Override
         public String toString() {
             return String.format(Locale.ROOT, "figure %.4f  in time %.4f  worst %.4f  worst class %.4f  refused %.3f  tries %.2f  "
-                    + "handshakes %.3f  places %.2f  silent %.3f  fallen %d%s", figure(), inTime, worst, worstClass, refused, tries,
+                    + "handshakes %.3f  places %.2f  silent %.3f  fallen %d%s", score(), inTime, worst, worstClass, refused, tries,
                     handshakes, connections, silentMarks, fallen, broken == 0 && open == 0 ? "" : ", broken " + broken
                     + ", open " + open + ": " + breach);
         }
@@ -125,7 +125,7 @@
     private int fallen;
     private boolean cut;
     private final List<Change> changes = new ArrayList<>();
-    private final List<String> lines = new ArrayList<>();
+    private final List<String> logLines = new ArrayList<>();
 
     /** Creates the fleet; {@link #run} runs the scenario. */
     public Emulation(Scenario scenario, long seed) {
@@ -222,7 +222,7 @@
 
         @Override
         public void said(EmulatedGateway gateway, String line) {
-            lines.add((time.now() - BEGIN) / MS + " ms, gateway " + gateway.number() + ": " + line);
+            logLines.add((time.now() - BEGIN) / MS + " ms, gateway " + gateway.number() + ": " + line);
         }
 
         @Override
@@ -248,8 +248,8 @@
     }
 
     /** Returns the log lines of the gateways' evacuation modules, about zones and other gateways. */
-    public List<String> lines() {
-        return List.copyOf(lines);
+    public List<String> logLines() {
+        return List.copyOf(logLines);
     }
 
     /**
@@ -274,7 +274,7 @@
      * @param elsewhere number of times that a gateway set a weight below 1 for another zone, over the whole run
      * @param datagrams datagrams sent per second and gateway, over the whole run
      */
-    public record Leaving(int left, int of, double median, double most, double last, int elsewhere, double datagrams) {
+    public record EvacuationReport(int left, int of, double median, double most, double last, int elsewhere, double datagrams) {
         @Override
         public String toString() {
             return String.format(Locale.ROOT, "left by %d of %d after %.2f s (median), %.2f s (95 of 100), %.2f s (last); other zones left %d "
@@ -283,7 +283,7 @@
     }
 
     /** Returns how the gateways left the first zone from this second on, within this many seconds; valid after {@link #run}. */
-    public Leaving leaving(double fromSecond, double within) {
+    public EvacuationReport measureEvacuation(double fromSecond, double within) {
         Map<Integer, Double> first = new HashMap<>();
         int elsewhere = 0;
         for (Change c : changes) {
@@ -296,12 +296,12 @@
         List<Double> times = first.values().stream().sorted().toList();
         int n = times.size();
         double sent = gateways.stream().mapToLong(g -> g.datagrams).sum() / (double) (scenario.seconds() * places.size());
-        return new Leaving(n, places.size(), n == 0 ? Double.NaN : times.get(n / 2), n == 0 ? Double.NaN : times.get((n - 1) * 95 / 100),
+        return new EvacuationReport(n, places.size(), n == 0 ? Double.NaN : times.get(n / 2), n == 0 ? Double.NaN : times.get((n - 1) * 95 / 100),
                 n == 0 ? Double.NaN : times.get(n - 1), elsewhere, sent);
     }
 
     /** Returns the ratio of worth answered within the aim to worth requested in each second; valid after {@link #run}. */
-    public double[] bySecond() {
+    public double[] inTimeRatioBySecond() {
         return IntStream.range(0, scenario.seconds()).mapToDouble(s -> part(0, askedWorth.length, s, s + 1)).toArray();
     }
 
--- a/src/test/java/cinderhollow/emulator/EmulationTest.java
+++ b/src/test/java/cinderhollow/emulator/EmulationTest.java
@@ -94,10 +94,10 @@
         Scenario day = Scenario.thin(100, 65, 16, 0.5).talking();
         Emulation quiet = new Emulation(day, 1);
         assertTrue(quiet.run().isClean());
-        assertEquals(0, quiet.leaving(0, 16).left() + quiet.leaving(0, 16).elsewhere());
+        assertEquals(0, quiet.measureEvacuation(0, 16).left() + quiet.measureEvacuation(0, 16).elsewhere());
         Emulation silent = new Emulation(day.with(new Scenario.Fault(Scenario.Kind.SILENT, 8, 6, 0.34, 1)), 1);
         assertTrue(silent.run().isClean());
-        Emulation.Leaving leaving = silent.leaving(8, 6);
+        Emulation.EvacuationReport leaving = silent.measureEvacuation(8, 6);
         assertTrue(leaving.left() == 100 && leaving.last() < 3 && leaving.elsewhere() == 0, leaving::toString);
     }
 }
