--- a/src/main/java/cinderhollow/cli/EmulateCommand.java
+++ b/src/main/java/cinderhollow/cli/EmulateCommand.java
@@ -54,9 +54,9 @@
 
     @Override
     public Integer call() {
-        Scenario baseScenario = Scenario.thin(gateways, nodes, seconds, load);
-        Scenario faultFreeScenario = peering ? baseScenario.talking() : baseScenario;
-        Scenario scenario = fault == null ? faultFreeScenario : faultFreeScenario.with(parseFault(fault));
+        Scenario baseScenario = Scenario.sparseTraffic(gateways, nodes, seconds, load);
+        Scenario faultFreeScenario = peering ? baseScenario.withEvacuation() : baseScenario;
+        Scenario scenario = fault == null ? faultFreeScenario : faultFreeScenario.withFault(parseFault(fault));
         long startedAt = System.nanoTime();
         Emulation.Result[] results = LongStream.range(first, first + seeds).parallel()
                 .mapToObj(seed -> runSeed(scenario, seed)).toArray(Emulation.Result[]::new);
@@ -94,7 +94,7 @@
         String[] parts = text.split(":", -1);
         try {
             if (parts.length == 4 || parts.length == 5) {
-                return new Scenario.Fault(Scenario.Kind.valueOf(parts[0].toUpperCase(Locale.ROOT)), Double.parseDouble(parts[1]),
+                return new Scenario.Fault(Scenario.FaultKind.valueOf(parts[0].toUpperCase(Locale.ROOT)), Double.parseDouble(parts[1]),
                         Double.parseDouble(parts[2]), Double.parseDouble(parts[3]),
                         parts.length == 5 ? Double.parseDouble(parts[4]) : 1);
             }
--- a/src/main/java/cinderhollow/emulator/Emulation.java
+++ b/src/main/java/cinderhollow/emulator/Emulation.java
@@ -431,16 +431,16 @@
     private void trouble(Scenario.Fault fault) {
         long from = BEGIN + (long) (fault.fromSecond() * SECOND);
         long until = from + (long) (fault.seconds() * SECOND);
-        if (fault.kind() == Scenario.Kind.KILLED || fault.kind() == Scenario.Kind.ROLLED) {
+        if (fault.kind() == Scenario.FaultKind.KILLED || fault.kind() == Scenario.FaultKind.ROLLED) {
             int killed = (int) Math.round(fault.part() * places.size());
             for (int i = 0; i < killed; i++) {
                 Place place = places.get(i);
-                long at = fault.kind() == Scenario.Kind.KILLED ? from : from + (until - from) * i / killed;
+                long at = fault.kind() == Scenario.FaultKind.KILLED ? from : from + (until - from) * i / killed;
                 time.at(at, () -> kill(place));
             }
             return;
         }
-        if (fault.kind() == Scenario.Kind.CUT) {
+        if (fault.kind() == Scenario.FaultKind.CUT) {
             time.at(from, () -> cut = true);
             time.at(until, () -> cut = false);
             return;
--- a/src/main/java/cinderhollow/emulator/Scenario.java
+++ b/src/main/java/cinderhollow/emulator/Scenario.java
@@ -59,7 +59,7 @@
      * KILLED kills a fraction of the gateways at once, and ROLLED kills them one after the other. CUT partitions the network:
      * the nodes and gateways of the first zone can't be reached from the other zones, and can't reach them.
      */
-    public enum Kind { SLOW, SILENT, REPLACED, LOST, KILLED, ROLLED, CUT }
+    public enum FaultKind { SLOW, SILENT, REPLACED, LOST, KILLED, ROLLED, CUT }
 
     /**
      * A fault.
@@ -70,7 +70,7 @@
      * @param part fraction of the nodes or gateways that is affected
      * @param size how many times slower than usual a slow node is
      */
-    public record Fault(Kind kind, double fromSecond, double seconds, double part, double size) {
+    public record Fault(FaultKind kind, double fromSecond, double seconds, double part, double size) {
         /** Rejects a fault that would never begin, never end, or affect nothing. */
         public Fault {
             require(fromSecond >= 0 && fromSecond <= 3_600, "fromSecond", fromSecond);
@@ -108,19 +108,19 @@
     }
 
     /** Returns the usual scenario: a fleet of many gateways, each with little traffic, and no fault. */
-    public static Scenario thin(int gateways, int nodes, int seconds, double load) {
+    public static Scenario sparseTraffic(int gateways, int nodes, int seconds, double load) {
         return new Scenario(gateways, nodes, 3, seconds, load, 0.7, 1.5, 2.8,
                 new Shapes(0.34, 0.75, 160, 400, 0.26, 3.7, 2.5, 15_000, 0.31, 8_400, 2.5, 1_500),
                 new Clients(2, 20, 0.6), false, null);
     }
 
     /** Returns the same scenario with this fault. */
-    public Scenario with(Fault trouble) {
+    public Scenario withFault(Fault trouble) {
         return new Scenario(gateways, nodes, zones, seconds, load, unevenness, burst, workScale, shapes, clients, talks, trouble);
     }
 
     /** Returns the same scenario with gateways that gossip and evacuate zones together. */
-    public Scenario talking() {
+    public Scenario withEvacuation() {
         return new Scenario(gateways, nodes, zones, seconds, load, unevenness, burst, workScale, shapes, clients, true, fault);
     }
 
--- a/src/test/java/cinderhollow/emulator/EmulationTest.java
+++ b/src/test/java/cinderhollow/emulator/EmulationTest.java
@@ -30,19 +30,19 @@
 
     @Test
     void theSameSeedGivesTheSameDayAndAnotherSeedAnother() {
-        Scenario day = Scenario.thin(20, 13, 6, 0.5);
+        Scenario day = Scenario.sparseTraffic(20, 13, 6, 0.5);
         assertEquals(new Emulation(day, 7).run(), new Emulation(day, 7).run());
         assertNotEquals(new Emulation(day, 7).run(), new Emulation(day, 8).run());
     }
 
     @Test
     void aScenarioThatCannotBeIsRefusedByName() {
-        String told = assertThrows(IllegalArgumentException.class, () -> Scenario.thin(0, 13, 6, 0.5)).getMessage();
+        String told = assertThrows(IllegalArgumentException.class, () -> Scenario.sparseTraffic(0, 13, 6, 0.5)).getMessage();
         assertTrue(told.startsWith("gateways"), told);
-        assertTrue(assertThrows(IllegalArgumentException.class, () -> Scenario.thin(2, 13, 6, Double.NaN)).getMessage()
+        assertTrue(assertThrows(IllegalArgumentException.class, () -> Scenario.sparseTraffic(2, 13, 6, Double.NaN)).getMessage()
                 .startsWith("load"));
         assertTrue(assertThrows(IllegalArgumentException.class,
-                () -> new Scenario.Fault(Scenario.Kind.LOST, 4, Double.NaN, 0.5, 1)).getMessage().startsWith("seconds"));
+                () -> new Scenario.Fault(Scenario.FaultKind.LOST, 4, Double.NaN, 0.5, 1)).getMessage().startsWith("seconds"));
     }
 
     /**
@@ -55,7 +55,7 @@
             double handshakes = 0;
             double inTime = 0;
             for (long seed = 1; seed <= 3; seed++) {
-                Emulation.Result result = new Emulation(Scenario.thin(100, nodes, 20, 0.3), seed).run();
+                Emulation.Result result = new Emulation(Scenario.sparseTraffic(100, nodes, 20, 0.3), seed).run();
                 System.out.println(nodes + " nodes, seed " + seed + ": " + result);
                 handshakes += result.handshakes() / 3;
                 inTime += result.inTime() / 3;
@@ -68,10 +68,10 @@
     /** Under each kind of fault, gateways break no rule, cold nodes don't crash by overload, and no request is left open. */
     @ParameterizedTest
     @EnumSource
-    void noRuleIsBrokenAndNothingIsLeftOpen(Scenario.Kind kind) {
+    void noRuleIsBrokenAndNothingIsLeftOpen(Scenario.FaultKind kind) {
         for (long seed = 1; seed <= 2; seed++) {
-            Emulation.Result result = new Emulation(Scenario.thin(60, 65, 16, 0.5)
-                    .with(new Scenario.Fault(kind, 4, 5, 0.4, 5)), seed).run();
+            Emulation.Result result = new Emulation(Scenario.sparseTraffic(60, 65, 16, 0.5)
+                    .withFault(new Scenario.Fault(kind, 4, 5, 0.4, 5)), seed).run();
             assertTrue(result.isClean(), kind + ", seed " + seed + ": " + result);
             assertTrue(result.inTime() > 0.5, kind + ", seed " + seed + ": " + result);
         }
@@ -83,19 +83,19 @@
      */
     @Test
     void aFleetThatIsBackColdIsNotPushedOver() {
-        Emulation.Result result = new Emulation(Scenario.thin(100, 65, 25, 0.8)
-                .with(new Scenario.Fault(Scenario.Kind.LOST, 4, 5, 0.8, 1)), 1).run();
+        Emulation.Result result = new Emulation(Scenario.sparseTraffic(100, 65, 25, 0.8)
+                .withFault(new Scenario.Fault(Scenario.FaultKind.LOST, 4, 5, 0.8, 1)), 1).run();
         assertEquals(0, result.fallen(), result::toString);
     }
 
     /** All 100 gateways leave a silent zone within 3 s, and no zone without a fault; each step is checked against the rules. */
     @Test
     void aHundredGatewaysLeaveASilentZoneAndNoOther() {
-        Scenario day = Scenario.thin(100, 65, 16, 0.5).talking();
+        Scenario day = Scenario.sparseTraffic(100, 65, 16, 0.5).withEvacuation();
         Emulation quiet = new Emulation(day, 1);
         assertTrue(quiet.run().isClean());
         assertEquals(0, quiet.measureEvacuation(0, 16).left() + quiet.measureEvacuation(0, 16).elsewhere());
-        Emulation silent = new Emulation(day.with(new Scenario.Fault(Scenario.Kind.SILENT, 8, 6, 0.34, 1)), 1);
+        Emulation silent = new Emulation(day.withFault(new Scenario.Fault(Scenario.FaultKind.SILENT, 8, 6, 0.34, 1)), 1);
         assertTrue(silent.run().isClean());
         Emulation.EvacuationReport leaving = silent.measureEvacuation(8, 6);
         assertTrue(leaving.left() == 100 && leaving.last() < 3 && leaving.elsewhere() == 0, leaving::toString);
