--- a/src/main/java/cinderhollow/emulator/EmulatedGateway.java
+++ b/src/main/java/cinderhollow/emulator/EmulatedGateway.java
@@ -38,47 +38,47 @@
  */
 final class EmulatedGateway implements Actions {
     /** What the gateway needs of its surroundings: the network, the other gateways, the nodes and the clients. */
-    interface World {
+    interface Environment {
         /** Sends a datagram to another gateway; it may be lost. */
-        void carry(EmulatedGateway from, int to, byte[] datagram);
+        void transmit(EmulatedGateway from, int to, byte[] datagram);
 
         /** Returns whether traffic between this gateway and this node passes in both directions. */
-        boolean reaches(EmulatedGateway from, Node node);
+        boolean canReach(EmulatedGateway from, Node node);
 
         /** Receives a log line of the gateway's evacuation module, meant for operators. */
-        void said(EmulatedGateway gateway, String line);
+        void onLogLine(EmulatedGateway gateway, String line);
 
         /** Receives the weights of the zones by which the gateway distributes requests from now on. */
-        void weighed(EmulatedGateway gateway, Map<String, Double> byZone);
+        void onZoneWeightsChanged(EmulatedGateway gateway, Map<String, Double> weightByZone);
 
         /** Returns the node with this id. */
         Node node(String id);
 
         /** Returns the work of this attempt in nanoseconds on a machine of speed 1. */
-        double work(String request, int attempt);
+        double workNanos(String request, int attempt);
 
         /** Receives the final answer to a request: whether it was served, and if not, whether it was refused. */
-        void answered(String request, boolean served, boolean refused);
+        void onAnswered(String request, boolean served, boolean refused);
     }
 
     /** Fraction of the nodes' idle timeout after which the gateway closes an idle connection. */
-    private static final double IDLE_PART = 2.0 / 3;
+    private static final double IDLE_TIMEOUT_FRACTION = 2.0 / 3;
     /** Longest time in nanoseconds between two ticks of the evacuation module. */
-    private static final long LONGEST_WAIT = 25_000_000L;
+    private static final long MAX_TICK_INTERVAL_NANOS = 25_000_000L;
 
     /** An idle connection: since when it is idle, and the generation of the node that it belongs to. */
-    private record Idle(long since, int generation) { }
+    private record IdleConnection(long idleSince, int generation) { }
 
     /** One attempt of a request at a node. */
     private final class Attempt {
         private final String request;
         private final int number;
         private final Node node;
-        private final long sentAt = time.now();
+        private final long sentAt = scheduler.now();
         private Node.Job job;
-        private int connection = -1;
+        private int connectionGeneration = -1;
         private boolean written;
-        private boolean over;
+        private boolean hasEnded;
 
         Attempt(String request, int number, Node node) {
             this.request = request;
@@ -88,93 +88,93 @@
 
         /** Ends the attempt once: keeps or closes its connection, answers the client if served first, notifies the module. */
         void end(Outcome outcome, LoadReport load) {
-            if (over) {
+            if (hasEnded) {
                 return;
             }
-            over = true;
+            hasEnded = true;
             if (evacuation != null) {
-                zones.get(request).onAttemptEnded(time.now(), number, outcome, time.now() - sentAt, load);
+                requestObservers.get(request).onAttemptEnded(scheduler.now(), number, outcome, scheduler.now() - sentAt, load);
             }
-            invariants.ended(request, outcome);
-            if (connection >= 0) {
-                boolean kept = outcome == Outcome.SERVED || outcome == Outcome.FULL;
-                if (kept) {
-                    keep(node, connection);
+            invariants.onAttemptEnded(request, outcome);
+            if (connectionGeneration >= 0) {
+                boolean reusable = outcome == Outcome.SERVED || outcome == Outcome.FULL;
+                if (reusable) {
+                    addIdleConnection(node, connectionGeneration);
                 } else {
-                    node.disconnect(connection);
+                    node.disconnect(connectionGeneration);
                 }
             }
-            List<Attempt> all = open.get(request);
-            boolean first = all != null && !answered.contains(request);
-            if (outcome == Outcome.SERVED && first) {
-                answered.add(request);
-                invariants.answered(time.now(), request, false);
-                world.answered(request, true, false);
+            List<Attempt> attempts = attemptsByRequest.get(request);
+            boolean isFirstAnswer = attempts != null && !concludedRequests.contains(request);
+            if (outcome == Outcome.SERVED && isFirstAnswer) {
+                concludedRequests.add(request);
+                invariants.onAnswered(scheduler.now(), request, false);
+                environment.onAnswered(request, true, false);
             }
-            boolean concluded = answered.contains(request);
-            forget(request);
-            tell(new AttemptEnded(request, number, node.info.id(), outcome, time.now() - sentAt, concluded, load));
+            boolean concluded = concludedRequests.contains(request);
+            removeIfDone(request);
+            deliver(new AttemptEnded(request, number, node.info.id(), outcome, scheduler.now() - sentAt, concluded, load));
         }
     }
 
-    private final Timeline time;
+    private final VirtualTimeScheduler scheduler;
     private final Scenario scenario;
-    private final World world;
-    private final LoadBalancer choice;
+    private final Environment environment;
+    private final LoadBalancer balancer;
     final Invariants invariants;
-    private final ToLongBiFunction<EmulatedGateway, Node> wire;
+    private final ToLongBiFunction<EmulatedGateway, Node> oneWayDelay;
     final String zone;
-    private final Map<String, ArrayDeque<Idle>> idle = new HashMap<>();
-    private final Map<String, List<Attempt>> open = new HashMap<>();
+    private final Map<String, ArrayDeque<IdleConnection>> idleConnections = new HashMap<>();
+    private final Map<String, List<Attempt>> attemptsByRequest = new HashMap<>();
     /** The evacuation module's observer of each open request; empty unless gateways evacuate zones together. */
-    private final Map<String, TrafficObserver.RequestObserver> zones = new HashMap<>();
+    private final Map<String, TrafficObserver.RequestObserver> requestObservers = new HashMap<>();
     /** Null unless gateways evacuate zones together. */
     private final Evacuation evacuation;
 
     /** Requests that are answered or whose client left, and whose attempts have not all ended. */
-    private final Set<String> answered = new HashSet<>();
-    private final ArrayDeque<Event> events = new ArrayDeque<>();
-    private boolean deciding;
-    private boolean dead;
+    private final Set<String> concludedRequests = new HashSet<>();
+    private final ArrayDeque<Event> pendingEvents = new ArrayDeque<>();
+    private boolean handlingEvents;
+    private boolean killed;
     long handshakes;
-    long sends;
-    long crossings;
-    long silentMarks;
-    long datagrams;
-
-    EmulatedGateway(Timeline time, Scenario scenario, Settings settings, long seed, World world,
-                    ToLongBiFunction<EmulatedGateway, Node> wire) {
-        this.time = time;
+    long attemptsSent;
+    long crossZoneAttempts;
+    long silenceDetections;
+    long datagramsSent;
+
+    EmulatedGateway(VirtualTimeScheduler scheduler, Scenario scenario, Settings settings, long seed, Environment environment,
+                    ToLongBiFunction<EmulatedGateway, Node> oneWayDelay) {
+        this.scheduler = scheduler;
         this.scenario = scenario;
-        this.world = world;
-        this.wire = wire;
+        this.environment = environment;
+        this.oneWayDelay = oneWayDelay;
         zone = settings.zone();
         invariants = new Invariants(settings.gatewayNumber(), settings.rules(), settings.upstreamOptions().maxAttempts());
-        choice = new LoadBalancer(settings, seed, this);
-        evacuation = scenario.talks() ? talk(settings, seed) : null;
+        balancer = new LoadBalancer(settings, seed, this);
+        evacuation = scenario.evacuationEnabled() ? createEvacuation(settings, seed) : null;
     }
 
     /** Makes the evacuation module and the callbacks that connect it with the environment. */
-    private Evacuation talk(Settings settings, long seed) {
-        List<String> names = IntStream.range(0, scenario.zones()).mapToObj(i -> Emulation.zone(i, scenario.zones())).toList();
+    private Evacuation createEvacuation(Settings settings, long seed) {
+        List<String> zoneNames = IntStream.range(0, scenario.zones()).mapToObj(i -> Emulation.zoneName(i, scenario.zones())).toList();
         Roster roster = new Roster(settings.gatewayNumber(), settings.gateways(), "emulated", new byte[0]);
-        return new Evacuation(EvacuationSettings.withDefaults(names, names.indexOf(zone), Collections.nCopies(names.size(), 0)), settings.rules(), roster, GossipSettings.DEFAULT, seed,
+        return new Evacuation(EvacuationSettings.withDefaults(zoneNames, zoneNames.indexOf(zone), Collections.nCopies(zoneNames.size(), 0)), settings.rules(), roster, GossipSettings.DEFAULT, seed,
                 unixMillis(), new Evacuation.Callbacks() {
             @Override
             public void send(int member, byte[] datagram) {
-                datagrams++;
-                world.carry(EmulatedGateway.this, member, datagram);
+                datagramsSent++;
+                environment.transmit(EmulatedGateway.this, member, datagram);
             }
 
             @Override
             public void setZoneWeights(Map<String, Double> byZone) {
-                world.weighed(EmulatedGateway.this, byZone);
-                tell(new ZoneWeightsChanged(byZone));
+                environment.onZoneWeightsChanged(EmulatedGateway.this, byZone);
+                deliver(new ZoneWeightsChanged(byZone));
             }
 
             @Override
             public void setWarmServerRate(double perSecond) {
-                tell(new WarmServerRateReceived(perSecond));
+                deliver(new WarmServerRateReceived(perSecond));
             }
 
             @Override
@@ -182,7 +182,7 @@
 
             @Override
             public void log(String line) {
-                world.said(EmulatedGateway.this, line);
+                environment.onLogLine(EmulatedGateway.this, line);
             }
         });
     }
@@ -192,72 +192,72 @@
     }
 
     private long unixMillis() {
-        return time.now() / 1_000_000;
+        return scheduler.now() / 1_000_000;
     }
 
     /** Runs one tick of the evacuation module, if there is one, and schedules the next. */
-    void talks() {
-        if (evacuation == null || dead) {
+    void runEvacuationTick() {
+        if (evacuation == null || killed) {
             return;
         }
-        long next = evacuation.tick(time.now(), unixMillis());
-        time.at(Math.max(time.now() + 1_000_000, Math.min(next, time.now() + LONGEST_WAIT)), this::talks);
+        long next = evacuation.tick(scheduler.now(), unixMillis());
+        scheduler.scheduleAt(Math.max(scheduler.now() + 1_000_000, Math.min(next, scheduler.now() + MAX_TICK_INTERVAL_NANOS)), this::runEvacuationTick);
     }
 
     /** Passes a datagram of another gateway to the evacuation module. */
-    void heard(int from, byte[] datagram) {
-        if (evacuation != null && !dead) {
-            evacuation.onDatagram(time.now(), unixMillis(), from, datagram);
+    void onDatagram(int from, byte[] datagram) {
+        if (evacuation != null && !killed) {
+            evacuation.onDatagram(scheduler.now(), unixMillis(), from, datagram);
         }
     }
 
     /** Delivers an event to the decision module; events that come while it handles another are queued, as in the real gateway. */
-    void tell(Event event) {
-        if (dead) {
+    void deliver(Event event) {
+        if (killed) {
             return;
         }
         if (event instanceof ListReceived list) {
-            list.servers().forEach(s -> invariants.told(time.now(), s.id(), s.readiness() == Readiness.READY));
+            list.servers().forEach(s -> invariants.onNodeReadiness(scheduler.now(), s.id(), s.readiness() == Readiness.READY));
             if (evacuation != null) {
                 evacuation.traffic().updateServers(list.servers(), list.kind() != ListKind.CHANGES);
             }
         }
-        events.add(event);
-        if (deciding) {
+        pendingEvents.add(event);
+        if (handlingEvents) {
             return;
         }
-        deciding = true;
+        handlingEvents = true;
         try {
-            for (Event next = events.poll(); next != null; next = events.poll()) {
-                choice.handle(time.now(), next);
+            for (Event next = pendingEvents.poll(); next != null; next = pendingEvents.poll()) {
+                balancer.handle(scheduler.now(), next);
             }
         } finally {
-            deciding = false;
+            handlingEvents = false;
         }
     }
 
     /** Removes a request that is answered or abandoned once all its attempts have ended. */
-    private void forget(String request) {
-        List<Attempt> all = open.get(request);
-        if (all != null && answered.contains(request) && all.stream().allMatch(a -> a.over)) {
-            open.remove(request);
-            zones.remove(request);
-            answered.remove(request);
-            invariants.over(request);
+    private void removeIfDone(String request) {
+        List<Attempt> attempts = attemptsByRequest.get(request);
+        if (attempts != null && concludedRequests.contains(request) && attempts.stream().allMatch(a -> a.hasEnded)) {
+            attemptsByRequest.remove(request);
+            requestObservers.remove(request);
+            concludedRequests.remove(request);
+            invariants.onRequestDone(request);
         }
     }
 
     /** Delivers a request to the gateway; it has this time in nanoseconds until its deadline. */
-    void ask(String request, RequestClass kind, long expiresIn) {
-        if (dead) {
+    void submit(String request, RequestClass requestClass, long expiresInNanos) {
+        if (killed) {
             return; // the process was killed: the request is lost, and its client's timeout ends it
         }
-        open.put(request, new ArrayList<>(1));
+        attemptsByRequest.put(request, new ArrayList<>(1));
         if (evacuation != null) {
-            zones.put(request, evacuation.traffic().onRequestReceived(kind));
+            requestObservers.put(request, evacuation.traffic().onRequestReceived(requestClass));
         }
-        invariants.arrived(time.now(), request, kind, expiresIn);
-        tell(new RequestArrived(request, kind.name(), null, null, expiresIn, 0, false));
+        invariants.onRequestArrived(scheduler.now(), request, requestClass, expiresInNanos);
+        deliver(new RequestArrived(request, requestClass.name(), null, null, expiresInNanos, 0, false));
     }
 
     /**
@@ -266,40 +266,40 @@
      * @return the requests without an answer, whose clients see their connection break
      */
     List<String> kill() {
-        dead = true;
-        idle.forEach((id, kept) -> kept.forEach(one -> world.node(id).disconnect(one.generation)));
-        idle.clear();
-        List<String> waiting = open.keySet().stream().filter(request -> !answered.contains(request)).toList();
-        open.values().forEach(attempts -> attempts.stream().filter(a -> !a.over).forEach(a -> {
-            a.over = true;
-            drop(a);
-            if (a.connection >= 0) {
-                a.node.disconnect(a.connection);
+        killed = true;
+        idleConnections.forEach((id, connections) -> connections.forEach(connection -> environment.node(id).disconnect(connection.generation)));
+        idleConnections.clear();
+        List<String> unanswered = attemptsByRequest.keySet().stream().filter(request -> !concludedRequests.contains(request)).toList();
+        attemptsByRequest.values().forEach(attempts -> attempts.stream().filter(a -> !a.hasEnded).forEach(a -> {
+            a.hasEnded = true;
+            dropAtNode(a);
+            if (a.connectionGeneration >= 0) {
+                a.node.disconnect(a.connectionGeneration);
             }
         }));
-        open.keySet().forEach(invariants::over);
-        open.clear();
-        return waiting;
+        attemptsByRequest.keySet().forEach(invariants::onRequestDone);
+        attemptsByRequest.clear();
+        return unanswered;
     }
 
     /** Notifies the gateway that the client of a request left, so that no answer is due any more. */
-    void left(String request) {
-        if (open.containsKey(request) && answered.add(request)) {
-            invariants.left(request);
-            tell(new ClientLeft(request));
-            forget(request);
+    void onClientLeft(String request) {
+        if (attemptsByRequest.containsKey(request) && concludedRequests.add(request)) {
+            invariants.onClientLeft(request);
+            deliver(new ClientLeft(request));
+            removeIfDone(request);
         }
     }
 
     /** Keeps a connection for reuse until its idle timeout. */
-    private void keep(Node node, int generation) {
-        ArrayDeque<Idle> kept = idle.computeIfAbsent(node.info.id(), id -> new ArrayDeque<>());
-        long idleFor = (long) (scenario.shapes().idleMillis() * IDLE_PART * 1e6);
-        Idle one = new Idle(time.now(), generation);
-        kept.addLast(one);
-        time.after(idleFor, () -> {
+    private void addIdleConnection(Node node, int generation) {
+        ArrayDeque<IdleConnection> connections = idleConnections.computeIfAbsent(node.info.id(), id -> new ArrayDeque<>());
+        long idleTimeoutNanos = (long) (scenario.nodeSettings().idleTimeoutMillis() * IDLE_TIMEOUT_FRACTION * 1e6);
+        IdleConnection connection = new IdleConnection(scheduler.now(), generation);
+        connections.addLast(connection);
+        scheduler.scheduleAfter(idleTimeoutNanos, () -> {
             // Compared by value: equal entries became idle at the same instant, so either may be closed.
-            if (kept.remove(one)) {
+            if (connections.remove(connection)) {
                 node.disconnect(generation);
             }
         });
@@ -307,40 +307,40 @@
 
     @Override
     public void send(String request, String server, long timeoutNanos) {
-        invariants.sent(time.now(), request, server);
-        Node node = world.node(server);
-        List<Attempt> all = open.get(request);
-        Attempt attempt = new Attempt(request, all.size(), node);
-        all.add(attempt);
+        invariants.onAttemptSent(scheduler.now(), request, server);
+        Node node = environment.node(server);
+        List<Attempt> attempts = attemptsByRequest.get(request);
+        Attempt attempt = new Attempt(request, attempts.size(), node);
+        attempts.add(attempt);
         if (evacuation != null) {
-            zones.get(request).onAttemptSent(time.now(), server);
+            requestObservers.get(request).onAttemptSent(scheduler.now(), server);
         }
-        sends++;
-        crossings += node.info.zone().equals(zone) ? 0 : 1;
-        time.after(timeoutNanos, () -> {
-            if (!attempt.over) {
-                drop(attempt);
+        attemptsSent++;
+        crossZoneAttempts += node.info.zone().equals(zone) ? 0 : 1;
+        scheduler.scheduleAfter(timeoutNanos, () -> {
+            if (!attempt.hasEnded) {
+                dropAtNode(attempt);
                 attempt.end(attempt.written ? Outcome.TIMED_OUT : Outcome.CONNECT_FAILED, null);
             }
         });
-        if (!world.reaches(this, node)) {
+        if (!environment.canReach(this, node)) {
             // No error is reported: a request on an idle connection is lost, and a new connection is never established.
-            attempt.written = idle.containsKey(server) && !idle.get(server).isEmpty();
+            attempt.written = idleConnections.containsKey(server) && !idleConnections.get(server).isEmpty();
             return;
         }
-        long oneWay = wire.applyAsLong(this, node);
-        ArrayDeque<Idle> kept = idle.get(server);
-        while (kept != null && !kept.isEmpty()) {
-            Idle last = kept.pollLast();
-            if (last.generation == node.generation() && !node.isDown()) {
-                attempt.connection = last.generation;
-                time.after(oneWay, () -> come(attempt, 0, oneWay));
+        long oneWayNanos = oneWayDelay.applyAsLong(this, node);
+        ArrayDeque<IdleConnection> connections = idleConnections.get(server);
+        while (connections != null && !connections.isEmpty()) {
+            IdleConnection latest = connections.pollLast();
+            if (latest.generation == node.generation() && !node.isDown()) {
+                attempt.connectionGeneration = latest.generation;
+                scheduler.scheduleAfter(oneWayNanos, () -> deliverToNode(attempt, 0, oneWayNanos));
                 return;
             }
         }
-        long dial = (long) (2 * oneWay * scenario.shapes().roundTrips());
-        time.after(dial, () -> {
-            if (attempt.over) {
+        long connectNanos = (long) (2 * oneWayNanos * scenario.nodeSettings().connectRoundTrips());
+        scheduler.scheduleAfter(connectNanos, () -> {
+            if (attempt.hasEnded) {
                 return;
             }
             if (!node.connect()) {
@@ -348,30 +348,30 @@
                 return;
             }
             handshakes++;
-            attempt.connection = node.generation();
-            time.after(oneWay, () -> come(attempt, scenario.shapes().handshakeMillis() * 1e6, oneWay));
+            attempt.connectionGeneration = node.generation();
+            scheduler.scheduleAfter(oneWayNanos, () -> deliverToNode(attempt, scenario.nodeSettings().handshakeMillis() * 1e6, oneWayNanos));
         });
     }
 
     /** Delivers the attempt's request to the node, with the work of the handshake in nanoseconds (0 on a reused connection). */
-    private void come(Attempt attempt, double handshake, long oneWay) {
-        if (attempt.over) {
+    private void deliverToNode(Attempt attempt, double handshakeNanos, long oneWayNanos) {
+        if (attempt.hasEnded) {
             return;
         }
         attempt.written = true;
-        double work = world.work(attempt.request, attempt.number) + handshake;
-        attempt.job = attempt.node.offer(work, fate -> {
-            LoadReport load = fate == Node.Fate.BROKEN ? null : attempt.node.report();
-            if (!world.reaches(this, attempt.node)) {
+        double workNanos = environment.workNanos(attempt.request, attempt.number) + handshakeNanos;
+        attempt.job = attempt.node.offer(workNanos, result -> {
+            LoadReport load = result == Node.JobResult.RESET ? null : attempt.node.report();
+            if (!environment.canReach(this, attempt.node)) {
                 return;
             }
-            time.after(oneWay, () -> attempt.end(fate == Node.Fate.DONE ? Outcome.SERVED
-                    : fate == Node.Fate.FULL ? Outcome.FULL : Outcome.RESET, load));
+            scheduler.scheduleAfter(oneWayNanos, () -> attempt.end(result == Node.JobResult.DONE ? Outcome.SERVED
+                    : result == Node.JobResult.FULL ? Outcome.FULL : Outcome.RESET, load));
         });
     }
 
     /** Lets the node drop the attempt's job, if it has reached the node. */
-    private void drop(Attempt attempt) {
+    private void dropAtNode(Attempt attempt) {
         if (attempt.job != null) {
             attempt.node.drop(attempt.job);
         }
@@ -389,27 +389,27 @@
 
     /** Answers a request that was not served. */
     private void conclude(String request, boolean refused) {
-        invariants.answered(time.now(), request, refused);
-        if (open.containsKey(request) && answered.add(request)) {
-            world.answered(request, false, refused);
-            forget(request);
+        invariants.onAnswered(scheduler.now(), request, refused);
+        if (attemptsByRequest.containsKey(request) && concludedRequests.add(request)) {
+            environment.onAnswered(request, false, refused);
+            removeIfDone(request);
         }
     }
 
     @Override
     public void cancel(String request, int attempt) {
-        Attempt a = open.get(request).get(attempt);
-        time.after(0, () -> {
-            if (!a.over) {
-                drop(a);
-                a.end(Outcome.CANCELLED, null);
+        Attempt cancelledAttempt = attemptsByRequest.get(request).get(attempt);
+        scheduler.scheduleAfter(0, () -> {
+            if (!cancelledAttempt.hasEnded) {
+                dropAtNode(cancelledAttempt);
+                cancelledAttempt.end(Outcome.CANCELLED, null);
             }
         });
     }
 
     @Override
     public void setTimer(long delayNanos, long token) {
-        time.after(delayNanos, () -> tell(new TimerFired(token)));
+        scheduler.scheduleAfter(delayNanos, () -> deliver(new TimerFired(token)));
     }
 
     @Override
@@ -417,6 +417,6 @@
 
     @Override
     public void log(String line) {
-        silentMarks += line.contains(" is silent") ? 1 : 0;
+        silenceDetections += line.contains(" is silent") ? 1 : 0;
     }
 }
--- a/src/main/java/cinderhollow/emulator/Node.java
+++ b/src/main/java/cinderhollow/emulator/Node.java
@@ -12,73 +12,73 @@
  */
 final class Node {
     /** What became of a job, as the gateway sees it: completed, refused because the queue was full, or reset. */
-    enum Fate { DONE, FULL, BROKEN }
+    enum JobResult { DONE, FULL, RESET }
 
     /** A request at the node, with its work in nanoseconds on a machine of speed 1 and the callback for its result. */
     static final class Job {
-        private final double work;
-        private final Consumer<Fate> told;
+        private final double workNanos;
+        private final Consumer<JobResult> callback;
         private boolean dropped;
 
-        private Job(double work, Consumer<Fate> told) {
-            this.work = work;
-            this.told = told;
+        private Job(double workNanos, Consumer<JobResult> callback) {
+            this.workNanos = workNanos;
+            this.callback = callback;
         }
     }
 
     /** Work that arrived at a cold node, and when. */
-    private record Sent(long at, double work) { }
+    private record ArrivedWork(long arrivedAt, double workNanos) { }
 
     /** Shortest time between two load reports. */
-    private static final long REPORT_NANOS = 250_000_000L;
+    private static final long REPORT_INTERVAL_NANOS = 250_000_000L;
     /**
      * Units in nanoseconds; the part of its capacity during the warm-up after which a node is warm even before the warm-up time
      * has passed; and the number of mean requests that a cold node accepts beyond its overload limit.
      */
-    private static final double SECOND = 1e9, MS = 1e6, WARMING_WORK = 0.5, SLACK_REQUESTS = 5;
+    private static final double SECOND = 1e9, MS = 1e6, WARM_UP_WORK_FRACTION = 0.5, OVERLOAD_SLACK_REQUESTS = 5;
 
-    private final Timeline time;
+    private final VirtualTimeScheduler scheduler;
     private final Scenario scenario;
     private final ArrayDeque<Job> queue = new ArrayDeque<>();
-    private final ArrayDeque<Sent> window = new ArrayDeque<>();
+    private final ArrayDeque<ArrivedWork> recentWork = new ArrayDeque<>();
     final double speed;
     ServerInfo info;
-    private double slowness = 1;
+    private double slowdown = 1;
     private boolean silent;
     private boolean down;
-    private Job running;
+    private Job runningJob;
     private int generation;
     private int connections;
-    private double workDone;
-    private double inWindow;
+    private double workDoneNanos;
+    private double recentWorkNanos;
     /** Whether the server list has it as usable. */
     boolean listed = true;
     /** Whether it crashed by overload while cold; such a node stays down. */
-    boolean fallen;
+    boolean crashedByOverload;
     /** Busy time in nanoseconds and jobs completed within the current report period, its start, and the latest report. */
-    private double busy;
-    private int done;
-    private long periodStart;
-    private LoadReport report = new LoadReport(0, 0, 0, 0, 0, 0);
+    private double busyNanos;
+    private int completedJobs;
+    private long reportPeriodStart;
+    private LoadReport lastReport = new LoadReport(0, 0, 0, 0, 0, 0);
 
-    Node(Timeline time, Scenario scenario, String id, String zone, double speed, long startedAt) {
-        this.time = time;
+    Node(VirtualTimeScheduler scheduler, Scenario scenario, String id, String zone, double speed, long startedAt) {
+        this.scheduler = scheduler;
         this.scenario = scenario;
         this.speed = speed;
         info = new ServerInfo(id, zone, speed < 0.8 ? "eco" : "std", 0, Readiness.READY, 1, startedAt);
-        periodStart = time.now();
+        reportPeriodStart = scheduler.now();
     }
 
     /** Makes the node slower than usual by this factor; 1 is the usual speed. */
-    void slow(double factor) {
-        slowness = factor;
+    void setSlowdown(double factor) {
+        slowdown = factor;
     }
 
     /** Starts or ends silence: a silent node starts no job and reports no result, but keeps its connections and queue. */
-    void silent(boolean on) {
-        silent = on;
-        if (!on && running == null) {
-            next();
+    void setSilent(boolean enabled) {
+        silent = enabled;
+        if (!enabled && runningJob == null) {
+            startNextJob();
         }
     }
 
@@ -86,29 +86,29 @@
     void stop() {
         down = true;
         generation++;
-        ArrayDeque<Job> lost = new ArrayDeque<>(queue);
-        if (running != null) {
-            lost.addFirst(running);
+        ArrayDeque<Job> resetJobs = new ArrayDeque<>(queue);
+        if (runningJob != null) {
+            resetJobs.addFirst(runningJob);
         }
-        running = null;
+        runningJob = null;
         queue.clear();
         connections = 0;
-        lost.forEach(job -> job.told.accept(Fate.BROKEN));
+        resetJobs.forEach(job -> job.callback.accept(JobResult.RESET));
     }
 
     /** Starts a new process on the same node; it is cold. */
     void start() {
         down = false;
         silent = false;
-        slowness = 1;
-        workDone = 0;
-        window.clear();
-        inWindow = 0;
-        info = new ServerInfo(info.id(), info.zone(), info.machineType(), info.cell(), Readiness.READY, 1, time.now());
+        slowdown = 1;
+        workDoneNanos = 0;
+        recentWork.clear();
+        recentWorkNanos = 0;
+        info = new ServerInfo(info.id(), info.zone(), info.machineType(), info.cell(), Readiness.READY, 1, scheduler.now());
     }
 
     boolean isDown() {
-        return down || fallen;
+        return down || crashedByOverload;
     }
 
     /** Returns the number of stops so far; a connection is valid only in the generation in which it was made. */
@@ -118,7 +118,7 @@
 
     /** Accepts one more connection and returns true, or returns false if the node is down or at its connection limit. */
     boolean connect() {
-        if (isDown() || connections >= scenario.shapes().connections()) {
+        if (isDown() || connections >= scenario.nodeSettings().maxConnections()) {
             return false;
         }
         connections++;
@@ -135,60 +135,60 @@
     }
 
     /** Returns the part of its capacity that the node has now; it warms up by time or by work done, whichever is ahead. */
-    private double warmth() {
+    private double capacityFraction() {
         if (info.startedAtNanos() == 0) {
             return 1;
         }
-        double warmUp = scenario.shapes().warmUpMillis() * MS;
-        double byTime = (time.now() - info.startedAtNanos()) / warmUp;
-        double whole = speed * warmUp * (1 + scenario.shapes().coldFrom()) / 2;
-        double warm = Math.min(1, Math.max(byTime, workDone / (whole * WARMING_WORK)));
-        return scenario.shapes().coldFrom() + (1 - scenario.shapes().coldFrom()) * warm;
+        double warmUpNanos = scenario.nodeSettings().warmUpMillis() * MS;
+        double timeProgress = (scheduler.now() - info.startedAtNanos()) / warmUpNanos;
+        double warmUpCapacityNanos = speed * warmUpNanos * (1 + scenario.nodeSettings().coldCapacityFraction()) / 2;
+        double progress = Math.min(1, Math.max(timeProgress, workDoneNanos / (warmUpCapacityNanos * WARM_UP_WORK_FRACTION)));
+        return scenario.nodeSettings().coldCapacityFraction() + (1 - scenario.nodeSettings().coldCapacityFraction()) * progress;
     }
 
     /** Returns the work done per nanosecond now; open connections and a slowdown reduce it. */
-    private double pace() {
-        double full = Math.min(1, (double) connections / scenario.shapes().connections());
-        return speed * warmth() * (1 - scenario.shapes().fullTax() * full) / slowness;
+    private double effectiveSpeed() {
+        double connectionUtilisation = Math.min(1, (double) connections / scenario.nodeSettings().maxConnections());
+        return speed * capacityFraction() * (1 - scenario.nodeSettings().connectionOverheadFraction() * connectionUtilisation) / slowdown;
     }
 
     /** Receives a complete request with this work in nanoseconds at speed 1; the callback gets its result at most once. */
-    Job offer(double work, Consumer<Fate> told) {
-        Job job = new Job(work, told);
+    Job offer(double workNanos, Consumer<JobResult> callback) {
+        Job job = new Job(workNanos, callback);
         if (isDown()) {
-            told.accept(Fate.BROKEN);
+            callback.accept(JobResult.RESET);
             return job;
         }
-        press(work);
-        if (fallen) {
+        checkColdOverload(workNanos);
+        if (crashedByOverload) {
             stop();
-            told.accept(Fate.BROKEN);
-        } else if (queue.size() >= scenario.shapes().queue()) {
-            told.accept(Fate.FULL);
+            callback.accept(JobResult.RESET);
+        } else if (queue.size() >= scenario.nodeSettings().maxQueuedRequests()) {
+            callback.accept(JobResult.FULL);
         } else {
             queue.add(job);
-            if (running == null) {
-                next();
+            if (runningJob == null) {
+                startNextJob();
             }
         }
         return job;
     }
 
     /** Crashes a cold node if the work that arrived within the overload window exceeds the limit for its current capacity. */
-    private void press(double work) {
-        if (warmth() >= 1) {
-            window.clear();
-            inWindow = 0;
+    private void checkColdOverload(double workNanos) {
+        if (capacityFraction() >= 1) {
+            recentWork.clear();
+            recentWorkNanos = 0;
             return;
         }
-        double forNanos = scenario.shapes().overloadForMillis() * MS;
-        window.add(new Sent(time.now(), work));
-        inWindow += work;
-        while (window.peekFirst().at <= time.now() - forNanos) {
-            inWindow -= window.pollFirst().work;
+        double overloadWindowNanos = scenario.nodeSettings().overloadWindowMillis() * MS;
+        recentWork.add(new ArrivedWork(scheduler.now(), workNanos));
+        recentWorkNanos += workNanos;
+        while (recentWork.peekFirst().arrivedAt <= scheduler.now() - overloadWindowNanos) {
+            recentWorkNanos -= recentWork.pollFirst().workNanos;
         }
-        fallen = inWindow > scenario.shapes().overloadFactor() * speed * warmth() * forNanos
-                + SLACK_REQUESTS * scenario.meanWork();
+        crashedByOverload = recentWorkNanos > scenario.nodeSettings().overloadFactor() * speed * capacityFraction() * overloadWindowNanos
+                + OVERLOAD_SLACK_REQUESTS * scenario.meanWorkNanos();
     }
 
     /** Drops a job whose sender has left: a queued job is removed, a running one continues but its completion is not reported. */
@@ -198,37 +198,37 @@
     }
 
     /** Starts the next job of the queue, if there is one and the node is not silent. */
-    private void next() {
-        running = silent ? null : queue.poll();
-        if (running == null) {
+    private void startNextJob() {
+        runningJob = silent ? null : queue.poll();
+        if (runningJob == null) {
             return;
         }
-        Job job = running;
-        int now = generation;
-        double took = job.work / pace();
-        time.after(Math.max(1, Math.round(took)), () -> {
-            if (generation != now) {
+        Job job = runningJob;
+        int startedGeneration = generation;
+        double durationNanos = job.workNanos / effectiveSpeed();
+        scheduler.scheduleAfter(Math.max(1, Math.round(durationNanos)), () -> {
+            if (generation != startedGeneration) {
                 return;
             }
-            busy += took;
-            done++;
-            workDone += job.work;
+            busyNanos += durationNanos;
+            completedJobs++;
+            workDoneNanos += job.workNanos;
             if (!job.dropped && !silent) {
-                job.told.accept(Fate.DONE);
+                job.callback.accept(JobResult.DONE);
             }
-            next();
+            startNextJob();
         });
     }
 
     /** Returns the latest load report; it is renewed first if the shortest time between reports has passed. */
     LoadReport report() {
-        double past = time.now() - periodStart;
-        if (past >= REPORT_NANOS) {
-            report = new LoadReport(done * SECOND / past, Math.min(1, busy / past), 0, Double.NaN, Double.NaN, Double.NaN);
-            busy = 0;
-            done = 0;
-            periodStart = time.now();
+        double elapsedNanos = scheduler.now() - reportPeriodStart;
+        if (elapsedNanos >= REPORT_INTERVAL_NANOS) {
+            lastReport = new LoadReport(completedJobs * SECOND / elapsedNanos, Math.min(1, busyNanos / elapsedNanos), 0, Double.NaN, Double.NaN, Double.NaN);
+            busyNanos = 0;
+            completedJobs = 0;
+            reportPeriodStart = scheduler.now();
         }
-        return report;
+        return lastReport;
     }
 }
--- a/src/test/java/cinderhollow/emulator/EmulationTest.java
+++ b/src/test/java/cinderhollow/emulator/EmulationTest.java
@@ -13,32 +13,32 @@
 
 class EmulationTest {
     @Test
-    void whatIsDueInOneInstantComesInTheOrderOfItsPlanning() {
-        Timeline time = new Timeline(0);
-        List<Integer> played = new ArrayList<>();
-        time.at(5, () -> played.add(2));
-        time.at(3, () -> {
-            played.add(1);
-            time.after(2, () -> played.add(4));
-            time.at(0, () -> played.add(0));
+    void tasksOfOneInstantRunInTheOrderOfTheirScheduling() {
+        VirtualTimeScheduler scheduler = new VirtualTimeScheduler(0);
+        List<Integer> executed = new ArrayList<>();
+        scheduler.scheduleAt(5, () -> executed.add(2));
+        scheduler.scheduleAt(3, () -> {
+            executed.add(1);
+            scheduler.scheduleAfter(2, () -> executed.add(4));
+            scheduler.scheduleAt(0, () -> executed.add(0));
         });
-        time.at(5, () -> played.add(3));
-        assertEquals(5, time.playUntil(6));
-        assertEquals(List.of(1, 0, 2, 3, 4), played);
-        assertEquals(6, time.now());
+        scheduler.scheduleAt(5, () -> executed.add(3));
+        assertEquals(5, scheduler.runUntil(6));
+        assertEquals(List.of(1, 0, 2, 3, 4), executed);
+        assertEquals(6, scheduler.now());
     }
 
     @Test
-    void theSameSeedGivesTheSameDayAndAnotherSeedAnother() {
-        Scenario day = Scenario.sparseTraffic(20, 13, 6, 0.5);
-        assertEquals(new Emulation(day, 7).run(), new Emulation(day, 7).run());
-        assertNotEquals(new Emulation(day, 7).run(), new Emulation(day, 8).run());
+    void theSameSeedGivesTheSameResultAndAnotherSeedAnother() {
+        Scenario scenario = Scenario.sparseTraffic(20, 13, 6, 0.5);
+        assertEquals(new Emulation(scenario, 7).run(), new Emulation(scenario, 7).run());
+        assertNotEquals(new Emulation(scenario, 7).run(), new Emulation(scenario, 8).run());
     }
 
     @Test
-    void aScenarioThatCannotBeIsRefusedByName() {
-        String told = assertThrows(IllegalArgumentException.class, () -> Scenario.sparseTraffic(0, 13, 6, 0.5)).getMessage();
-        assertTrue(told.startsWith("gateways"), told);
+    void errorsNameTheInvalidScenarioParameter() {
+        String message = assertThrows(IllegalArgumentException.class, () -> Scenario.sparseTraffic(0, 13, 6, 0.5)).getMessage();
+        assertTrue(message.startsWith("gateways"), message);
         assertTrue(assertThrows(IllegalArgumentException.class, () -> Scenario.sparseTraffic(2, 13, 6, Double.NaN)).getMessage()
                 .startsWith("load"));
         assertTrue(assertThrows(IllegalArgumentException.class,
@@ -50,18 +50,18 @@
      * node only once in several seconds.
      */
     @Test
-    void manyGatewaysWithLittleTrafficEachKeepToTheConnectionsThatTheyHave() {
+    void manyGatewaysWithSparseTrafficReuseTheirConnections() {
         for (int nodes : new int[] {60, 65}) {
-            double handshakes = 0;
-            double inTime = 0;
+            double handshakesPerRequest = 0;
+            double inTimeRatio = 0;
             for (long seed = 1; seed <= 3; seed++) {
                 Emulation.Result result = new Emulation(Scenario.sparseTraffic(100, nodes, 20, 0.3), seed).run();
                 System.out.println(nodes + " nodes, seed " + seed + ": " + result);
-                handshakes += result.handshakes() / 3;
-                inTime += result.inTime() / 3;
+                handshakesPerRequest += result.handshakesPerRequest() / 3;
+                inTimeRatio += result.inTimeRatio() / 3;
             }
-            assertTrue(handshakes < 0.15, handshakes + " new connections per request");
-            assertTrue(inTime > 0.82, "in-time ratio " + inTime);
+            assertTrue(handshakesPerRequest < 0.15, handshakesPerRequest + " new connections per request");
+            assertTrue(inTimeRatio > 0.82, "in-time ratio " + inTimeRatio);
         }
     }
 
@@ -73,7 +73,7 @@
             Emulation.Result result = new Emulation(Scenario.sparseTraffic(60, 65, 16, 0.5)
                     .withFault(new Scenario.Fault(kind, 4, 5, 0.4, 5)), seed).run();
             assertTrue(result.isClean(), kind + ", seed " + seed + ": " + result);
-            assertTrue(result.inTime() > 0.5, kind + ", seed " + seed + ": " + result);
+            assertTrue(result.inTimeRatio() > 0.5, kind + ", seed " + seed + ": " + result);
         }
     }
 
@@ -82,22 +82,22 @@
      * follow the load that warm nodes handled, not the traffic that arrived.
      */
     @Test
-    void aFleetThatIsBackColdIsNotPushedOver() {
+    void aFleetThatReturnsColdIsNotOverloaded() {
         Emulation.Result result = new Emulation(Scenario.sparseTraffic(100, 65, 25, 0.8)
                 .withFault(new Scenario.Fault(Scenario.FaultKind.LOST, 4, 5, 0.8, 1)), 1).run();
-        assertEquals(0, result.fallen(), result::toString);
+        assertEquals(0, result.overloadCrashes(), result::toString);
     }
 
     /** All 100 gateways leave a silent zone within 3 s, and no zone without a fault; each step is checked against the rules. */
     @Test
     void aHundredGatewaysLeaveASilentZoneAndNoOther() {
-        Scenario day = Scenario.sparseTraffic(100, 65, 16, 0.5).withEvacuation();
-        Emulation quiet = new Emulation(day, 1);
+        Scenario scenario = Scenario.sparseTraffic(100, 65, 16, 0.5).withEvacuation();
+        Emulation quiet = new Emulation(scenario, 1);
         assertTrue(quiet.run().isClean());
-        assertEquals(0, quiet.measureEvacuation(0, 16).left() + quiet.measureEvacuation(0, 16).elsewhere());
-        Emulation silent = new Emulation(day.withFault(new Scenario.Fault(Scenario.FaultKind.SILENT, 8, 6, 0.34, 1)), 1);
+        assertEquals(0, quiet.measureEvacuation(0, 16).evacuatedGateways() + quiet.measureEvacuation(0, 16).otherZoneReductions());
+        Emulation silent = new Emulation(scenario.withFault(new Scenario.Fault(Scenario.FaultKind.SILENT, 8, 6, 0.34, 1)), 1);
         assertTrue(silent.run().isClean());
-        Emulation.EvacuationReport leaving = silent.measureEvacuation(8, 6);
-        assertTrue(leaving.left() == 100 && leaving.last() < 3 && leaving.elsewhere() == 0, leaving::toString);
+        Emulation.EvacuationReport report = silent.measureEvacuation(8, 6);
+        assertTrue(report.evacuatedGateways() == 100 && report.maxSeconds() < 3 && report.otherZoneReductions() == 0, report::toString);
     }
 }
--- a/src/test/java/cinderhollow/emulator/InvariantsTest.java
+++ b/src/test/java/cinderhollow/emulator/InvariantsTest.java
@@ -18,80 +18,80 @@
     private final Invariants invariants = new Invariants(3, new Rules(50 * MS, 1_000 * MS, 0, 0.3, 0, 2.5, 1), 2);
 
     InvariantsTest() {
-        invariants.told(0, "n-1", true);
-        invariants.told(0, "n-2", true);
+        invariants.onNodeReadiness(0, "n-1", true);
+        invariants.onNodeReadiness(0, "n-2", true);
     }
 
-    private void broken(Rule... rules) {
-        invariants.finish(10_000 * MS);
+    private void assertBreaches(Rule... rules) {
+        invariants.checkUnanswered(10_000 * MS);
         assertEquals(List.of(rules), invariants.breaches().stream().map(Invariants.Breach::rule).toList());
     }
 
     @Test
-    void anAnswerInTimeAfterATryThatNeverRanBreaksNothing() {
-        invariants.arrived(0, "r", UNSAFE, 100 * MS);
-        invariants.sent(1, "r", "n-1");
-        invariants.ended("r", Outcome.CONNECT_FAILED);
-        invariants.sent(2, "r", "n-2");
-        invariants.ended("r", Outcome.SERVED);
-        invariants.answered(150 * MS, "r", false);
-        invariants.over("r");
-        assertEquals(0, invariants.held());
-        broken();
+    void anAnswerInTimeAfterAnAttemptThatNeverRanBreaksNoRule() {
+        invariants.onRequestArrived(0, "r", UNSAFE, 100 * MS);
+        invariants.onAttemptSent(1, "r", "n-1");
+        invariants.onAttemptEnded("r", Outcome.CONNECT_FAILED);
+        invariants.onAttemptSent(2, "r", "n-2");
+        invariants.onAttemptEnded("r", Outcome.SERVED);
+        invariants.onAnswered(150 * MS, "r", false);
+        invariants.onRequestDone("r");
+        assertEquals(0, invariants.openRequestCount());
+        assertBreaches();
     }
 
     @Test
-    void aSecondRunOfWhatMustNotRunTwice() {
-        invariants.arrived(0, "r", UNSAFE, 100 * MS);
-        invariants.sent(1, "r", "n-1");
-        invariants.ended("r", Outcome.RESET);
-        invariants.sent(2, "r", "n-2");
-        invariants.answered(3, "r", false);
-        broken(Rule.RAN_TWICE);
+    void aSecondAttemptOfAnUnsafeRequestThatMayHaveRunIsABreach() {
+        invariants.onRequestArrived(0, "r", UNSAFE, 100 * MS);
+        invariants.onAttemptSent(1, "r", "n-1");
+        invariants.onAttemptEnded("r", Outcome.RESET);
+        invariants.onAttemptSent(2, "r", "n-2");
+        invariants.onAnswered(3, "r", false);
+        assertBreaches(Rule.RAN_TWICE);
     }
 
     @Test
-    void aRefusalOfWhatMayHaveRun() {
-        invariants.arrived(0, "r", UNSAFE, 100 * MS);
-        invariants.sent(1, "r", "n-1");
-        invariants.ended("r", Outcome.TIMED_OUT);
-        invariants.answered(2, "r", true);
-        invariants.arrived(0, "s", SAFE, 100 * MS);
-        invariants.sent(1, "s", "n-1");
-        invariants.ended("s", Outcome.TIMED_OUT);
-        invariants.answered(2, "s", true);
-        broken(Rule.REFUSED_THOUGH_IT_MAY_HAVE_RUN);
+    void aRefusalOfAnUnsafeRequestThatMayHaveRunIsABreach() {
+        invariants.onRequestArrived(0, "r", UNSAFE, 100 * MS);
+        invariants.onAttemptSent(1, "r", "n-1");
+        invariants.onAttemptEnded("r", Outcome.TIMED_OUT);
+        invariants.onAnswered(2, "r", true);
+        invariants.onRequestArrived(0, "s", SAFE, 100 * MS);
+        invariants.onAttemptSent(1, "s", "n-1");
+        invariants.onAttemptEnded("s", Outcome.TIMED_OUT);
+        invariants.onAnswered(2, "s", true);
+        assertBreaches(Rule.REFUSED_THOUGH_IT_MAY_HAVE_RUN);
     }
 
     @Test
-    void aSendLaterThanTheGraceAfterANodeWasToldToDrain() {
-        invariants.told(100 * MS, "n-1", false);
-        invariants.told(900 * MS, "n-1", false);
-        invariants.arrived(0, "r", SAFE, 5_000 * MS);
-        invariants.sent(1_100 * MS, "r", "n-1");
-        invariants.sent(1_101 * MS, "r", "n-1");
-        invariants.answered(1_200 * MS, "r", false);
-        broken(Rule.DRAIN);
+    void aSendAfterTheDrainGraceIsABreach() {
+        invariants.onNodeReadiness(100 * MS, "n-1", false);
+        invariants.onNodeReadiness(900 * MS, "n-1", false);
+        invariants.onRequestArrived(0, "r", SAFE, 5_000 * MS);
+        invariants.onAttemptSent(1_100 * MS, "r", "n-1");
+        invariants.onAttemptSent(1_101 * MS, "r", "n-1");
+        invariants.onAnswered(1_200 * MS, "r", false);
+        assertBreaches(Rule.DRAIN);
     }
 
     @Test
-    void anAnswerThatIsLateAndOneThatNeverCame() {
-        invariants.arrived(0, "r", SAFE, 100 * MS);
-        invariants.answered(151 * MS, "r", false);
-        invariants.arrived(0, "s", SAFE, 100 * MS);
-        invariants.arrived(0, "gone", SAFE, 100 * MS);
-        invariants.left("gone");
-        broken(Rule.LOST, Rule.LOST);
+    void aLateAnswerAndAMissingAnswerAreBreaches() {
+        invariants.onRequestArrived(0, "r", SAFE, 100 * MS);
+        invariants.onAnswered(151 * MS, "r", false);
+        invariants.onRequestArrived(0, "s", SAFE, 100 * MS);
+        invariants.onRequestArrived(0, "gone", SAFE, 100 * MS);
+        invariants.onClientLeft("gone");
+        assertBreaches(Rule.LOST, Rule.LOST);
     }
 
     @Test
-    void twoAnswersTooManyAttemptsAndANodeThatNobodyNamed() {
-        invariants.arrived(0, "r", SAFE, 100 * MS);
-        invariants.sent(1, "r", "n-1");
-        invariants.sent(1, "r", "n-2");
-        invariants.sent(1, "r", "n-9");
-        invariants.answered(2, "r", false);
-        invariants.answered(3, "r", false);
-        broken(Rule.UNKNOWN_NODE, Rule.TOO_MANY_ATTEMPTS, Rule.ANSWERED_TWICE);
+    void twoAnswersTooManyAttemptsAndAnUnknownNodeAreBreaches() {
+        invariants.onRequestArrived(0, "r", SAFE, 100 * MS);
+        invariants.onAttemptSent(1, "r", "n-1");
+        invariants.onAttemptSent(1, "r", "n-2");
+        invariants.onAttemptSent(1, "r", "n-9");
+        invariants.onAnswered(2, "r", false);
+        invariants.onAnswered(3, "r", false);
+        assertBreaches(Rule.UNKNOWN_NODE, Rule.TOO_MANY_ATTEMPTS, Rule.ANSWERED_TWICE);
     }
 }
