--- a/src/test/java/cinderhollow/cli/SignalsTest.java
+++ b/src/test/java/cinderhollow/cli/SignalsTest.java
@@ -44,7 +44,7 @@
     }
 
     private static boolean isReady(int port, String status) {
-        try (Socket socket = withTimeout(new Socket(Loopback.own(), port))) {
+        try (Socket socket = withTimeout(new Socket(Loopback.processAddress(), port))) {
             socket.getOutputStream().write("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
             String line = firstLine(socket);
             return line != null && line.contains(status);
@@ -113,7 +113,7 @@
         ProcessBuilder builder = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-cp",
                 System.getProperty("java.class.path"), "cinderhollow.cli.Main", "serve").redirectErrorStream(true)
                 .redirectOutput(logFile.toFile());
-        builder.environment().putAll(Map.of("LB_LISTEN", Loopback.own().getHostAddress() + ":" + port, "LB_DISCOVERY",
+        builder.environment().putAll(Map.of("LB_LISTEN", Loopback.processAddress().getHostAddress() + ":" + port, "LB_DISCOVERY",
                 "127.0.0.1:1", "LB_CONFIG", configFile.toString()));
         return builder.start();
     }
@@ -123,6 +123,6 @@
             assertTrue(process.isAlive(), Files.readString(logFile));
             return isReady(port, " 200 ");
         });
-        return new Socket(Loopback.own(), port);
+        return new Socket(Loopback.processAddress(), port);
     }
 }
--- a/src/test/java/cinderhollow/cli/StartTest.java
+++ b/src/test/java/cinderhollow/cli/StartTest.java
@@ -31,7 +31,7 @@
         Path configFile = Files.writeString(folder.resolve("config.json"), CONFIG);
         Path logFile = folder.resolve("out.log");
         int port = Loopback.freePort();
-        String address = Loopback.own().getHostAddress() + ":" + port;
+        String address = Loopback.processAddress().getHostAddress() + ":" + port;
         List<String> command = new ArrayList<>(commandPrefix);
         command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
         command.addAll(javaOptions);
--- a/src/test/java/cinderhollow/cli/UpgradeTest.java
+++ b/src/test/java/cinderhollow/cli/UpgradeTest.java
@@ -149,7 +149,7 @@
     private StartedProcess start(String... command) throws IOException {
         Path logFile = folder.resolve("log-" + startedCount++);
         int opsPort = Loopback.freePort();
-        List<String> fields = new ArrayList<>(List.of(logFile.toString(), Loopback.own().getHostAddress() + ":" + opsPort));
+        List<String> fields = new ArrayList<>(List.of(logFile.toString(), Loopback.processAddress().getHostAddress() + ":" + opsPort));
         fields.addAll(List.of(command));
         toParent.write((String.join("\t", fields) + "\n").getBytes(StandardCharsets.UTF_8));
         toParent.flush();
@@ -164,7 +164,7 @@
     }
 
     private static String sendOpsCommand(StartedProcess process, String command) throws IOException {
-        try (Socket socket = new Socket(Loopback.own(), process.opsPort)) {
+        try (Socket socket = new Socket(Loopback.processAddress(), process.opsPort)) {
             socket.setSoTimeout(TIMEOUT_MILLIS);
             write(socket, command + "\n");
             return new String(socket.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
--- a/src/test/java/cinderhollow/daemon/GatewayProcess.java
+++ b/src/test/java/cinderhollow/daemon/GatewayProcess.java
@@ -54,7 +54,7 @@
                 System.getProperty("java.class.path"), "cinderhollow.cli.Main", "serve").redirectErrorStream(true)
                 .redirectOutput(log.toFile());
         // No connection to discovery succeeds, so the gateway keeps the list of its configuration.
-        builder.environment().putAll(Map.of("LB_LISTEN", Loopback.own().getHostAddress() + ":" + port,
+        builder.environment().putAll(Map.of("LB_LISTEN", Loopback.processAddress().getHostAddress() + ":" + port,
                 "LB_DISCOVERY", "127.0.0.1:1", "LB_CONFIG", config.toString()));
         builder.environment().putAll(environment);
         GatewayProcess gateway = new GatewayProcess(builder.start(), port, log);
@@ -91,7 +91,7 @@
 
     /** Opens a new connection to the gateway. */
     Client client() throws IOException {
-        Socket socket = new Socket(Loopback.own(), port);
+        Socket socket = new Socket(Loopback.processAddress(), port);
         socket.setSoTimeout(GatewayFixture.LONG_MILLIS);
         clients.add(socket);
         return new Client(socket);
--- a/src/test/java/cinderhollow/daemon/KilledTest.java
+++ b/src/test/java/cinderhollow/daemon/KilledTest.java
@@ -40,7 +40,7 @@
         ProcessBuilder builder = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                 "-cp", System.getProperty("java.class.path"), "cinderhollow.cli.Main", "serve")
                 .redirectErrorStream(true).redirectOutput(out.toFile());
-        builder.environment().putAll(Map.of("LB_LISTEN", Loopback.own().getHostAddress() + ":" + port, "LB_DISCOVERY", "127.0.0.1:1",
+        builder.environment().putAll(Map.of("LB_LISTEN", Loopback.processAddress().getHostAddress() + ":" + port, "LB_DISCOVERY", "127.0.0.1:1",
                 "LB_CONFIG", config.toString(), "LB_OPERATOR", operator.toString()));
         return builder.start();
     }
@@ -48,7 +48,7 @@
     private static boolean listens(Process process, int port) {
         try {
             assertTrue(process.isAlive());
-            new Socket(Loopback.own(), port).close();
+            new Socket(Loopback.processAddress(), port).close();
             return true;
         } catch (IOException e) {
             return false;
@@ -72,7 +72,7 @@
                 Await.until("the first life", () -> listens(first, port));
                 Set<String> expected = new HashSet<>();
                 for (int i = 0; i < REQUESTS; i++) {
-                    Socket client = new Socket(Loopback.own(), port);
+                    Socket client = new Socket(Loopback.processAddress(), port);
                     clients.add(client);
                     ScriptedHost.write(client, submit("kill-" + i, 600_000, "x"));
                     expected.add("kill-" + i);
--- a/src/test/java/cinderhollow/testing/Loopback.java
+++ b/src/test/java/cinderhollow/testing/Loopback.java
@@ -14,14 +14,14 @@
     private Loopback() { }
 
     /** Returns the loopback address of this test process, which is derived from its process id. */
-    public static InetAddress own() throws IOException {
+    public static InetAddress processAddress() throws IOException {
         long pid = ProcessHandle.current().pid();
         return InetAddress.getByAddress(new byte[] {127, (byte) (FIRST + (pid >> 16) % FIRST), (byte) (pid >> 8 & BYTE), (byte) (pid & BYTE)});
     }
 
-    /** Returns a port that is free on {@link #own}. */
+    /** Returns a port that is free on {@link #processAddress}. */
     public static int freePort() throws IOException {
-        try (ServerSocket any = new ServerSocket(0, 1, own())) {
+        try (ServerSocket any = new ServerSocket(0, 1, processAddress())) {
             return any.getLocalPort();
         }
     }
