--- a/src/test/java/cinderhollow/bench/FleetSimulation.java
+++ b/src/test/java/cinderhollow/bench/FleetSimulation.java
@@ -37,22 +37,22 @@
  */
 public final class FleetSimulation {
     /** How a gateway chooses the servers that it uses. */
-    public enum Way { SUBSETS, RANDOM, ALL }
+    public enum ServerSelection { SUBSETS, RANDOM, ALL }
 
     /**
      * Result of a run. A load is the number of requests that a server received, divided by the mean of the servers of its
      * speed.
      */
-    public record Result(Way way, int gateways, int nodes, double mostGateways, double meanGateways, double inTime,
+    public record Result(ServerSelection way, int gateways, int nodes, double maxGatewaysPerServer, double meanGatewaysPerServer, double inTimeRatio,
                          double served, double meanMillis, double loadSpread, double mostLoad, double coldLoad,
-                         double mostColdLoad, int mostColdAtOnce) {
+                         double maxColdLoad, int mostColdAtOnce) {
         @Override
         public String toString() {
             return String.format(Locale.ROOT, "%s, %d gateways, %d nodes: gateways a node %.1f, most %.0f (%.2f of the mean); "
                     + "in time %.2f%%, served %.2f%%, mean %.1f ms; a node's load: deviation %.2f, most %.2f of the mean; "
                     + "cold in the first 2 s: mean %.2f, most %.2f of a warm node's, most at once %d", way, gateways, nodes,
-                    meanGateways, mostGateways, mostGateways / meanGateways, 100 * inTime, 100 * served, meanMillis,
-                    loadSpread, mostLoad, coldLoad, mostColdLoad, mostColdAtOnce);
+                    meanGatewaysPerServer, maxGatewaysPerServer, maxGatewaysPerServer / meanGatewaysPerServer, 100 * inTimeRatio, 100 * served, meanMillis,
+                    loadSpread, mostLoad, coldLoad, maxColdLoad, mostColdAtOnce);
         }
     }
 
@@ -64,7 +64,7 @@
     private static final RequestClass READ = new RequestClass("read", Effect.SAFE, DedupGroup.ALL, 0, 500 * MS, 2 * SECOND, 1,
             0.5, false);
 
-    private final Way way;
+    private final ServerSelection way;
     private final int size;
     private final double ratePerSecond;
     private final long end;
@@ -117,10 +117,10 @@
     }
 
     /**
-     * Creates a fleet whose gateways use about {@code subsetSize} servers each, or all servers with {@link Way#ALL}; clients
+     * Creates a fleet whose gateways use about {@code subsetSize} servers each, or all servers with {@link ServerSelection#ALL}; clients
      * offer the share {@code loadRatio} of the requests per second that all servers together can serve.
      */
-    public FleetSimulation(Way way, int gateways, int nodes, int size, double load, int seconds, long seed) {
+    public FleetSimulation(ServerSelection way, int gateways, int nodes, int size, double load, int seconds, long seed) {
         this.way = way;
         this.size = size;
         random = new SplittableRandom(seed);
@@ -239,13 +239,13 @@
 
         /** Returns how many gateways share a server, from which the decision module computes its limits. */
         private int sharers() {
-            return way == Way.ALL ? gateways.length
+            return way == ServerSelection.ALL ? gateways.length
                     : Math.max(1, (int) Math.round((double) gateways.length * size / nodes.length));
         }
 
         private List<Integer> choose(int number) {
             List<Integer> chosen = new ArrayList<>();
-            if (way == Way.SUBSETS) {
+            if (way == ServerSelection.SUBSETS) {
                 Map<String, Integer> byZone = new HashMap<>();
                 for (int g = 0; g < gateways.length; g++) {
                     byZone.merge(ZONES.get(g % ZONES.size()), 1, Integer::sum);
@@ -263,13 +263,13 @@
             for (int i = 0; i < nodes.length; i++) {
                 chosen.add(i);
             }
-            for (int i = 0; way == Way.RANDOM && i < size; i++) {
+            for (int i = 0; way == ServerSelection.RANDOM && i < size; i++) {
                 int other = random.nextInt(i, nodes.length);
                 int swapped = chosen.get(i);
                 chosen.set(i, chosen.get(other));
                 chosen.set(other, swapped);
             }
-            return way == Way.RANDOM ? chosen.subList(0, size) : chosen;
+            return way == ServerSelection.RANDOM ? chosen.subList(0, size) : chosen;
         }
 
         private void tell(Event event) {
@@ -356,7 +356,7 @@
     public static void main(String[] args) {
         String[] given = {"500", "10000", "200", "0.6", "20", "1"};
         System.arraycopy(args, 0, given, 0, args.length);
-        for (Way way : Way.values()) {
+        for (ServerSelection way : ServerSelection.values()) {
             long begin = System.nanoTime();
             Result result = new FleetSimulation(way, Integer.parseInt(given[0]), Integer.parseInt(given[1]),
                     Integer.parseInt(given[2]), Double.parseDouble(given[3]), Integer.parseInt(given[4]),
--- a/src/test/java/cinderhollow/policy/SparseTrafficTest.java
+++ b/src/test/java/cinderhollow/policy/SparseTrafficTest.java
@@ -7,7 +7,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import cinderhollow.bench.FleetSimulation;
-import cinderhollow.bench.FleetSimulation.Way;
+import cinderhollow.bench.FleetSimulation.ServerSelection;
 import cinderhollow.policy.Protocol.Outcome;
 import java.util.List;
 import java.util.stream.LongStream;
@@ -81,9 +81,9 @@
     @Test
     void aBusyFleetOfManyGatewaysServesInTime() {
         double inTime = LongStream.rangeClosed(1, 4).mapToDouble(seed -> {
-            FleetSimulation.Result result = new FleetSimulation(Way.ALL, GATEWAYS, SERVERS, SERVERS, 0.75, 20, seed).run();
+            FleetSimulation.Result result = new FleetSimulation(ServerSelection.ALL, GATEWAYS, SERVERS, SERVERS, 0.75, 20, seed).run();
             System.out.println("seed " + seed + ": " + result);
-            return result.inTime();
+            return result.inTimeRatio();
         }).average().orElseThrow();
         assertTrue(inTime > 0.978, "in time " + inTime);
     }
