--- a/src/test/java/cinderhollow/bench/DecisionBenchmark.java
+++ b/src/test/java/cinderhollow/bench/DecisionBenchmark.java
@@ -45,8 +45,8 @@
 @Measurement(iterations = 5, time = 1)
 @Fork(1)
 public class DecisionBenchmark {
-    private static final long MS = 1_000_000L, BETWEEN_NANOS = 100_000L, ANSWER_NANOS = 8 * BETWEEN_NANOS;
-    private static final RequestClass READ = new RequestClass("read", Effect.SAFE, DedupGroup.ALL, 0, 500 * MS, 2_000 * MS, 1,
+    private static final long MILLISECOND_NANOS = 1_000_000L, REQUEST_INTERVAL_NANOS = 100_000L, RESPONSE_LATENCY_NANOS = 8 * REQUEST_INTERVAL_NANOS;
+    private static final RequestClass READ_CLASS = new RequestClass("read", Effect.SAFE, DedupGroup.ALL, 0, 500 * MILLISECOND_NANOS, 2_000 * MILLISECOND_NANOS, 1,
             0.5, false);
 
     /** Number of servers in the list. */
@@ -54,23 +54,23 @@
     public int nodes;
 
     private final PriorityQueue<long[]> timers = new PriorityQueue<>((a, b) -> Long.compare(a[0], b[0]));
-    private final ArrayDeque<String[]> sent = new ArrayDeque<>();
-    private LoadBalancer choice;
-    private long now = 100_000 * MS;
-    private long requests;
-    private int changes;
+    private final ArrayDeque<String[]> inFlight = new ArrayDeque<>();
+    private LoadBalancer balancer;
+    private long nowNanos = 100_000 * MILLISECOND_NANOS;
+    private long requestCount;
+    private int changeCount;
 
     /** Creates a fleet in two zones in which no server is cold. */
     @Setup
     public void start() {
-        Settings settings = new Settings(1, 0, "a", false, 5 * MS, List.of(READ), List.of(), 0.1, new UpstreamOptions(4, true),
-                new Rules(20 * MS, 250 * MS, 10_000 * MS, 0.2, 20_000 * MS, 2.5, 1_500 * MS));
-        choice = new LoadBalancer(settings, 7, new Host());
+        Settings settings = new Settings(1, 0, "a", false, 5 * MILLISECOND_NANOS, List.of(READ_CLASS), List.of(), 0.1, new UpstreamOptions(4, true),
+                new Rules(20 * MILLISECOND_NANOS, 250 * MILLISECOND_NANOS, 10_000 * MILLISECOND_NANOS, 0.2, 20_000 * MILLISECOND_NANOS, 2.5, 1_500 * MILLISECOND_NANOS));
+        balancer = new LoadBalancer(settings, 7, new BenchmarkActions());
         List<ServerInfo> list = new ArrayList<>();
         for (int i = 0; i < nodes; i++) {
             list.add(server(i, Readiness.READY));
         }
-        choice.handle(now, new ListReceived(ListKind.CACHED, list));
+        balancer.handle(nowNanos, new ListReceived(ListKind.CACHED, list));
     }
 
     private static ServerInfo server(int i, Readiness readiness) {
@@ -79,31 +79,31 @@
 
     /** Sends one request and ends one that was sent before it. */
     @Benchmark
-    public void decide() {
-        now += BETWEEN_NANOS;
-        while (!timers.isEmpty() && timers.peek()[0] <= now) {
-            choice.handle(now, new TimerFired(timers.poll()[1]));
+    public void decideRequest() {
+        nowNanos += REQUEST_INTERVAL_NANOS;
+        while (!timers.isEmpty() && timers.peek()[0] <= nowNanos) {
+            balancer.handle(nowNanos, new TimerFired(timers.poll()[1]));
         }
-        choice.handle(now, new RequestArrived("r" + requests++, "read", null, null, 2_000 * MS, 0, false));
-        if (sent.size() > 8) {
-            String[] first = sent.poll();
-            choice.handle(now, new AttemptEnded(first[0], 0, first[1], Outcome.SERVED, ANSWER_NANOS, true, null));
+        balancer.handle(nowNanos, new RequestArrived("r" + requestCount++, "read", null, null, 2_000 * MILLISECOND_NANOS, 0, false));
+        if (inFlight.size() > 8) {
+            String[] first = inFlight.poll();
+            balancer.handle(nowNanos, new AttemptEnded(first[0], 0, first[1], Outcome.SERVED, RESPONSE_LATENCY_NANOS, true, null));
         }
     }
 
     /** Removes one server from the list or puts it back. */
     @Benchmark
-    public void change() {
-        now += BETWEEN_NANOS;
-        int i = ++changes / 2 % nodes;
-        choice.handle(now, new ListReceived(ListKind.CHANGES,
-                List.of(server(i, changes % 2 == 0 ? Readiness.GONE : Readiness.READY))));
+    public void changeServer() {
+        nowNanos += REQUEST_INTERVAL_NANOS;
+        int i = ++changeCount / 2 % nodes;
+        balancer.handle(nowNanos, new ListReceived(ListKind.CHANGES,
+                List.of(server(i, changeCount % 2 == 0 ? Readiness.GONE : Readiness.READY))));
     }
 
-    private final class Host implements Actions {
+    private final class BenchmarkActions implements Actions {
         @Override
         public void send(String request, String server, long timeoutNanos) {
-            sent.add(new String[] {request, server});
+            inFlight.add(new String[] {request, server});
         }
 
         @Override
@@ -123,7 +123,7 @@
 
         @Override
         public void setTimer(long delayNanos, long token) {
-            timers.add(new long[] {now + delayNanos, token});
+            timers.add(new long[] {nowNanos + delayNanos, token});
         }
 
         @Override
--- a/src/test/java/cinderhollow/bench/FleetSimulation.java
+++ b/src/test/java/cinderhollow/bench/FleetSimulation.java
@@ -43,75 +43,75 @@
      * Result of a run. A load is the number of requests that a server received, divided by the mean of the servers of its
      * speed.
      */
-    public record Result(ServerSelection way, int gateways, int nodes, double maxGatewaysPerServer, double meanGatewaysPerServer, double inTimeRatio,
-                         double served, double meanMillis, double loadSpread, double mostLoad, double coldLoad,
-                         double maxColdLoad, int mostColdAtOnce) {
+    public record Result(ServerSelection selection, int gatewayCount, int serverCount, double maxGatewaysPerServer, double meanGatewaysPerServer, double inTimeRatio,
+                         double servedRatio, double meanLatencyMillis, double loadDeviation, double maxLoad, double meanColdLoad,
+                         double maxColdLoad, int maxQueuedWhileCold) {
         @Override
         public String toString() {
             return String.format(Locale.ROOT, "%s, %d gateways, %d nodes: gateways a node %.1f, most %.0f (%.2f of the mean); "
                     + "in time %.2f%%, served %.2f%%, mean %.1f ms; a node's load: deviation %.2f, most %.2f of the mean; "
-                    + "cold in the first 2 s: mean %.2f, most %.2f of a warm node's, most at once %d", way, gateways, nodes,
-                    meanGatewaysPerServer, maxGatewaysPerServer, maxGatewaysPerServer / meanGatewaysPerServer, 100 * inTimeRatio, 100 * served, meanMillis,
-                    loadSpread, mostLoad, coldLoad, maxColdLoad, mostColdAtOnce);
+                    + "cold in the first 2 s: mean %.2f, most %.2f of a warm node's, most at once %d", selection, gatewayCount, serverCount,
+                    meanGatewaysPerServer, maxGatewaysPerServer, maxGatewaysPerServer / meanGatewaysPerServer, 100 * inTimeRatio, 100 * servedRatio, meanLatencyMillis,
+                    loadDeviation, maxLoad, meanColdLoad, maxColdLoad, maxQueuedWhileCold);
         }
     }
 
-    private static final long MS = 1_000_000L, SECOND = 1_000 * MS, WIRE_NANOS = MS / 2, WORK_NANOS = 100 * MS;
-    private static final long WARM_UP = 8 * SECOND, COLD_WINDOW = 2 * SECOND;
-    private static final double SLOW = 0.6, COLD = 0.3, RESTARTED = 0.01;
-    private static final int MOST_QUEUED = 20;
+    private static final long MILLISECOND_NANOS = 1_000_000L, SECOND_NANOS = 1_000 * MILLISECOND_NANOS, NETWORK_DELAY_NANOS = MILLISECOND_NANOS / 2, SERVICE_TIME_NANOS = 100 * MILLISECOND_NANOS;
+    private static final long WARM_UP_NANOS = 8 * SECOND_NANOS, COLD_WINDOW_NANOS = 2 * SECOND_NANOS;
+    private static final double SLOW_SPEED_RATIO = 0.6, COLD_SPEED_RATIO = 0.3, RESTARTED_FRACTION = 0.01;
+    private static final int MAX_QUEUED = 20;
     private static final List<String> ZONES = List.of("a", "b", "c");
-    private static final RequestClass READ = new RequestClass("read", Effect.SAFE, DedupGroup.ALL, 0, 500 * MS, 2 * SECOND, 1,
+    private static final RequestClass READ_CLASS = new RequestClass("read", Effect.SAFE, DedupGroup.ALL, 0, 500 * MILLISECOND_NANOS, 2 * SECOND_NANOS, 1,
             0.5, false);
 
-    private final ServerSelection way;
-    private final int size;
+    private final ServerSelection selection;
+    private final int subsetSize;
     private final double ratePerSecond;
-    private final long end;
-    private final long restartAt;
+    private final long endNanos;
+    private final long restartAtNanos;
     private final SplittableRandom random;
-    private final Node[] nodes;
+    private final Server[] servers;
     private final Gateway[] gateways;
-    private final PriorityQueue<Due> due = new PriorityQueue<>();
-    private long now = 1_000 * SECOND;
-    private final long begin = now;
+    private final PriorityQueue<ScheduledTask> scheduledTasks = new PriorityQueue<>();
+    private long nowNanos = 1_000 * SECOND_NANOS;
+    private final long beginNanos = nowNanos;
     private long sequence;
-    private long asked;
-    private long inTime;
-    private long served;
-    private double latencies;
+    private long requestCount;
+    private long inTimeCount;
+    private long servedCount;
+    private double latencySumNanos;
 
-    private record Due(long at, long sequence, Runnable work) implements Comparable<Due> {
+    private record ScheduledTask(long atNanos, long sequence, Runnable task) implements Comparable<ScheduledTask> {
         @Override
-        public int compareTo(Due other) {
-            return at != other.at ? Long.compare(at, other.at) : Long.compare(sequence, other.sequence);
+        public int compareTo(ScheduledTask other) {
+            return atNanos != other.atNanos ? Long.compare(atNanos, other.atNanos) : Long.compare(sequence, other.sequence);
         }
     }
 
-    private static final class Node {
-        private final int number;
+    private static final class Server {
+        private final int index;
         private final double speed;
         private ServerInfo info;
-        private long startedAt;
-        private long freeAt;
-        private int queued;
-        private int requests;
-        private int coldRequests;
-        private int mostQueued;
+        private long startedAtNanos;
+        private long freeAtNanos;
+        private int queuedCount;
+        private int receivedCount;
+        private int receivedWhileCold;
+        private int maxQueuedWhileCold;
 
-        Node(int number, double speed) {
-            this.number = number;
+        Server(int index, double speed) {
+            this.index = index;
             this.speed = speed;
-            info = info(0);
+            info = createServerInfo(0);
         }
 
-        ServerInfo info(long started) {
-            return new ServerInfo("node-" + number, ZONES.get(number % ZONES.size()), speed < 1 ? "slow" : "std", 0,
-                    Readiness.READY, 1, started);
+        ServerInfo createServerInfo(long startedNanos) {
+            return new ServerInfo("node-" + index, ZONES.get(index % ZONES.size()), speed < 1 ? "slow" : "std", 0,
+                    Readiness.READY, 1, startedNanos);
         }
 
         double speedAt(long now) {
-            double warmth = startedAt == 0 ? 1 : Math.min(1, COLD + (1 - COLD) * (now - startedAt) / WARM_UP);
+            double warmth = startedAtNanos == 0 ? 1 : Math.min(1, COLD_SPEED_RATIO + (1 - COLD_SPEED_RATIO) * (now - startedAtNanos) / WARM_UP_NANOS);
             return speed * warmth;
         }
     }
@@ -120,221 +120,221 @@
      * Creates a fleet whose gateways use about {@code subsetSize} servers each, or all servers with {@link ServerSelection#ALL}; clients
      * offer the share {@code loadRatio} of the requests per second that all servers together can serve.
      */
-    public FleetSimulation(ServerSelection way, int gateways, int nodes, int size, double load, int seconds, long seed) {
-        this.way = way;
-        this.size = size;
+    public FleetSimulation(ServerSelection selection, int gatewayCount, int serverCount, int subsetSize, double loadRatio, int seconds, long seed) {
+        this.selection = selection;
+        this.subsetSize = subsetSize;
         random = new SplittableRandom(seed);
-        end = begin + seconds * SECOND;
-        restartAt = begin + seconds * SECOND / 2;
-        this.nodes = new Node[nodes];
-        double capacity = 0;
-        for (int i = 0; i < nodes; i++) {
-            this.nodes[i] = new Node(i, i / ZONES.size() % 3 == 0 ? SLOW : 1);
-            capacity += this.nodes[i].speed * SECOND / WORK_NANOS;
+        endNanos = beginNanos + seconds * SECOND_NANOS;
+        restartAtNanos = beginNanos + seconds * SECOND_NANOS / 2;
+        this.servers = new Server[serverCount];
+        double requestsPerSecond = 0;
+        for (int i = 0; i < serverCount; i++) {
+            this.servers[i] = new Server(i, i / ZONES.size() % 3 == 0 ? SLOW_SPEED_RATIO : 1);
+            requestsPerSecond += this.servers[i].speed * SECOND_NANOS / SERVICE_TIME_NANOS;
         }
-        ratePerSecond = load * capacity / gateways;
-        this.gateways = new Gateway[gateways];
-        for (int g = 0; g < gateways; g++) {
+        ratePerSecond = loadRatio * requestsPerSecond / gatewayCount;
+        this.gateways = new Gateway[gatewayCount];
+        for (int g = 0; g < gatewayCount; g++) {
             this.gateways[g] = new Gateway(g, seed);
         }
     }
 
-    private void later(long at, Runnable work) {
-        due.add(new Due(at, sequence++, work));
+    private void schedule(long atNanos, Runnable task) {
+        scheduledTasks.add(new ScheduledTask(atNanos, sequence++, task));
     }
 
     /** Runs the simulation to its end. */
     public Result run() {
-        later(restartAt, this::restart);
-        for (Due next = due.poll(); next != null && next.at < end + 2 * SECOND; next = due.poll()) {
-            now = next.at;
-            next.work.run();
+        schedule(restartAtNanos, this::restartServers);
+        for (ScheduledTask nextTask = scheduledTasks.poll(); nextTask != null && nextTask.atNanos < endNanos + 2 * SECOND_NANOS; nextTask = scheduledTasks.poll()) {
+            nowNanos = nextTask.atNanos;
+            nextTask.task.run();
         }
         Map<Double, int[]> bySpeed = new HashMap<>();
-        for (Node node : nodes) {
-            int[] sum = bySpeed.computeIfAbsent(node.speed, s -> new int[2]);
-            sum[0] += node.startedAt == 0 ? node.requests : 0;
-            sum[1] += node.startedAt == 0 ? 1 : 0;
+        for (Server server : servers) {
+            int[] sum = bySpeed.computeIfAbsent(server.speed, s -> new int[2]);
+            sum[0] += server.startedAtNanos == 0 ? server.receivedCount : 0;
+            sum[1] += server.startedAtNanos == 0 ? 1 : 0;
         }
-        double squares = 0;
-        double most = 0;
-        double cold = 0;
-        double mostCold = 0;
-        int mostQueued = 0;
-        int warm = 0;
-        int restarted = 0;
-        for (Node node : nodes) {
-            double mean = (double) bySpeed.get(node.speed)[0] / bySpeed.get(node.speed)[1];
-            if (node.startedAt == 0) {
-                double load = node.requests / mean;
-                squares += (load - 1) * (load - 1);
-                most = Math.max(most, load);
-                warm++;
+        double squaredDeviations = 0;
+        double maxLoad = 0;
+        double coldLoadSum = 0;
+        double maxColdLoad = 0;
+        int maxQueued = 0;
+        int warmCount = 0;
+        int restartedCount = 0;
+        for (Server server : servers) {
+            double mean = (double) bySpeed.get(server.speed)[0] / bySpeed.get(server.speed)[1];
+            if (server.startedAtNanos == 0) {
+                double load = server.receivedCount / mean;
+                squaredDeviations += (load - 1) * (load - 1);
+                maxLoad = Math.max(maxLoad, load);
+                warmCount++;
             } else {
-                double load = node.coldRequests / (mean * COLD_WINDOW / (end - begin));
-                cold += load;
-                mostCold = Math.max(mostCold, load);
-                mostQueued = Math.max(mostQueued, node.mostQueued);
-                restarted++;
+                double load = server.receivedWhileCold / (mean * COLD_WINDOW_NANOS / (endNanos - beginNanos));
+                coldLoadSum += load;
+                maxColdLoad = Math.max(maxColdLoad, load);
+                maxQueued = Math.max(maxQueued, server.maxQueuedWhileCold);
+                restartedCount++;
             }
         }
-        int[] counts = new int[nodes.length];
+        int[] gatewaysByServer = new int[servers.length];
         for (Gateway gateway : gateways) {
-            gateway.met.forEach(number -> counts[number]++);
+            gateway.knownServers.forEach(number -> gatewaysByServer[number]++);
         }
-        int mostGateways = 0;
+        int maxGateways = 0;
         double sum = 0;
-        for (int count : counts) {
-            mostGateways = Math.max(mostGateways, count);
+        for (int count : gatewaysByServer) {
+            maxGateways = Math.max(maxGateways, count);
             sum += count;
         }
-        return new Result(way, gateways.length, nodes.length, mostGateways, sum / nodes.length, (double) inTime / asked,
-                (double) served / asked, latencies / Math.max(1, served) / MS, Math.sqrt(squares / warm), most,
-                cold / Math.max(1, restarted), mostCold, mostQueued);
+        return new Result(selection, gateways.length, servers.length, maxGateways, sum / servers.length, (double) inTimeCount / requestCount,
+                (double) servedCount / requestCount, latencySumNanos / Math.max(1, servedCount) / MILLISECOND_NANOS, Math.sqrt(squaredDeviations / warmCount), maxLoad,
+                coldLoadSum / Math.max(1, restartedCount), maxColdLoad, maxQueued);
     }
 
     /** Restarts some servers, which are cold afterwards, and notifies every gateway that uses one of them. */
-    private void restart() {
+    private void restartServers() {
         List<ServerInfo> changes = new ArrayList<>();
-        int every = (int) (1 / RESTARTED);
-        for (int i = 0; i < nodes.length; i += every) {
-            Node node = nodes[i];
-            node.startedAt = now;
-            node.info = node.info(now);
-            changes.add(node.info);
+        int restartStep = (int) (1 / RESTARTED_FRACTION);
+        for (int i = 0; i < servers.length; i += restartStep) {
+            Server server = servers[i];
+            server.startedAtNanos = nowNanos;
+            server.info = server.createServerInfo(nowNanos);
+            changes.add(server.info);
         }
         for (Gateway gateway : gateways) {
-            List<ServerInfo> own = changes.stream().filter(info -> gateway.met.contains(number(info.id()))).toList();
-            gateway.tell(new ListReceived(ListKind.CHANGES, own));
+            List<ServerInfo> ownChanges = changes.stream().filter(info -> gateway.knownServers.contains(serverIndex(info.id()))).toList();
+            gateway.dispatch(new ListReceived(ListKind.CHANGES, ownChanges));
         }
     }
 
-    private static int number(String id) {
+    private static int serverIndex(String id) {
         return Integer.parseInt(id.substring(id.indexOf('-') + 1));
     }
 
     private final class Gateway implements Actions {
-        private final LoadBalancer choice;
-        private final Set<Integer> met = new HashSet<>();
-        private final Map<String, Long> open = new HashMap<>();
-        private final Map<String, Integer> attempts = new HashMap<>();
-        private final String prefix;
-        private int requests;
+        private final LoadBalancer balancer;
+        private final Set<Integer> knownServers = new HashSet<>();
+        private final Map<String, Long> openedAtNanos = new HashMap<>();
+        private final Map<String, Integer> attemptsByRequest = new HashMap<>();
+        private final String idPrefix;
+        private int requestsSent;
 
         Gateway(int number, long seed) {
-            prefix = number + ".";
+            idPrefix = number + ".";
             List<ServerInfo> list = new ArrayList<>();
-            choose(number).forEach(n -> {
-                met.add(n);
-                list.add(nodes[n].info);
+            chooseServers(number).forEach(n -> {
+                knownServers.add(n);
+                list.add(servers[n].info);
             });
             String zone = ZONES.get(number % ZONES.size());
-            choice = new LoadBalancer(new Settings(gateways.length, number, zone, false, 5 * MS, List.of(READ), List.of(), 0.1,
-                    new UpstreamOptions(3, true), new Rules(20 * MS, 250 * MS, 10 * SECOND, COLD, WARM_UP, 2.5, 1_500 * MS)),
+            balancer = new LoadBalancer(new Settings(gateways.length, number, zone, false, 5 * MILLISECOND_NANOS, List.of(READ_CLASS), List.of(), 0.1,
+                    new UpstreamOptions(3, true), new Rules(20 * MILLISECOND_NANOS, 250 * MILLISECOND_NANOS, 10 * SECOND_NANOS, COLD_SPEED_RATIO, WARM_UP_NANOS, 2.5, 1_500 * MILLISECOND_NANOS)),
                     seed * 31 + number, this);
-            tell(new GatewaysPerServerChanged(sharers()));
-            tell(new ListReceived(ListKind.CACHED, list));
-            arriveLater();
+            dispatch(new GatewaysPerServerChanged(gatewaysPerServer()));
+            dispatch(new ListReceived(ListKind.CACHED, list));
+            scheduleArrival();
         }
 
         /** Returns how many gateways share a server, from which the decision module computes its limits. */
-        private int sharers() {
-            return way == ServerSelection.ALL ? gateways.length
-                    : Math.max(1, (int) Math.round((double) gateways.length * size / nodes.length));
+        private int gatewaysPerServer() {
+            return selection == ServerSelection.ALL ? gateways.length
+                    : Math.max(1, (int) Math.round((double) gateways.length * subsetSize / servers.length));
         }
 
-        private List<Integer> choose(int number) {
+        private List<Integer> chooseServers(int number) {
             List<Integer> chosen = new ArrayList<>();
-            if (way == ServerSelection.SUBSETS) {
+            if (selection == ServerSelection.SUBSETS) {
                 Map<String, Integer> byZone = new HashMap<>();
                 for (int g = 0; g < gateways.length; g++) {
                     byZone.merge(ZONES.get(g % ZONES.size()), 1, Integer::sum);
                 }
-                Subset subset = new Subset(new Subset.FleetPosition(size, byZone, ZONES.get(number % ZONES.size()),
+                Subset subset = new Subset(new Subset.FleetPosition(subsetSize, byZone, ZONES.get(number % ZONES.size()),
                         number / ZONES.size()));
                 Map<String, String> usable = new HashMap<>();
-                for (Node node : nodes) {
-                    usable.put(node.info.id(), node.info.zone());
+                for (Server server : servers) {
+                    usable.put(server.info.id(), server.info.zone());
                 }
                 subset.update(usable, List.of());
-                usable.keySet().stream().filter(subset::contains).map(FleetSimulation::number).sorted().forEach(chosen::add);
+                usable.keySet().stream().filter(subset::contains).map(FleetSimulation::serverIndex).sorted().forEach(chosen::add);
                 return chosen;
             }
-            for (int i = 0; i < nodes.length; i++) {
+            for (int i = 0; i < servers.length; i++) {
                 chosen.add(i);
             }
-            for (int i = 0; way == ServerSelection.RANDOM && i < size; i++) {
-                int other = random.nextInt(i, nodes.length);
+            for (int i = 0; selection == ServerSelection.RANDOM && i < subsetSize; i++) {
+                int swapIndex = random.nextInt(i, servers.length);
                 int swapped = chosen.get(i);
-                chosen.set(i, chosen.get(other));
-                chosen.set(other, swapped);
+                chosen.set(i, chosen.get(swapIndex));
+                chosen.set(swapIndex, swapped);
             }
-            return way == ServerSelection.RANDOM ? chosen.subList(0, size) : chosen;
+            return selection == ServerSelection.RANDOM ? chosen.subList(0, subsetSize) : chosen;
         }
 
-        private void tell(Event event) {
-            choice.handle(now, event);
+        private void dispatch(Event event) {
+            balancer.handle(nowNanos, event);
         }
 
-        private void arriveLater() {
-            long at = now + (long) (-Math.log(1 - random.nextDouble()) * SECOND / ratePerSecond);
-            if (at < end) {
-                later(at, () -> {
-                    String id = prefix + requests++;
-                    asked++;
-                    open.put(id, now);
-                    tell(new RequestArrived(id, "read", null, null, 2 * SECOND, 0, false));
-                    arriveLater();
+        private void scheduleArrival() {
+            long arrivalNanos = nowNanos + (long) (-Math.log(1 - random.nextDouble()) * SECOND_NANOS / ratePerSecond);
+            if (arrivalNanos < endNanos) {
+                schedule(arrivalNanos, () -> {
+                    String id = idPrefix + requestsSent++;
+                    requestCount++;
+                    openedAtNanos.put(id, nowNanos);
+                    dispatch(new RequestArrived(id, "read", null, null, 2 * SECOND_NANOS, 0, false));
+                    scheduleArrival();
                 });
             }
         }
 
         @Override
         public void send(String request, String server, long timeoutNanos) {
-            int attempt = attempts.merge(request, 1, Integer::sum) - 1;
-            long sent = now;
-            Node node = nodes[number(server)];
-            later(now + WIRE_NANOS, () -> {
-                if (node.queued >= MOST_QUEUED) {
-                    later(now + WIRE_NANOS, () -> over(request, attempt, server, Outcome.FULL, sent));
+            int attempt = attemptsByRequest.merge(request, 1, Integer::sum) - 1;
+            long sentAtNanos = nowNanos;
+            Server target = servers[serverIndex(server)];
+            schedule(nowNanos + NETWORK_DELAY_NANOS, () -> {
+                if (target.queuedCount >= MAX_QUEUED) {
+                    schedule(nowNanos + NETWORK_DELAY_NANOS, () -> endAttempt(request, attempt, server, Outcome.FULL, sentAtNanos));
                     return;
                 }
-                node.requests++;
-                node.queued++;
-                if (node.startedAt > 0 && now < node.startedAt + COLD_WINDOW) {
-                    node.coldRequests++;
-                    node.mostQueued = Math.max(node.mostQueued, node.queued);
+                target.receivedCount++;
+                target.queuedCount++;
+                if (target.startedAtNanos > 0 && nowNanos < target.startedAtNanos + COLD_WINDOW_NANOS) {
+                    target.receivedWhileCold++;
+                    target.maxQueuedWhileCold = Math.max(target.maxQueuedWhileCold, target.queuedCount);
                 }
-                double work = WORK_NANOS * (0.5 + random.nextDouble());
-                node.freeAt = Math.max(now, node.freeAt) + (long) (work / node.speedAt(now));
-                later(node.freeAt, () -> node.queued--);
-                boolean late = node.freeAt + WIRE_NANOS > sent + timeoutNanos;
-                later(late ? sent + timeoutNanos : node.freeAt + WIRE_NANOS,
-                        () -> over(request, attempt, server, late ? Outcome.TIMED_OUT : Outcome.SERVED, sent));
+                double workNanos = SERVICE_TIME_NANOS * (0.5 + random.nextDouble());
+                target.freeAtNanos = Math.max(nowNanos, target.freeAtNanos) + (long) (workNanos / target.speedAt(nowNanos));
+                schedule(target.freeAtNanos, () -> target.queuedCount--);
+                boolean timedOut = target.freeAtNanos + NETWORK_DELAY_NANOS > sentAtNanos + timeoutNanos;
+                schedule(timedOut ? sentAtNanos + timeoutNanos : target.freeAtNanos + NETWORK_DELAY_NANOS,
+                        () -> endAttempt(request, attempt, server, timedOut ? Outcome.TIMED_OUT : Outcome.SERVED, sentAtNanos));
             });
         }
 
-        private void over(String request, int attempt, String server, Outcome outcome, long sent) {
-            Long since = outcome == Outcome.SERVED ? open.remove(request) : null;
-            if (since != null) {
-                served++;
-                inTime += now - since <= READ.aimNanos() ? 1 : 0;
-                latencies += now - since;
+        private void endAttempt(String request, int attempt, String server, Outcome outcome, long sentAtNanos) {
+            Long arrivedAtNanos = outcome == Outcome.SERVED ? openedAtNanos.remove(request) : null;
+            if (arrivedAtNanos != null) {
+                servedCount++;
+                inTimeCount += nowNanos - arrivedAtNanos <= READ_CLASS.aimNanos() ? 1 : 0;
+                latencySumNanos += nowNanos - arrivedAtNanos;
             }
-            tell(new AttemptEnded(request, attempt, server, outcome, now - sent, !open.containsKey(request), null));
-            if (!open.containsKey(request)) {
-                attempts.remove(request);
+            dispatch(new AttemptEnded(request, attempt, server, outcome, nowNanos - sentAtNanos, !openedAtNanos.containsKey(request), null));
+            if (!openedAtNanos.containsKey(request)) {
+                attemptsByRequest.remove(request);
             }
         }
 
         @Override
         public void refuse(String request, long pauseNanos) {
-            open.remove(request);
+            openedAtNanos.remove(request);
         }
 
         @Override
         public void fail(String request) {
-            open.remove(request);
+            openedAtNanos.remove(request);
         }
 
         /** Does nothing: the server goes on working, and the end of the attempt is reported when the server has finished. */
@@ -343,8 +343,8 @@
 
         @Override
         public void setTimer(long delayNanos, long token) {
-            if (now < end) {
-                later(now + delayNanos, () -> tell(new TimerFired(token)));
+            if (nowNanos < endNanos) {
+                schedule(nowNanos + delayNanos, () -> dispatch(new TimerFired(token)));
             }
         }
 
@@ -354,14 +354,14 @@
 
     /** Runs each way of selection; arguments: gateways, servers, size of a subset, load, seconds, seed, each with a default. */
     public static void main(String[] args) {
-        String[] given = {"500", "10000", "200", "0.6", "20", "1"};
-        System.arraycopy(args, 0, given, 0, args.length);
-        for (ServerSelection way : ServerSelection.values()) {
-            long begin = System.nanoTime();
-            Result result = new FleetSimulation(way, Integer.parseInt(given[0]), Integer.parseInt(given[1]),
-                    Integer.parseInt(given[2]), Double.parseDouble(given[3]), Integer.parseInt(given[4]),
-                    Long.parseLong(given[5])).run();
-            System.out.printf(Locale.ROOT, "%s (%d s)%n", result, (System.nanoTime() - begin) / SECOND);
+        String[] parameters = {"500", "10000", "200", "0.6", "20", "1"};
+        System.arraycopy(args, 0, parameters, 0, args.length);
+        for (ServerSelection selection : ServerSelection.values()) {
+            long startNanos = System.nanoTime();
+            Result result = new FleetSimulation(selection, Integer.parseInt(parameters[0]), Integer.parseInt(parameters[1]),
+                    Integer.parseInt(parameters[2]), Double.parseDouble(parameters[3]), Integer.parseInt(parameters[4]),
+                    Long.parseLong(parameters[5])).run();
+            System.out.printf(Locale.ROOT, "%s (%d s)%n", result, (System.nanoTime() - startNanos) / SECOND_NANOS);
         }
     }
 }
--- a/src/test/java/cinderhollow/bench/LedgerBenchmark.java
+++ b/src/test/java/cinderhollow/bench/LedgerBenchmark.java
@@ -25,36 +25,36 @@
 @Measurement(iterations = 5, time = 1)
 @Fork(1)
 public class LedgerBenchmark {
-    private static final String ID = "0f8fad5b-d9cb-469f-a165-70867728950e";
-    private static final int ROOM = 1 << 15;
+    private static final String REQUEST_ID = "0f8fad5b-d9cb-469f-a165-70867728950e";
+    private static final int FRAME_CAPACITY_BYTES = 1 << 15;
 
     private final Ledger ledger = new Ledger(List.of("class status", "class submit"));
-    private final JournalFrame frame = new JournalFrame(2 * ROOM);
-    private long request;
+    private final JournalFrame frame = new JournalFrame(2 * FRAME_CAPACITY_BYTES);
+    private long requestNumber;
 
     /** Updates the counters, the ring and the histogram for one request. */
     @Benchmark
-    public long counted() {
-        int account = (int) (++request % 2);
-        ledger.counters(LedgerPlace.CORE).recordOpened(account, ID);
-        ledger.counters(LedgerPlace.ATTEMPTS).recordOpened(account, ID);
-        ledger.counters(LedgerPlace.NODES).recordOpened(account, ID);
-        ledger.counters(LedgerPlace.CLIENTS).recordOpened(account, ID);
-        ledger.counters(LedgerPlace.NODES).recordEnded(account, Outcome.SERVED, ID);
-        ledger.counters(LedgerPlace.ATTEMPTS).recordEnded(account, Outcome.SERVED, ID);
-        ledger.counters(LedgerPlace.CORE).recordEnded(account, RequestEnd.SERVED, ID);
-        ledger.counters(LedgerPlace.CLIENTS).recordEnded(account, RequestEnd.SERVED, ID);
-        ledger.recordLatency(account, 1_000_000 + request % 1_000 * 1_000);
+    public long countRequest() {
+        int account = (int) (++requestNumber % 2);
+        ledger.counters(LedgerPlace.CORE).recordOpened(account, REQUEST_ID);
+        ledger.counters(LedgerPlace.ATTEMPTS).recordOpened(account, REQUEST_ID);
+        ledger.counters(LedgerPlace.NODES).recordOpened(account, REQUEST_ID);
+        ledger.counters(LedgerPlace.CLIENTS).recordOpened(account, REQUEST_ID);
+        ledger.counters(LedgerPlace.NODES).recordEnded(account, Outcome.SERVED, REQUEST_ID);
+        ledger.counters(LedgerPlace.ATTEMPTS).recordEnded(account, Outcome.SERVED, REQUEST_ID);
+        ledger.counters(LedgerPlace.CORE).recordEnded(account, RequestEnd.SERVED, REQUEST_ID);
+        ledger.counters(LedgerPlace.CLIENTS).recordEnded(account, RequestEnd.SERVED, REQUEST_ID);
+        ledger.recordLatency(account, 1_000_000 + requestNumber % 1_000 * 1_000);
         return ledger.counters(LedgerPlace.CORE).openedCount(account);
     }
 
     /** Writes the two journal entries of one request. */
     @Benchmark
-    public int journalled() {
-        request++;
-        frame.writeOpened(request, 1, ID);
-        frame.writeEnded(request, RequestEnd.SERVED);
-        if (frame.length() >= ROOM) {
+    public int journalRequest() {
+        requestNumber++;
+        frame.writeOpened(requestNumber, 1, REQUEST_ID);
+        frame.writeEnded(requestNumber, RequestEnd.SERVED);
+        if (frame.length() >= FRAME_CAPACITY_BYTES) {
             frame.clear();
         }
         return frame.length();
--- a/src/test/java/cinderhollow/bench/ListBenchmark.java
+++ b/src/test/java/cinderhollow/bench/ListBenchmark.java
@@ -34,62 +34,62 @@
 @Measurement(iterations = 5, time = 1)
 @Fork(1)
 public class ListBenchmark {
-    private static final int NODES = 10_000, GATEWAYS = 500;
+    private static final int SERVER_COUNT = 10_000, GATEWAY_COUNT = 500;
 
     /** Whether the gateway uses only a subset of 200 servers. */
     @Param({"false", "true"})
     public boolean subset;
 
-    private EndpointList whole;
-    private EndpointList other;
-    private EndpointListDiffer changes;
-    private EndpointListDiffer stepping = changes();
-    private int turns;
+    private EndpointList firstList;
+    private EndpointList secondList;
+    private EndpointListDiffer differ;
+    private EndpointListDiffer steppingDiffer = createDiffer();
+    private int updateCount;
 
     /** Creates two lists that differ in one server of every hundred. */
     @Setup
     public void start() {
-        whole = list(0);
-        other = list(1);
-        changes = changes();
-        again();
+        firstList = createList(0);
+        secondList = createList(1);
+        differ = createDiffer();
+        applyChangedList();
     }
 
-    private EndpointListDiffer changes() {
-        return new EndpointListDiffer(subset ? new Subset(new Subset.FleetPosition(200, Map.of("a", GATEWAYS), "a", 7)) : null);
+    private EndpointListDiffer createDiffer() {
+        return new EndpointListDiffer(subset ? new Subset(new Subset.FleetPosition(200, Map.of("a", GATEWAY_COUNT), "a", 7)) : null);
     }
 
-    private static EndpointList list(long startOfSome) {
+    private static EndpointList createList(long startedAtOfSome) {
         List<Endpoint> endpoints = new ArrayList<>();
-        for (int i = 0; i < NODES; i++) {
+        for (int i = 0; i < SERVER_COUNT; i++) {
             endpoints.add(new Endpoint(new ServerInfo("node-" + i, "a", "std", 0, Readiness.READY, 1,
-                    i % 100 == 0 ? startOfSome : 0), new InetSocketAddress("127.0.0.1", 1 + i)));
+                    i % 100 == 0 ? startedAtOfSome : 0), new InetSocketAddress("127.0.0.1", 1 + i)));
         }
         return new EndpointList(1, true, endpoints);
     }
 
     /** Applies a full list in which a hundred servers differ from the list before it. */
     @Benchmark
-    public Object again() {
-        changes.add(++turns % 2 == 0 ? whole : other);
-        return changes.takeAll();
+    public Object applyChangedList() {
+        differ.add(++updateCount % 2 == 0 ? firstList : secondList);
+        return differ.takeAll();
     }
 
     /** Applies the first list of a gateway. */
     @Benchmark
-    public Object first() {
-        EndpointListDiffer anew = changes();
-        anew.add(whole);
-        return anew.takeAll();
+    public Object applyFirstList() {
+        EndpointListDiffer newDiffer = createDiffer();
+        newDiffer.add(firstList);
+        return newDiffer.takeAll();
     }
 
     /** Applies one step of the first list: the time for which the event loop is blocked without a break. */
     @Benchmark
-    public Object step() {
-        if (!stepping.hasPending()) {
-            stepping = changes();
-            stepping.add(whole);
+    public Object applyStep() {
+        if (!steppingDiffer.hasPending()) {
+            steppingDiffer = createDiffer();
+            steppingDiffer.add(firstList);
         }
-        return stepping.next();
+        return steppingDiffer.next();
     }
 }
--- a/src/test/java/cinderhollow/daemon/AdminTest.java
+++ b/src/test/java/cinderhollow/daemon/AdminTest.java
@@ -1,8 +1,8 @@
 package cinderhollow.daemon;
 
-import static cinderhollow.daemon.GatewayFixture.LONG_MILLIS;
+import static cinderhollow.daemon.GatewayFixture.LONG_TIMEOUT_MILLIS;
 import static cinderhollow.daemon.GatewayFixture.await;
-import static cinderhollow.daemon.GatewayFixture.status;
+import static cinderhollow.daemon.GatewayFixture.statusRequest;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -23,69 +23,69 @@
 
 /** The admin listener serves metrics to permitted callers, and no caller can harm the gateway. */
 class AdminTest {
-    private static final int MOST_CONNECTIONS = 16;
+    private static final int MAX_CONNECTIONS = 16;
 
     @TempDir
     private Path folder;
 
-    private GatewayFixture gateway(String more, ScriptedHost host) throws Exception {
-        Path file = Files.writeString(folder.resolve("operator.toml"), "[ledger]\n" + more);
-        return GatewayFixture.governed(file.toString(), host);
+    private GatewayFixture startGateway(String furtherToml, ScriptedServer server) throws Exception {
+        Path file = Files.writeString(folder.resolve("operator.toml"), "[ledger]\n" + furtherToml);
+        return GatewayFixture.withOperatorFile(file.toString(), server);
     }
 
-    private static ScriptedHost host() throws IOException {
-        return new ScriptedHost(ScriptedHost.reply("200 OK", "fine"));
+    private static ScriptedServer startServer() throws IOException {
+        return new ScriptedServer(ScriptedServer.reply("200 OK", "fine"));
     }
 
-    private static Admin onAnyPort(GatewayFixture f) {
+    private static Admin listenOnAnyPort(GatewayFixture f) {
         return Admin.listen(new InetSocketAddress("127.0.0.1", 0), f.gateway);
     }
 
-    private static String text(Admin admin) {
+    private static String addressText(Admin admin) {
         return "127.0.0.1:" + ((InetSocketAddress) admin.address()).getPort();
     }
 
     @Test
-    void tellsTheSumsOfAllLoopsAndForgetsBreachesThatWereSeen() throws Exception {
-        try (ScriptedHost a = host(); GatewayFixture f = gateway("[gateway]\nloops = 2\n", a); Admin admin = onAnyPort(f)) {
+    void reportsTheSumsOfAllLoops() throws Exception {
+        try (ScriptedServer a = startServer(); GatewayFixture f = startGateway("[gateway]\nloops = 2\n", a); Admin admin = listenOnAnyPort(f)) {
             for (int i = 0; i < 10; i++) {
-                f.client().ask(status("r" + i, LONG_MILLIS));
+                f.connectClient().exchange(statusRequest("r" + i, LONG_TIMEOUT_MILLIS));
             }
-            String shown = AdminClient.ledgerTotals(List.of(text(admin))).formatTable();
-            assertTrue(shown.contains(" 10 "), shown);
-            assertTrue(shown.endsWith("all adds up"), shown);
+            String table = AdminClient.ledgerTotals(List.of(addressText(admin))).formatTable();
+            assertTrue(table.contains(" 10 "), table);
+            assertTrue(table.endsWith("all adds up"), table);
             assertEquals(2, f.gateway.ledgerMetrics().join().size());
         }
     }
 
     @Test
     void aBreachStaysUntilItIsAcknowledged() throws Exception {
-        try (ScriptedHost a = host(); GatewayFixture f = gateway("", a); Admin admin = onAnyPort(f)) {
-            f.client().ask(status("r", LONG_MILLIS));
+        try (ScriptedServer a = startServer(); GatewayFixture f = startGateway("", a); Admin admin = listenOnAnyPort(f)) {
+            f.connectClient().exchange(statusRequest("r", LONG_TIMEOUT_MILLIS));
             Gateway gateway = (Gateway) f.gateway;
-            f.loops().get(0).submit(() -> {
+            f.eventLoops().get(0).submit(() -> {
                 gateway.ledger().counters(LedgerPlace.CORE).recordEnded(0, RequestEnd.SERVED, "twice");
                 gateway.findNewBreaches();
             }).sync();
-            List<String> address = List.of(text(admin));
+            List<String> address = List.of(addressText(admin));
             assertTrue(AdminClient.ledgerTotals(address).formatTable().contains(" 2 breaches"));
             AdminClient.acknowledgeBreaches(address);
-            String shown = AdminClient.ledgerTotals(address).formatTable();
-            assertTrue(shown.contains(" 0 breaches"), shown);
-            assertTrue(shown.endsWith("IT DOES NOT ADD UP"), shown);
+            String table = AdminClient.ledgerTotals(address).formatTable();
+            assertTrue(table.contains(" 0 breaches"), table);
+            assertTrue(table.endsWith("IT DOES NOT ADD UP"), table);
         }
     }
 
     @Test
-    void aFileSocketIsItsOwnersAloneAndOneLeftBehindIsTakenOver() throws Exception {
+    void aUnixSocketIsPrivateToItsOwnerAndAStaleOneIsReplaced() throws Exception {
         Path file = folder.resolve("admin.sock");
         UnixDomainSocketAddress address = UnixDomainSocketAddress.of(file);
-        try (java.nio.channels.ServerSocketChannel left = java.nio.channels.ServerSocketChannel.open(
+        try (java.nio.channels.ServerSocketChannel staleListener = java.nio.channels.ServerSocketChannel.open(
                 java.net.StandardProtocolFamily.UNIX)) {
-            left.bind(address);
+            staleListener.bind(address);
         }
         assertTrue(Files.exists(file), "left behind");
-        try (ScriptedHost a = host(); GatewayFixture f = gateway("", a)) {
+        try (ScriptedServer a = startServer(); GatewayFixture f = startGateway("", a)) {
             try (Admin admin = Admin.listen(address, f.gateway)) {
                 assertEquals("rw-------", java.nio.file.attribute.PosixFilePermissions.toString(
                         Files.getPosixFilePermissions(file)));
@@ -100,8 +100,8 @@
 
     @Test
     void otherPathsAndMethodsAndNoiseAreTurnedAway() throws Exception {
-        try (ScriptedHost a = host(); GatewayFixture f = gateway("", a); Admin admin = onAnyPort(f)) {
-            String address = text(admin);
+        try (ScriptedServer a = startServer(); GatewayFixture f = startGateway("", a); Admin admin = listenOnAnyPort(f)) {
+            String address = addressText(admin);
             assertTrue(assertThrows(IOException.class, () -> AdminClient.sendRequest(address, "GET", "/")).getMessage().contains(" 404 "));
             assertTrue(assertThrows(IOException.class, () -> AdminClient.sendRequest(address, "GET", "/ledger/acknowledge"))
                     .getMessage().contains(" 405 "));
@@ -116,18 +116,18 @@
      * have.
      */
     @Test
-    void silentScrapersTakeNoPlaceOfClients() throws Exception {
-        List<Socket> silent = new ArrayList<>();
-        try (ScriptedHost a = host(); GatewayFixture f = gateway("", a); Admin admin = onAnyPort(f)) {
+    void silentScrapersTakeNoConnectionOfClients() throws Exception {
+        List<Socket> silentScrapers = new ArrayList<>();
+        try (ScriptedServer a = startServer(); GatewayFixture f = startGateway("", a); Admin admin = listenOnAnyPort(f)) {
             int port = ((InetSocketAddress) admin.address()).getPort();
-            for (int i = 0; i < 3 * MOST_CONNECTIONS; i++) {
-                silent.add(new Socket("127.0.0.1", port));
+            for (int i = 0; i < 3 * MAX_CONNECTIONS; i++) {
+                silentScrapers.add(new Socket("127.0.0.1", port));
             }
             // Connections beyond the limit are closed at once, so a read on them returns the end of the stream.
-            await("the bound", () -> silent.stream().filter(AdminTest::isClosed).count() == 2 * MOST_CONNECTIONS);
-            assertEquals("fine", f.client().ask(status("r", LONG_MILLIS)).body());
+            await("the bound", () -> silentScrapers.stream().filter(AdminTest::isClosed).count() == 2 * MAX_CONNECTIONS);
+            assertEquals("fine", f.connectClient().exchange(statusRequest("r", LONG_TIMEOUT_MILLIS)).body());
         } finally {
-            for (Socket socket : silent) {
+            for (Socket socket : silentScrapers) {
                 socket.close();
             }
         }
@@ -146,35 +146,35 @@
 
     /** While a latch blocks the event loop, the scraper gets an error that says so, and the admin listener goes on working. */
     @Test
-    void aLoopThatStandsStillIsToldOf() throws Exception {
-        CountDownLatch goOn = new CountDownLatch(1);
-        try (ScriptedHost a = host(); GatewayFixture f = gateway("", a); Admin admin = onAnyPort(f)) {
-            f.loops().get(0).execute(() -> {
+    void aStalledLoopIsReportedAs503() throws Exception {
+        CountDownLatch resumeLoop = new CountDownLatch(1);
+        try (ScriptedServer a = startServer(); GatewayFixture f = startGateway("", a); Admin admin = listenOnAnyPort(f)) {
+            f.eventLoops().get(0).execute(() -> {
                 try {
-                    goOn.await();
+                    resumeLoop.await();
                 } catch (InterruptedException e) {
                     Thread.currentThread().interrupt();
                 }
             });
-            String address = text(admin);
+            String address = addressText(admin);
             assertTrue(assertThrows(IOException.class, () -> AdminClient.sendRequest(address, "GET", "/metrics")).getMessage()
                     .contains(" 503 "));
-            goOn.countDown();
+            resumeLoop.countDown();
             assertTrue(AdminClient.sendRequest(address, "GET", "/metrics").endsWith("# EOF\n"));
         } finally {
-            goOn.countDown();
+            resumeLoop.countDown();
         }
     }
 
     /** A scrape during shutdown is answered or refused, and does not delay the shutdown. */
     @Test
-    void aScrapeDuringTheEndIsAnswered() throws Exception {
-        try (ScriptedHost a = host(); GatewayFixture f = gateway("", a); Admin admin = onAnyPort(f)) {
-            f.client().ask(status("r", LONG_MILLIS));
-            var ended = f.gateway.shutDown();
-            assertTrue(AdminClient.ledgerTotals(List.of(text(admin))).formatTable().endsWith("all adds up"));
-            await("the end", ended::isDone);
-            assertTrue(AdminClient.ledgerTotals(List.of(text(admin))).formatTable().endsWith("all adds up"));
+    void aScrapeDuringShutdownIsAnswered() throws Exception {
+        try (ScriptedServer a = startServer(); GatewayFixture f = startGateway("", a); Admin admin = listenOnAnyPort(f)) {
+            f.connectClient().exchange(statusRequest("r", LONG_TIMEOUT_MILLIS));
+            var shutdownDone = f.gateway.shutDown();
+            assertTrue(AdminClient.ledgerTotals(List.of(addressText(admin))).formatTable().endsWith("all adds up"));
+            await("the end", shutdownDone::isDone);
+            assertTrue(AdminClient.ledgerTotals(List.of(addressText(admin))).formatTable().endsWith("all adds up"));
         }
     }
 }
--- a/src/test/java/cinderhollow/daemon/DiscoveryFaultsTest.java
+++ b/src/test/java/cinderhollow/daemon/DiscoveryFaultsTest.java
@@ -14,8 +14,8 @@
 /** Runs a real process in which one in five system calls fails; the watch of discovery is established again each time. */
 class DiscoveryFaultsTest {
     /** At this rate about one in three connection attempts fails, because socket or connect fails. */
-    private static final int PERCENT = 20;
-    private static final int WATCHES = 20;
+    private static final int FAULT_PERCENT = 20;
+    private static final int WATCH_COUNT = 20;
     private static final int FIRST_VERSION = 2;
 
     @TempDir
@@ -24,18 +24,18 @@
     @Test
     void theWatchComesBackWhereTheSystemHasNoSocketForIt() throws Exception {
         AtomicInteger version = new AtomicInteger(FIRST_VERSION);
-        ScriptedHost.Script endsEachWatch = (socket, request) -> {
-            GatewayFixture.startWatch(socket);
-            GatewayFixture.line(socket, GatewayFixture.list(version.getAndIncrement(), false, List.of()));
+        ScriptedServer.Script endsEachWatch = (socket, request) -> {
+            GatewayFixture.startWatchResponse(socket);
+            GatewayFixture.sendWatchLine(socket, GatewayFixture.endpointListJson(version.getAndIncrement(), false, List.of()));
             socket.close();
         };
-        try (ScriptedHost server = new ScriptedHost(ScriptedHost.reply("200 OK", "served"));
-                ScriptedHost discovery = new ScriptedHost(endsEachWatch)) {
-            Map<String, String> environment = new HashMap<>(SystemCallFaults.environment(folder, PERCENT, 1, 0));
+        try (ScriptedServer server = new ScriptedServer(ScriptedServer.reply("200 OK", "served"));
+                ScriptedServer discovery = new ScriptedServer(endsEachWatch)) {
+            Map<String, String> environment = new HashMap<>(SystemCallFaults.faultEnvironment(folder, FAULT_PERCENT, 1, 0));
             environment.put("LB_DISCOVERY", discovery.addressText());
             try (GatewayProcess gateway = GatewayProcess.start(folder, environment, server)) {
-                String last = "discovery: version " + (FIRST_VERSION + WATCHES);
-                Await.until("the list of watch " + WATCHES, () -> gateway.log().contains(last));
+                String lastLogLine = "discovery: version " + (FIRST_VERSION + WATCH_COUNT);
+                Await.until("the list of watch " + WATCH_COUNT, () -> gateway.log().contains(lastLogLine));
                 assertTrue(gateway.log().contains("has ended: can't connect: "), "no dial failed: " + gateway.log());
             }
         }
--- a/src/test/java/cinderhollow/daemon/GatewayConfigTest.java
+++ b/src/test/java/cinderhollow/daemon/GatewayConfigTest.java
@@ -23,20 +23,20 @@
                 "LB_CONFIG", file.toString()));
     }
 
-    private static String good() {
+    private static String validConfig() {
         return "{\"seed\":\"f00000000000002a\",\"limits\":{\"sockets\":256},\"settings\":"
                 + GatewayFixture.SETTINGS.replace("IDLE", "15000000000") + "}";
     }
 
-    private static void refuses(Map<String, String> environment, String part) {
-        String line = assertThrows(IllegalArgumentException.class, () -> GatewayConfig.read(environment, GatewayConfig.readFile(environment))).getMessage();
-        assertTrue(line.contains(part), line);
-        assertEquals(1, line.lines().count(), line);
+    private static void assertRejected(Map<String, String> environment, String expectedText) {
+        String message = assertThrows(IllegalArgumentException.class, () -> GatewayConfig.read(environment, GatewayConfig.readFile(environment))).getMessage();
+        assertTrue(message.contains(expectedText), message);
+        assertEquals(1, message.lines().count(), message);
     }
 
     @Test
     void readsSettingsUnderTheSimulatorsNames() throws IOException {
-        GatewayConfig config = GatewayConfig.read(environment(good()), GatewayConfig.readFile(environment(good())));
+        GatewayConfig config = GatewayConfig.read(environment(validConfig()), GatewayConfig.readFile(environment(validConfig())));
         assertEquals(256, config.maxDescriptors());
         assertEquals(15_000_000_000L, config.idleTimeoutNanos());
         assertEquals("submit", config.settings().classes().get(1).name());
@@ -47,18 +47,18 @@
 
     @Test
     void saysInOneLineWhatIsWrong() throws IOException {
-        Map<String, String> incomplete = environment(good());
+        Map<String, String> incomplete = environment(validConfig());
         incomplete.remove("LB_DISCOVERY");
-        refuses(incomplete, "LB_DISCOVERY");
-        Map<String, String> noPort = environment(good());
+        assertRejected(incomplete, "LB_DISCOVERY");
+        Map<String, String> noPort = environment(validConfig());
         noPort.put("LB_LISTEN", "127.0.0.1");
-        refuses(noPort, "127.0.0.1");
-        Map<String, String> noFile = environment(good());
+        assertRejected(noPort, "127.0.0.1");
+        Map<String, String> noFile = environment(validConfig());
         noFile.put("LB_CONFIG", folder.resolve("none").toString());
-        refuses(noFile, "none");
-        refuses(environment("{"), "can't read");
-        refuses(environment(good().replace("f00000000000002a", "xyz")), "seed");
-        refuses(environment(good().replace("\"dial_timeout_ns\":2000000000,", "")), "dial_timeout_ns");
-        refuses(environment(good().replace("unsafe", "odd")), "odd");
+        assertRejected(noFile, "none");
+        assertRejected(environment("{"), "can't read");
+        assertRejected(environment(validConfig().replace("f00000000000002a", "xyz")), "seed");
+        assertRejected(environment(validConfig().replace("\"dial_timeout_ns\":2000000000,", "")), "dial_timeout_ns");
+        assertRejected(environment(validConfig().replace("unsafe", "odd")), "odd");
     }
 }
--- a/src/test/java/cinderhollow/daemon/GatewayProcess.java
+++ b/src/test/java/cinderhollow/daemon/GatewayProcess.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import cinderhollow.daemon.GatewayFixture.Client;
-import cinderhollow.daemon.ScriptedHost.Message;
+import cinderhollow.daemon.ScriptedServer.Message;
 import cinderhollow.testing.Await;
 import cinderhollow.testing.Loopback;
 import java.io.IOException;
@@ -20,7 +20,7 @@
 /** A gateway in its own process, started as by {@code serve}, which a test can pause and resume with signals. */
 final class GatewayProcess implements AutoCloseable {
     /** The state of a stopped thread in /proc/PID/task/TID/stat. */
-    private static final char STOPPED = 'T';
+    private static final char STOPPED_STATE = 'T';
 
     private final Process process;
     private final int port;
@@ -34,20 +34,20 @@
     }
 
     /** Starts a gateway whose list has these servers, and waits until it is ready. */
-    static GatewayProcess start(Path folder, ScriptedHost... servers) throws Exception {
+    static GatewayProcess start(Path folder, ScriptedServer... servers) throws Exception {
         return start(folder, Map.of(), servers);
     }
 
     /** Starts the same gateway with additional environment variables. */
-    static GatewayProcess start(Path folder, Map<String, String> environment, ScriptedHost... servers) throws Exception {
+    static GatewayProcess start(Path folder, Map<String, String> environment, ScriptedServer... servers) throws Exception {
         List<String> entries = new ArrayList<>();
         for (int i = 0; i < servers.length; i++) {
-            entries.add(GatewayFixture.entry("s-" + i, servers[i], "up", 0));
+            entries.add(GatewayFixture.endpointJson("s-" + i, servers[i], "up", 0));
         }
         String settings = GatewayFixture.SETTINGS.replace("IDLE", "60000000000")
                 .replace("\"dial_timeout_ns\":2000000000", "\"dial_timeout_ns\":20000000000");
         Path config = Files.writeString(folder.resolve("config.json"), "{\"seed\":\"2a\",\"limits\":{\"sockets\":1024},\"known\":"
-                + GatewayFixture.list(1, true, entries) + ",\"settings\":" + settings + "}");
+                + GatewayFixture.endpointListJson(1, true, entries) + ",\"settings\":" + settings + "}");
         int port = Loopback.freePort();
         Path log = folder.resolve("gateway.log");
         ProcessBuilder builder = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-cp",
@@ -77,7 +77,7 @@
 
     private boolean isReady() {
         try {
-            Message answer = client().ask("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n");
+            Message answer = connectClient().exchange("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n");
             return answer != null && answer.firstLine().contains(" 200 ");
         } catch (IOException e) {
             return false;
@@ -90,9 +90,9 @@
     }
 
     /** Opens a new connection to the gateway. */
-    Client client() throws IOException {
+    Client connectClient() throws IOException {
         Socket socket = new Socket(Loopback.processAddress(), port);
-        socket.setSoTimeout(GatewayFixture.LONG_MILLIS);
+        socket.setSoTimeout(GatewayFixture.LONG_TIMEOUT_MILLIS);
         clients.add(socket);
         return new Client(socket);
     }
@@ -108,7 +108,7 @@
         try (Stream<Path> threads = Files.list(Path.of("/proc", String.valueOf(process.pid()), "task"))) {
             for (Path thread : threads.toList()) {
                 String stat = Files.readString(thread.resolve("stat"));
-                if (stat.charAt(stat.lastIndexOf(')') + 2) != STOPPED) {
+                if (stat.charAt(stat.lastIndexOf(')') + 2) != STOPPED_STATE) {
                     return false;
                 }
             }
@@ -125,7 +125,7 @@
     }
 
     /** Returns whether the process ends within this time. */
-    boolean endsWithin(long millis) throws InterruptedException {
+    boolean waitForExit(long millis) throws InterruptedException {
         return process.waitFor(millis, TimeUnit.MILLISECONDS);
     }
 
--- a/src/test/java/cinderhollow/daemon/HandoverTest.java
+++ b/src/test/java/cinderhollow/daemon/HandoverTest.java
@@ -1,9 +1,9 @@
 package cinderhollow.daemon;
 
-import static cinderhollow.daemon.GatewayFixture.LONG_MILLIS;
-import static cinderhollow.daemon.GatewayFixture.PATIENCE_MILLIS;
+import static cinderhollow.daemon.GatewayFixture.LONG_TIMEOUT_MILLIS;
+import static cinderhollow.daemon.GatewayFixture.TIMEOUT_MILLIS;
 import static cinderhollow.daemon.GatewayFixture.await;
-import static cinderhollow.daemon.GatewayFixture.status;
+import static cinderhollow.daemon.GatewayFixture.statusRequest;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -35,14 +35,14 @@
     private Path folder;
 
     @BeforeEach
-    void folder() throws IOException {
+    void createFolder() throws IOException {
         // Not the temporary folder of the test runner: the path of a Unix socket may have at most about a hundred characters.
         folder = Files.createTempDirectory("ho");
     }
 
     @AfterEach
-    void end() throws IOException {
-        group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS).awaitUninterruptibly(PATIENCE_MILLIS);
+    void cleanUp() throws IOException {
+        group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS).awaitUninterruptibly(TIMEOUT_MILLIS);
         try (var files = Files.list(folder)) {
             for (Path file : files.toList()) {
                 Files.delete(file);
@@ -51,7 +51,7 @@
         Files.delete(folder);
     }
 
-    private void offer(GatewayFixture f) throws Exception {
+    private void offerHandover(GatewayFixture f) throws Exception {
         Handover.offer(group.next(), folder, f.gateway, log::add).sync();
         await("the offer", () -> Files.exists(folder.resolve("handover")));
     }
@@ -61,44 +61,44 @@
     }
 
     private static Snapshot snapshot(GatewayFixture f) throws Exception {
-        return f.gateway.snapshot().get(PATIENCE_MILLIS, TimeUnit.MILLISECONDS);
+        return f.gateway.snapshot().get(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    private boolean logged(String words) {
+    private boolean hasLogged(String words) {
         return log.stream().anyMatch(line -> line.contains(words));
     }
 
     @Test
     void aSuccessorKnowsWhatItsPredecessorLearnt() throws Exception {
-        try (ScriptedHost host = new ScriptedHost(ScriptedHost.reply("200 OK", "fine"));
-                GatewayFixture old = GatewayFixture.knowing(host); GatewayFixture next = GatewayFixture.knowing(host)) {
+        try (ScriptedServer server = new ScriptedServer(ScriptedServer.reply("200 OK", "fine"));
+                GatewayFixture predecessor = GatewayFixture.withServers(server); GatewayFixture successor = GatewayFixture.withServers(server)) {
             for (int i = 0; i < 20; i++) {
-                old.client().ask(status("r" + i, LONG_MILLIS));
+                predecessor.connectClient().exchange(statusRequest("r" + i, LONG_TIMEOUT_MILLIS));
             }
-            old.gateway.setStandby(true).get(PATIENCE_MILLIS, TimeUnit.MILLISECONDS);
-            offer(old);
-            Runnable serves = takeOver(next);
-            assertTrue(logged("took over"), log.toString());
-            assertEquals(20, snapshot(next).learnedState().classes().get(0).servedCount());
-            assertEquals(snapshot(old).endpoints(), snapshot(next).endpoints());
-            assertTrue(next.get("/ready").firstLine().contains(" 503 "), "a gateway in standby stays in standby");
-            assertTrue(!logged("a successor process serves"));
-            serves.run();
-            await("the word that it serves", () -> logged("a successor process serves"));
+            predecessor.gateway.setStandby(true).get(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
+            offerHandover(predecessor);
+            Runnable notifyServing = takeOver(successor);
+            assertTrue(hasLogged("took over"), log.toString());
+            assertEquals(20, snapshot(successor).learnedState().classes().get(0).servedCount());
+            assertEquals(snapshot(predecessor).endpoints(), snapshot(successor).endpoints());
+            assertTrue(successor.get("/ready").firstLine().contains(" 503 "), "a gateway in standby stays in standby");
+            assertTrue(!hasLogged("a successor process serves"));
+            notifyServing.run();
+            await("the word that it serves", () -> hasLogged("a successor process serves"));
         }
     }
 
     /** The second successor takes over from the first one: the newest offer is found, and there is an offer at any time. */
     @Test
     void aThirdProcessTakesOverFromTheSecond() throws Exception {
-        try (ScriptedHost host = new ScriptedHost(ScriptedHost.reply("200 OK", "fine"));
-                GatewayFixture first = GatewayFixture.knowing(host); GatewayFixture second = GatewayFixture.knowing(host);
-                GatewayFixture third = GatewayFixture.knowing(host)) {
-            first.client().ask(status("a", LONG_MILLIS));
-            offer(first);
+        try (ScriptedServer server = new ScriptedServer(ScriptedServer.reply("200 OK", "fine"));
+                GatewayFixture first = GatewayFixture.withServers(server); GatewayFixture second = GatewayFixture.withServers(server);
+                GatewayFixture third = GatewayFixture.withServers(server)) {
+            first.connectClient().exchange(statusRequest("a", LONG_TIMEOUT_MILLIS));
+            offerHandover(first);
             takeOver(second).run();
-            second.client().ask(status("b", LONG_MILLIS));
-            offer(second);
+            second.connectClient().exchange(statusRequest("b", LONG_TIMEOUT_MILLIS));
+            offerHandover(second);
             await("the second's offer", () -> folder.toFile().list().length == 1);
             takeOver(third);
             assertEquals(2, snapshot(third).learnedState().classes().get(0).servedCount());
@@ -107,16 +107,16 @@
 
     @Test
     void aSuccessorThatGoesBeforeItServesChangesNothing() throws Exception {
-        try (ScriptedHost host = new ScriptedHost(ScriptedHost.reply("200 OK", "fine"));
-                GatewayFixture old = GatewayFixture.knowing(host)) {
-            offer(old);
+        try (ScriptedServer server = new ScriptedServer(ScriptedServer.reply("200 OK", "fine"));
+                GatewayFixture predecessor = GatewayFixture.withServers(server)) {
+            offerHandover(predecessor);
             for (int i = 0; i < 3; i++) {
-                try (SocketChannel died = SocketChannel.open(UnixDomainSocketAddress.of(folder.resolve("handover")))) {
-                    assertTrue(died.read(ByteBuffer.allocate(1)) > 0);
+                try (SocketChannel closingSuccessor = SocketChannel.open(UnixDomainSocketAddress.of(folder.resolve("handover")))) {
+                    assertTrue(closingSuccessor.read(ByteBuffer.allocate(1)) > 0);
                 }
             }
             await("three that went", () -> log.stream().filter(line -> line.contains("went before")).count() == 3);
-            assertEquals("fine", old.client().ask(status("r", LONG_MILLIS)).body());
+            assertEquals("fine", predecessor.connectClient().exchange(statusRequest("r", LONG_TIMEOUT_MILLIS)).body());
         }
     }
 
@@ -129,44 +129,44 @@
         "kestrelpier-handover 2 5 00000000\nabcde", "kestrelpier-handover 1 5 00000000\nabcde",
         "kestrelpier-handover 1 500 00000000\nabcde", "kestrelpier-handover 1 99999999 00000000\n",
         "kestrelpier-handover 1 2 d8a7bf05\n{}"})
-    void aFarSideThatIsOfNoUseIsAPlainStart(String says) throws Exception {
-        try (ScriptedHost host = new ScriptedHost(ScriptedHost.reply("200 OK", "fine"));
-                GatewayFixture next = GatewayFixture.knowing(host);
-                ServerSocketChannel far = ServerSocketChannel.open(StandardProtocolFamily.UNIX)) {
-            far.bind(UnixDomainSocketAddress.of(folder.resolve("handover")));
-            for (boolean stuck : new boolean[] {false, true}) {
-                Thread answers = new Thread(() -> {
+    void anUnusablePredecessorLeadsToAPlainStart(String predecessorBytes) throws Exception {
+        try (ScriptedServer server = new ScriptedServer(ScriptedServer.reply("200 OK", "fine"));
+                GatewayFixture successor = GatewayFixture.withServers(server);
+                ServerSocketChannel listener = ServerSocketChannel.open(StandardProtocolFamily.UNIX)) {
+            listener.bind(UnixDomainSocketAddress.of(folder.resolve("handover")));
+            for (boolean keepsOpen : new boolean[] {false, true}) {
+                Thread predecessorThread = new Thread(() -> {
                     try {
-                        SocketChannel channel = far.accept();
-                        channel.write(ByteBuffer.wrap(says.getBytes(StandardCharsets.US_ASCII)));
-                        if (!stuck) {
+                        SocketChannel channel = listener.accept();
+                        channel.write(ByteBuffer.wrap(predecessorBytes.getBytes(StandardCharsets.US_ASCII)));
+                        if (!keepsOpen) {
                             channel.close();
                         }
                     } catch (IOException e) {
                         throw new AssertionError(e);
                     }
                 });
-                answers.start();
+                predecessorThread.start();
                 log.clear();
-                takeOver(next).run();
-                answers.join(PATIENCE_MILLIS);
-                assertTrue(logged("no handover, starting without the predecessor's snapshot"), log.toString());
-                assertEquals("fine", next.client().ask(status("r" + stuck, LONG_MILLIS)).body());
+                takeOver(successor).run();
+                predecessorThread.join(TIMEOUT_MILLIS);
+                assertTrue(hasLogged("no handover, starting without the predecessor's snapshot"), log.toString());
+                assertEquals("fine", successor.connectClient().exchange(statusRequest("r" + keepsOpen, LONG_TIMEOUT_MILLIS)).body());
             }
         }
     }
 
     /** A process that was killed leaves a socket file on which no process listens. */
     @Test
-    void aNameThatNobodyAnswersAtIsAPlainStart() throws Exception {
-        ServerSocketChannel killed = ServerSocketChannel.open(StandardProtocolFamily.UNIX);
-        killed.bind(UnixDomainSocketAddress.of(folder.resolve("handover")));
-        killed.close();
-        try (ScriptedHost host = new ScriptedHost(ScriptedHost.reply("200 OK", "fine"));
-                GatewayFixture next = GatewayFixture.knowing(host)) {
-            takeOver(next).run();
-            assertTrue(logged("no handover, starting without the predecessor's snapshot"), log.toString());
-            offer(next);
+    void aStaleSocketLeadsToAPlainStart() throws Exception {
+        ServerSocketChannel staleListener = ServerSocketChannel.open(StandardProtocolFamily.UNIX);
+        staleListener.bind(UnixDomainSocketAddress.of(folder.resolve("handover")));
+        staleListener.close();
+        try (ScriptedServer server = new ScriptedServer(ScriptedServer.reply("200 OK", "fine"));
+                GatewayFixture successor = GatewayFixture.withServers(server)) {
+            takeOver(successor).run();
+            assertTrue(hasLogged("no handover, starting without the predecessor's snapshot"), log.toString());
+            offerHandover(successor);
         }
     }
 }
--- a/src/test/java/cinderhollow/daemon/InTurnTest.java
+++ b/src/test/java/cinderhollow/daemon/IncrementalTaskTest.java
@@ -23,16 +23,16 @@
 import org.junit.jupiter.api.Test;
 
 /** Long work on an event loop is done in steps, between which the loop reads its sockets. */
-class InTurnTest {
-    private static final int STEPS = 40;
+class IncrementalTaskTest {
+    private static final int STEP_COUNT = 40;
 
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
-    private final AtomicInteger steps = new AtomicInteger();
-    private final AtomicInteger stepsAtRead = new AtomicInteger(STEPS);
+    private final AtomicInteger stepsDone = new AtomicInteger();
+    private final AtomicInteger stepsDoneAtFirstRead = new AtomicInteger(STEP_COUNT);
 
     @AfterEach
-    void end() {
+    void shutDown() {
         group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS).awaitUninterruptibly();
     }
 
@@ -42,35 +42,35 @@
                 .channel(NioServerSocketChannel.class).childHandler(new ChannelInboundHandlerAdapter() {
                     @Override
                     public void channelRead(ChannelHandlerContext ctx, Object message) {
-                        stepsAtRead.accumulateAndGet(steps.get(), Math::min);
+                        stepsDoneAtFirstRead.accumulateAndGet(stepsDone.get(), Math::min);
                         ReferenceCountUtil.release(message);
                     }
                 }).bind(InetAddress.getLoopbackAddress(), 0).sync().channel().localAddress();
         try (Socket client = new Socket(address.getAddress(), address.getPort())) {
-            IncrementalTask work = new IncrementalTask(loop, () -> steps.get() < STEPS, () -> {
-                if (steps.getAndIncrement() == 0) {
+            IncrementalTask task = new IncrementalTask(loop, () -> stepsDone.get() < STEP_COUNT, () -> {
+                if (stepsDone.getAndIncrement() == 0) {
                     write(client);
                 }
             });
-            loop.execute(work::resume);
-            Await.until("all steps", () -> steps.get() == STEPS);
-            assertTrue(stepsAtRead.get() < STEPS, "read after all steps");
+            loop.execute(task::resume);
+            Await.until("all steps", () -> stepsDone.get() == STEP_COUNT);
+            assertTrue(stepsDoneAtFirstRead.get() < STEP_COUNT, "read after all steps");
         }
     }
 
     @Test
     void aStepThatFailsIsNotTheEndOfTheOthersAndNoneIsDoneTwice() throws Exception {
-        IncrementalTask work = new IncrementalTask(loop, () -> steps.get() < STEPS, () -> {
-            if (steps.getAndIncrement() % 2 == 0) {
+        IncrementalTask task = new IncrementalTask(loop, () -> stepsDone.get() < STEP_COUNT, () -> {
+            if (stepsDone.getAndIncrement() % 2 == 0) {
                 throw new IllegalStateException("made up");
             }
         });
         for (int i = 0; i < 3; i++) {
-            loop.execute(work::resume);
+            loop.execute(task::resume);
         }
-        Await.until("all steps", () -> steps.get() == STEPS);
+        Await.until("all steps", () -> stepsDone.get() == STEP_COUNT);
         loop.submit(() -> { }).sync();
-        assertEquals(STEPS, steps.get());
+        assertEquals(STEP_COUNT, stepsDone.get());
     }
 
     private static void write(Socket socket) {
--- a/src/test/java/cinderhollow/daemon/JournalFaultsTest.java
+++ b/src/test/java/cinderhollow/daemon/JournalFaultsTest.java
@@ -1,7 +1,7 @@
 package cinderhollow.daemon;
 
-import static cinderhollow.daemon.GatewayFixture.LONG_MILLIS;
-import static cinderhollow.daemon.GatewayFixture.status;
+import static cinderhollow.daemon.GatewayFixture.LONG_TIMEOUT_MILLIS;
+import static cinderhollow.daemon.GatewayFixture.statusRequest;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -22,43 +22,43 @@
  * during that time, and the ledger's journal must resume by itself once the disk works again.
  */
 class JournalFaultsTest {
-    private static final int PERCENT = 60;
-    private static final int FAILS_FOR_SECONDS = 6;
-    private static final int AFTERWARDS = 20;
+    private static final int FAULT_PERCENT = 60;
+    private static final int FAULT_DURATION_SECONDS = 6;
+    private static final int REQUESTS_AFTERWARDS = 20;
     /** By then the disk works again, and the journal, which retries a failing disk once a second, has tried it again. */
-    private static final long OVER_NANOS = TimeUnit.SECONDS.toNanos(FAILS_FOR_SECONDS + 3);
+    private static final long RECOVERY_BOUND_NANOS = TimeUnit.SECONDS.toNanos(FAULT_DURATION_SECONDS + 3);
 
     @TempDir
     private Path folder;
 
     @Test
     void requestsAreAnsweredWhileTheDiskFailsAndTheJournalGoesOnAfterIt() throws Exception {
-        Path ledger = Files.createDirectory(folder.resolve("ledger"));
-        Path operator = Files.writeString(folder.resolve("operator.toml"), "[ledger]\ndirectory = \"" + ledger + "\"\nsync = \"10ms\"\n");
-        Map<String, String> environment = new HashMap<>(SystemCallFaults.ofFiles(folder, PERCENT, 1, FAILS_FOR_SECONDS));
-        environment.put("LB_OPERATOR", operator.toString());
+        Path ledgerDirectory = Files.createDirectory(folder.resolve("ledger"));
+        Path operatorFile = Files.writeString(folder.resolve("operator.toml"), "[ledger]\ndirectory = \"" + ledgerDirectory + "\"\nsync = \"10ms\"\n");
+        Map<String, String> environment = new HashMap<>(SystemCallFaults.fileFaultEnvironment(folder, FAULT_PERCENT, 1, FAULT_DURATION_SECONDS));
+        environment.put("LB_OPERATOR", operatorFile.toString());
         long begin = System.nanoTime();
-        try (ScriptedHost server = new ScriptedHost(ScriptedHost.reply("200 OK", "served"));
+        try (ScriptedServer server = new ScriptedServer(ScriptedServer.reply("200 OK", "served"));
                 GatewayProcess gateway = GatewayProcess.start(folder, environment, server)) {
-            Client client = gateway.client();
-            int[] asked = {0};
+            Client client = gateway.connectClient();
+            int[] requestCount = {0};
             Await.until("the disk's end of trouble", () -> {
-                serve(client, asked[0]++);
+                assertServed(client, requestCount[0]++);
                 // A write may succeed while others still fail.
-                return System.nanoTime() - begin > OVER_NANOS && gateway.log().contains("ledger's journal: writing again");
+                return System.nanoTime() - begin > RECOVERY_BOUND_NANOS && gateway.log().contains("ledger's journal: writing again");
             });
-            for (int i = 0; i < AFTERWARDS; i++) {
-                serve(client, asked[0]++);
+            for (int i = 0; i < REQUESTS_AFTERWARDS; i++) {
+                assertServed(client, requestCount[0]++);
             }
             gateway.signal("TERM");
-            assertTrue(gateway.endsWithin(LONG_MILLIS), gateway.log());
-            EarlierRuns lives = EarlierRuns.read(ledger, List.of(0));
-            assertEquals(asked[0], lives.totals().stream().mapToLong(EarlierRunTotals::taken).sum(), gateway.log());
-            assertTrue(lives.totals().stream().allMatch(EarlierRunTotals::isBalanced), lives::toString);
+            assertTrue(gateway.waitForExit(LONG_TIMEOUT_MILLIS), gateway.log());
+            EarlierRuns earlierRuns = EarlierRuns.read(ledgerDirectory, List.of(0));
+            assertEquals(requestCount[0], earlierRuns.totals().stream().mapToLong(EarlierRunTotals::taken).sum(), gateway.log());
+            assertTrue(earlierRuns.totals().stream().allMatch(EarlierRunTotals::isBalanced), earlierRuns::toString);
         }
     }
 
-    private static void serve(Client client, int number) throws Exception {
-        assertTrue(client.ask(status("r" + number, LONG_MILLIS)).firstLine().contains(" 200 "));
+    private static void assertServed(Client client, int number) throws Exception {
+        assertTrue(client.exchange(statusRequest("r" + number, LONG_TIMEOUT_MILLIS)).firstLine().contains(" 200 "));
     }
 }
--- a/src/test/java/cinderhollow/daemon/JournalMeasurement.java
+++ b/src/test/java/cinderhollow/daemon/JournalMeasurement.java
@@ -13,7 +13,7 @@
 
 /** Measures the time and memory for reading a journal back: {@code JournalMeasurement FOLDER MEGABYTES OPEN}. */
 final class JournalMeasurement {
-    private static final int FRAME = 1 << 15;
+    private static final int FRAME_BYTES = 1 << 15;
 
     private JournalMeasurement() { }
 
@@ -24,39 +24,39 @@
         for (int round = 0; round < 3; round++) {
             System.gc();
             Runtime runtime = Runtime.getRuntime();
-            long before = runtime.totalMemory() - runtime.freeMemory();
+            long usedBytesBefore = runtime.totalMemory() - runtime.freeMemory();
             long begin = System.nanoTime();
             JournalRecovery recovery = new JournalRecovery();
-            String wrong = JournalFiles.read(file, recovery);
+            String problem = JournalFiles.read(file, recovery);
             double seconds = (System.nanoTime() - begin) / 1e9;
             System.gc();
-            long kept = runtime.totalMemory() - runtime.freeMemory() - before;
+            long retainedBytes = runtime.totalMemory() - runtime.freeMemory() - usedBytesBefore;
             System.out.printf(Locale.ROOT, "%d MB in %.2f s, %.0f MB a second, %d open, %.1f MB kept, %s%n", Files.size(file) >> 20,
-                    seconds, (Files.size(file) >> 20) / seconds, recovery.orphans().size(), kept / 1e6,
-                    wrong == null ? "sound" : wrong);
+                    seconds, (Files.size(file) >> 20) / seconds, recovery.orphans().size(), retainedBytes / 1e6,
+                    problem == null ? "sound" : problem);
         }
         Files.delete(file);
     }
 
-    private static void write(Path file, long bytes, int open) throws IOException {
-        ByteBuffer head = ByteBuffer.allocate(JournalFiles.FRAME_HEADER_BYTES);
-        JournalFrame frame = new JournalFrame(FRAME);
+    private static void write(Path file, long bytes, int openCount) throws IOException {
+        ByteBuffer frameHeader = ByteBuffer.allocate(JournalFiles.FRAME_HEADER_BYTES);
+        JournalFrame frame = new JournalFrame(FRAME_BYTES);
         try (Journal.Output out = Journal.FILE_OUTPUTS.create(file)) {
             frame.writeHeader(1, 1, 0);
             frame.writeCheckpoint(new Ledger(List.of("class status", "class submit")), List.of());
-            long request = 0;
-            for (long written = 0; written < bytes;) {
-                while (frame.length() < FRAME) {
-                    request++;
-                    frame.writeOpened(request, (int) (request % 2), "0f8fad5b-d9cb-469f-a165-" + request);
-                    if (request > open) {
-                        frame.writeEnded(request - open, RequestEnd.SERVED);
+            long requestNumber = 0;
+            for (long writtenBytes = 0; writtenBytes < bytes;) {
+                while (frame.length() < FRAME_BYTES) {
+                    requestNumber++;
+                    frame.writeOpened(requestNumber, (int) (requestNumber % 2), "0f8fad5b-d9cb-469f-a165-" + requestNumber);
+                    if (requestNumber > openCount) {
+                        frame.writeEnded(requestNumber - openCount, RequestEnd.SERVED);
                     }
                 }
-                JournalFiles.writeFrameHeader(frame.bytes(), frame.length(), head);
-                out.write(head);
+                JournalFiles.writeFrameHeader(frame.bytes(), frame.length(), frameHeader);
+                out.write(frameHeader);
                 out.write(ByteBuffer.wrap(frame.bytes(), 0, frame.length()));
-                written += JournalFiles.FRAME_HEADER_BYTES + frame.length();
+                writtenBytes += JournalFiles.FRAME_HEADER_BYTES + frame.length();
                 frame.clear();
             }
         }
--- a/src/test/java/cinderhollow/daemon/HalfSentTest.java
+++ b/src/test/java/cinderhollow/daemon/PartiallySentRequestTest.java
@@ -1,6 +1,6 @@
 package cinderhollow.daemon;
 
-import static cinderhollow.daemon.GatewayFixture.PATIENCE_MILLIS;
+import static cinderhollow.daemon.GatewayFixture.TIMEOUT_MILLIS;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -34,46 +34,46 @@
  * A request that was sent in part to a server that stopped reading. It is larger than the system's buffers, so its last byte
  * can't have been sent.
  */
-class HalfSentTest {
-    private static final int MORE_THAN_BUFFERS = 24 * 1024 * 1024;
-    private static final long LONG_NANOS = TimeUnit.SECONDS.toNanos(60);
+class PartiallySentRequestTest {
+    private static final int BODY_BYTES = 24 * 1024 * 1024;
+    private static final long LONG_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(60);
 
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
-    private final Answered ended = new Answered();
+    private final AttemptResult attemptResult = new AttemptResult();
     private ServerSocket listener;
-    private Socket host;
-    private UpstreamPool hosts;
+    private Socket serverSocket;
+    private UpstreamPool upstreamPool;
 
     @BeforeEach
     void start() throws Exception {
         listener = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
-        hosts = new UpstreamPool(loop, Transport.TCP, new GatewayClock(), LONG_NANOS, LONG_NANOS, 10, null, 0);
-        loop.submit(() -> hosts.update(new EndpointList(1, true, List.of(new Endpoint(new ServerInfo("h", "a", "std", 0,
+        upstreamPool = new UpstreamPool(loop, Transport.TCP, new GatewayClock(), LONG_TIMEOUT_NANOS, LONG_TIMEOUT_NANOS, 10, null, 0);
+        loop.submit(() -> upstreamPool.update(new EndpointList(1, true, List.of(new Endpoint(new ServerInfo("h", "a", "std", 0,
                 Readiness.READY, 1, 0), (InetSocketAddress) listener.getLocalSocketAddress()))))).get();
     }
 
     @AfterEach
     void stop() throws Exception {
-        host.close();
+        serverSocket.close();
         listener.close();
-        group.shutdownGracefully(0, 100, TimeUnit.MILLISECONDS).await(PATIENCE_MILLIS);
+        group.shutdownGracefully(0, 100, TimeUnit.MILLISECONDS).await(TIMEOUT_MILLIS);
     }
 
     /** Starts the attempt and waits until the server has received its first bytes. */
-    private UpstreamPool.Attempt begins(long timeoutNanos) throws Exception {
+    private UpstreamPool.Attempt startAttempt(long timeoutNanos) throws Exception {
         FullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.POST, "/submit",
-                Unpooled.wrappedBuffer(new byte[MORE_THAN_BUFFERS]));
-        request.headers().setInt("Content-Length", MORE_THAN_BUFFERS);
-        UpstreamPool.Attempt attempt = loop.submit(() -> hosts.send("h", request, timeoutNanos, ended)).get();
-        host = listener.accept();
-        host.setSoTimeout(PATIENCE_MILLIS);
-        assertEquals('P', host.getInputStream().read());
+                Unpooled.wrappedBuffer(new byte[BODY_BYTES]));
+        request.headers().setInt("Content-Length", BODY_BYTES);
+        UpstreamPool.Attempt attempt = loop.submit(() -> upstreamPool.send("h", request, timeoutNanos, attemptResult)).get();
+        serverSocket = listener.accept();
+        serverSocket.setSoTimeout(TIMEOUT_MILLIS);
+        assertEquals('P', serverSocket.getInputStream().read());
         return attempt;
     }
 
-    private String outcome() throws Exception {
-        return ended.get(PATIENCE_MILLIS, TimeUnit.MILLISECONDS);
+    private String awaitOutcome() throws Exception {
+        return attemptResult.get(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
     }
 
     /**
@@ -81,26 +81,26 @@
      * forbidden.
      */
     @Test
-    void isCalledOffAndNeverComesWhole() throws Exception {
-        UpstreamPool.Attempt attempt = begins(LONG_NANOS);
+    void isCancelledAndNeverArrivesComplete() throws Exception {
+        UpstreamPool.Attempt attempt = startAttempt(LONG_TIMEOUT_NANOS);
         loop.submit(attempt::cancelIfUnsent).get();
-        assertEquals("CANCELLED", outcome());
+        assertEquals("CANCELLED", awaitOutcome());
         assertTrue(attempt.isUnsent());
-        assertTrue(host.getInputStream().readAllBytes().length < MORE_THAN_BUFFERS);
+        assertTrue(serverSocket.getInputStream().readAllBytes().length < BODY_BYTES);
     }
 
     @Test
-    void hasNotRunWhenItsTimeIsOver() throws Exception {
-        begins(TimeUnit.SECONDS.toNanos(1));
-        assertEquals("CONNECT_FAILED", outcome());
-        assertTrue(host.getInputStream().readAllBytes().length < MORE_THAN_BUFFERS);
+    void isConnectFailedWhenItTimesOut() throws Exception {
+        startAttempt(TimeUnit.SECONDS.toNanos(1));
+        assertEquals("CONNECT_FAILED", awaitOutcome());
+        assertTrue(serverSocket.getInputStream().readAllBytes().length < BODY_BYTES);
     }
 
     /** A server can't have served a request that it received in part, so these bytes must not be taken for the answer. */
     @Test
-    void isNotServedByAnAnswerThatComesBeforeItsEnd() throws Exception {
-        begins(LONG_NANOS);
-        host.getOutputStream().write("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nfalse".getBytes(StandardCharsets.US_ASCII));
-        assertEquals("ERROR", outcome());
+    void isNotServedByAResponseBeforeItsEnd() throws Exception {
+        startAttempt(LONG_TIMEOUT_NANOS);
+        serverSocket.getOutputStream().write("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nfalse".getBytes(StandardCharsets.US_ASCII));
+        assertEquals("ERROR", awaitOutcome());
     }
 }
--- a/src/test/java/cinderhollow/daemon/ScriptedHost.java
+++ b/src/test/java/cinderhollow/daemon/ScriptedServer.java
@@ -21,7 +21,7 @@
 import java.util.concurrent.TimeUnit;
 
 /** A server on a free loopback port that handles each request with a script. */
-final class ScriptedHost implements AutoCloseable {
+final class ScriptedServer implements AutoCloseable {
     /** Handles a request that was received completely. */
     interface Script {
         void answer(Socket socket, Message request) throws IOException;
@@ -36,35 +36,35 @@
 
         /** Reads a message; returns null at the end of the stream. */
         static Message read(InputStream in) throws IOException {
-            String first = line(in);
-            if (first == null) {
+            String startLine = readLine(in);
+            if (startLine == null) {
                 return null;
             }
             List<String> headers = new CopyOnWriteArrayList<>();
-            for (String header = line(in); header != null && !header.isEmpty(); header = line(in)) {
+            for (String header = readLine(in); header != null && !header.isEmpty(); header = readLine(in)) {
                 headers.add(header);
             }
-            Message head = new Message(first, headers, "");
+            Message head = new Message(startLine, headers, "");
             String length = head.header("Content-Length");
-            int due = length == null ? 0 : Integer.parseInt(length);
-            byte[] body = "chunked".equals(head.header("Transfer-Encoding")) ? chunks(in)
-                    : in.readNBytes(due);
-            if (body.length < due) {
-                throw new EOFException(body.length + " bytes received of a body of " + due);
+            int contentLength = length == null ? 0 : Integer.parseInt(length);
+            byte[] body = "chunked".equals(head.header("Transfer-Encoding")) ? readChunkedBody(in)
+                    : in.readNBytes(contentLength);
+            if (body.length < contentLength) {
+                throw new EOFException(body.length + " bytes received of a body of " + contentLength);
             }
-            return new Message(first, headers, new String(body, StandardCharsets.UTF_8));
+            return new Message(startLine, headers, new String(body, StandardCharsets.UTF_8));
         }
 
         /** Reads a chunked body; throws an exception if the stream ends before the last chunk. */
-        private static byte[] chunks(InputStream in) throws IOException {
+        private static byte[] readChunkedBody(InputStream in) throws IOException {
             ByteArrayOutputStream body = new ByteArrayOutputStream();
-            for (String size = line(in); size != null; size = line(in)) {
+            for (String size = readLine(in); size != null; size = readLine(in)) {
                 int length = Integer.parseInt(size.replaceFirst(";.*", ""), 16);
                 body.write(in.readNBytes(length));
-                String end = line(in);
+                String trailerLine = readLine(in);
                 if (length == 0) {
-                    while (end != null && !end.isEmpty()) {
-                        end = line(in);
+                    while (trailerLine != null && !trailerLine.isEmpty()) {
+                        trailerLine = readLine(in);
                     }
                     return body.toByteArray();
                 }
@@ -72,7 +72,7 @@
             throw new EOFException("chunked body ended without its last chunk after " + body.size() + " bytes");
         }
 
-        private static String line(InputStream in) throws IOException {
+        private static String readLine(InputStream in) throws IOException {
             StringBuilder line = new StringBuilder();
             int c = in.read();
             if (c < 0) {
@@ -86,60 +86,60 @@
     }
 
     /** A connect within one machine that takes longer than this is not going to succeed. */
-    private static final int FULL_MILLIS = 300;
+    private static final int BACKLOG_FULL_TIMEOUT_MILLIS = 300;
 
     private final ServerSocket listener;
-    private final Set<Socket> sockets = ConcurrentHashMap.newKeySet();
-    private final List<Socket> fillers = new ArrayList<>();
-    private final List<Integer> own = new ArrayList<>();
+    private final Set<Socket> openSockets = ConcurrentHashMap.newKeySet();
+    private final List<Socket> backlogFillers = new ArrayList<>();
+    private final List<Integer> fillerPorts = new ArrayList<>();
     private volatile Script script;
     final List<Message> requests = new CopyOnWriteArrayList<>();
     final List<Socket> connections = new CopyOnWriteArrayList<>();
 
-    ScriptedHost(Script script) throws IOException {
+    ScriptedServer(Script script) throws IOException {
         this(50, script);
-        daemon(this::accept);
+        startDaemonThread(this::accept);
     }
 
-    private ScriptedHost(int backlog, Script script) throws IOException {
+    private ScriptedServer(int backlog, Script script) throws IOException {
         this.script = script;
         listener = new ServerSocket(0, backlog, InetAddress.getByName("127.0.0.1"));
     }
 
     /**
-     * Creates a server to which no connection is established before {@link #comesUp}. Its backlog is full of connections of this
+     * Creates a server to which no connection is established before {@link #startAccepting}. Its backlog is full of connections of this
      * test, so the system leaves all others pending and establishes them when they retry, after 1, 3 or 7 s.
      */
-    static ScriptedHost late(Script script) throws IOException {
-        ScriptedHost host = new ScriptedHost(1, script);
-        for (boolean full = false; !full;) {
+    static ScriptedServer withFullBacklog(Script script) throws IOException {
+        ScriptedServer server = new ScriptedServer(1, script);
+        for (boolean backlogFull = false; !backlogFull;) {
             Socket filler = new Socket();
-            host.fillers.add(filler);
+            server.backlogFillers.add(filler);
             try {
-                filler.connect(host.address(), FULL_MILLIS);
-                host.own.add(filler.getLocalPort());
+                filler.connect(server.address(), BACKLOG_FULL_TIMEOUT_MILLIS);
+                server.fillerPorts.add(filler.getLocalPort());
             } catch (SocketTimeoutException e) {
                 filler.close();
-                full = true;
+                backlogFull = true;
             }
         }
-        return host;
+        return server;
     }
 
     /** Returns the number of established connections without those that fill the backlog. */
-    long dialled() {
-        return connections.stream().filter(c -> !own.contains(c.getPort())).count();
+    long countGatewayConnections() {
+        return connections.stream().filter(c -> !fillerPorts.contains(c.getPort())).count();
     }
 
     /** Starts to accept connections, so that pending ones are established. */
-    void comesUp() throws IOException {
-        for (Socket filler : fillers) {
+    void startAccepting() throws IOException {
+        for (Socket filler : backlogFillers) {
             filler.close();
         }
-        daemon(this::accept);
+        startDaemonThread(this::accept);
     }
 
-    void script(Script next) {
+    void setScript(Script next) {
         script = next;
     }
 
@@ -164,9 +164,9 @@
     }
 
     /** Waits until the test counts the latch down. */
-    static void await(CountDownLatch word) throws IOException {
+    static void await(CountDownLatch latch) throws IOException {
         try {
-            if (!word.await(GatewayFixture.PATIENCE_MILLIS, TimeUnit.MILLISECONDS)) {
+            if (!latch.await(GatewayFixture.TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)) {
                 throw new IOException("the test did not count the latch down in time");
             }
         } catch (InterruptedException e) {
@@ -184,9 +184,9 @@
         while (!listener.isClosed()) {
             try {
                 Socket socket = listener.accept();
-                sockets.add(socket);
+                openSockets.add(socket);
                 connections.add(socket);
-                daemon(() -> serve(socket));
+                startDaemonThread(() -> serve(socket));
             } catch (IOException e) {
                 return; // closed by the test
             }
@@ -203,11 +203,11 @@
         } catch (IOException e) {
             // The gateway or the test has closed the connection.
         } finally {
-            sockets.remove(socket);
+            openSockets.remove(socket);
         }
     }
 
-    private static void daemon(Runnable work) {
+    private static void startDaemonThread(Runnable work) {
         Thread thread = new Thread(work);
         thread.setDaemon(true);
         thread.start();
@@ -222,7 +222,7 @@
     void stop() {
         try {
             listener.close();
-            for (Socket socket : sockets) {
+            for (Socket socket : openSockets) {
                 socket.close();
             }
         } catch (IOException e) {
--- a/src/test/java/cinderhollow/daemon/StalledClientTest.java
+++ b/src/test/java/cinderhollow/daemon/StalledClientTest.java
@@ -11,23 +11,23 @@
 
 /** A client that stops in the middle of a request and stays connected gets an error or a close within 3 s. */
 class StalledClientTest {
-    private static final long OWED_MILLIS = 3_000;
-    private static final ScriptedHost.Script SERVES = ScriptedHost.reply("200 OK", "served");
-    private static final String HEAD = "POST /submit HTTP/1.1\r\nHost: x\r\nX-Request-ID: r\r\nX-Timeout: 20000m\r\n";
+    private static final long MAX_WAIT_MILLIS = 3_000;
+    private static final ScriptedServer.Script SERVE_OK = ScriptedServer.reply("200 OK", "served");
+    private static final String REQUEST_HEAD = "POST /submit HTTP/1.1\r\nHost: x\r\nX-Request-ID: r\r\nX-Timeout: 20000m\r\n";
 
     private static void assertEndsInTime(Client client) throws Exception {
-        long stopped = System.nanoTime();
-        int first = client.socket.getInputStream().read();
-        long took = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - stopped);
-        assertTrue(took <= OWED_MILLIS, "after " + took + " ms came " + first);
+        long stoppedAtNanos = System.nanoTime();
+        int firstByte = client.socket.getInputStream().read();
+        long elapsedMillis = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - stoppedAtNanos);
+        assertTrue(elapsedMillis <= MAX_WAIT_MILLIS, "after " + elapsedMillis + " ms came " + firstByte);
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {"P", "POST /submit HTTP/1.1\r\nHost: x\r\nX-Req", HEAD, HEAD + "Content-Length: 100\r\n\r\n",
-        HEAD + "Content-Length: 100\r\n\r\nhalf", HEAD + "Transfer-Encoding: chunked\r\n\r\n5\r\nhal"})
-    void whoStopsInAHeadOrASmallBody(String part) throws Exception {
-        try (ScriptedHost host = new ScriptedHost(SERVES); GatewayFixture f = GatewayFixture.knowing(host)) {
-            Client client = f.client();
+    @ValueSource(strings = {"P", "POST /submit HTTP/1.1\r\nHost: x\r\nX-Req", REQUEST_HEAD, REQUEST_HEAD + "Content-Length: 100\r\n\r\n",
+        REQUEST_HEAD + "Content-Length: 100\r\n\r\nhalf", REQUEST_HEAD + "Transfer-Encoding: chunked\r\n\r\n5\r\nhal"})
+    void aClientThatStopsInAHeadOrASmallBodyIsEndedInTime(String part) throws Exception {
+        try (ScriptedServer server = new ScriptedServer(SERVE_OK); GatewayFixture f = GatewayFixture.withServers(server)) {
+            Client client = f.connectClient();
             client.write(part);
             assertEndsInTime(client);
         }
@@ -36,31 +36,31 @@
     /** The part of a body that has arrived must not extend the time for which its client may be silent. */
     @ParameterizedTest
     @CsvSource({"1000000,66000", "1000000,200000", "4000000,1000000", "60000,50000"})
-    void whoStopsInALargeBody(int length, int sent) throws Exception {
-        try (ScriptedHost host = new ScriptedHost(SERVES); GatewayFixture f = GatewayFixture.knowing(host)) {
-            Client client = f.client();
-            client.write(HEAD + "Content-Length: " + length + "\r\n\r\n" + "x".repeat(sent));
+    void aClientThatStopsInALargeBodyIsEndedInTime(int length, int sentBytes) throws Exception {
+        try (ScriptedServer server = new ScriptedServer(SERVE_OK); GatewayFixture f = GatewayFixture.withServers(server)) {
+            Client client = f.connectClient();
+            client.write(REQUEST_HEAD + "Content-Length: " + length + "\r\n\r\n" + "x".repeat(sentBytes));
             assertEndsInTime(client);
         }
     }
 
     /** The same holds on a kept connection, after an answer. */
     @Test
-    void whoStopsInALaterRequest() throws Exception {
-        try (ScriptedHost host = new ScriptedHost(SERVES); GatewayFixture f = GatewayFixture.knowing(host)) {
-            Client client = f.client();
-            client.ask(GatewayFixture.status("first", GatewayFixture.LONG_MILLIS));
-            client.write(HEAD + "Content-Length: 100\r\n\r\nhalf");
+    void aClientThatStopsInALaterRequestIsEndedInTime() throws Exception {
+        try (ScriptedServer server = new ScriptedServer(SERVE_OK); GatewayFixture f = GatewayFixture.withServers(server)) {
+            Client client = f.connectClient();
+            client.exchange(GatewayFixture.statusRequest("first", GatewayFixture.LONG_TIMEOUT_MILLIS));
+            client.write(REQUEST_HEAD + "Content-Length: 100\r\n\r\nhalf");
             assertEndsInTime(client);
         }
     }
 
     /** Clients may take up to 2 s for a head, and may send a body at 64 kB per second. */
     @Test
-    void whoIsAsSlowAsClientsMayBeIsServed() throws Exception {
-        try (ScriptedHost host = new ScriptedHost(SERVES); GatewayFixture f = GatewayFixture.knowing(host)) {
-            Client client = f.client();
-            String head = HEAD + "Content-Length: 160000\r\n\r\n";
+    void theSlowestAllowedClientIsServed() throws Exception {
+        try (ScriptedServer server = new ScriptedServer(SERVE_OK); GatewayFixture f = GatewayFixture.withServers(server)) {
+            Client client = f.connectClient();
+            String head = REQUEST_HEAD + "Content-Length: 160000\r\n\r\n";
             int pieces = 18;
             for (int i = 0; i < pieces; i++) {
                 client.write(head.substring(head.length() * i / pieces, head.length() * (i + 1) / pieces));
--- a/src/test/java/cinderhollow/daemon/StalledProcessTest.java
+++ b/src/test/java/cinderhollow/daemon/StalledProcessTest.java
@@ -1,14 +1,14 @@
 package cinderhollow.daemon;
 
-import static cinderhollow.daemon.GatewayFixture.LONG_MILLIS;
+import static cinderhollow.daemon.GatewayFixture.LONG_TIMEOUT_MILLIS;
 import static cinderhollow.daemon.GatewayFixture.await;
-import static cinderhollow.daemon.GatewayFixture.status;
-import static cinderhollow.daemon.GatewayFixture.submit;
+import static cinderhollow.daemon.GatewayFixture.statusRequest;
+import static cinderhollow.daemon.GatewayFixture.submitRequest;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import cinderhollow.daemon.GatewayFixture.Client;
-import cinderhollow.daemon.ScriptedHost.Message;
+import cinderhollow.daemon.ScriptedServer.Message;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
@@ -24,21 +24,21 @@
  * on what it knew before, or on the time at which it reads, although later events are still unread in its sockets.
  */
 class StalledProcessTest {
-    private static final ScriptedHost.Script SERVES = ScriptedHost.reply("200 OK", "served");
+    private static final ScriptedServer.Script SERVE_OK = ScriptedServer.reply("200 OK", "served");
     private static final long STALL_MILLIS = 700;
-    private static final int CLIENTS = 12;
-    private static final long AWAKE_MILLIS = 200;
+    private static final int CLIENT_COUNT = 12;
+    private static final long SETTLE_MILLIS = 200;
     /** Tolerance of the rules on forwarded deadlines and on attempts after a client's disconnect. */
     private static final long DEADLINE_SLACK_MILLIS = 150;
 
     @TempDir
     private Path folder;
 
-    private static List<String> ids(ScriptedHost server) {
+    private static List<String> requestIds(ScriptedServer server) {
         return server.requests.stream().map(request -> request.header("X-Request-ID")).toList();
     }
 
-    private static long millisPassedOn(Message request) {
+    private static long forwardedTimeoutMillis(Message request) {
         String micros = request.header("X-Timeout");
         assertTrue(micros.endsWith("u"), micros);
         return TimeUnit.MICROSECONDS.toMillis(Long.parseLong(micros.substring(0, micros.length() - 1)));
@@ -49,64 +49,64 @@
      * servers.
      */
     private static void assertServes(GatewayProcess gateway, String id) throws Exception {
-        assertTrue(gateway.client().ask(status(id, LONG_MILLIS)).firstLine().contains(" 200 "), gateway.log());
+        assertTrue(gateway.connectClient().exchange(statusRequest(id, LONG_TIMEOUT_MILLIS)).firstLine().contains(" 200 "), gateway.log());
     }
 
     @Test
     void aRequestIsNotForwardedWhoseClientLeftDuringTheStall() throws Exception {
-        try (ScriptedHost server = new ScriptedHost(SERVES); GatewayProcess gateway = GatewayProcess.start(folder, server)) {
+        try (ScriptedServer server = new ScriptedServer(SERVE_OK); GatewayProcess gateway = GatewayProcess.start(folder, server)) {
             assertServes(gateway, "first");
-            Client kept = gateway.client();
-            assertTrue(kept.ask(status("kept", LONG_MILLIS)).firstLine().contains(" 200 "));
+            Client keptClient = gateway.connectClient();
+            assertTrue(keptClient.exchange(statusRequest("kept", LONG_TIMEOUT_MILLIS)).firstLine().contains(" 200 "));
             gateway.pause();
-            Client fresh = gateway.client();
-            for (Client client : List.of(kept, fresh)) {
-                client.write(submit(client == kept ? "left-kept" : "left-new", LONG_MILLIS, "x"));
+            Client newClient = gateway.connectClient();
+            for (Client client : List.of(keptClient, newClient)) {
+                client.write(submitRequest(client == keptClient ? "left-kept" : "left-new", LONG_TIMEOUT_MILLIS, "x"));
                 client.socket.close();
             }
             TimeUnit.MILLISECONDS.sleep(STALL_MILLIS);
             gateway.resume();
             assertServes(gateway, "last");
-            assertEquals(List.of("first", "kept", "last"), ids(server));
+            assertEquals(List.of("first", "kept", "last"), requestIds(server));
         }
     }
 
     /** The server's connection is established and the client disconnects in the same stall; the connection is reported first. */
     @Test
     void aRequestIsNotForwardedOnAConnectionThatCameUpDuringTheStallAfterItsClientLeft() throws Exception {
-        try (ScriptedHost server = ScriptedHost.late(SERVES); GatewayProcess gateway = GatewayProcess.start(folder, server)) {
-            Client leaving = gateway.client();
-            leaving.write(submit("left", LONG_MILLIS, "x"));
+        try (ScriptedServer server = ScriptedServer.withFullBacklog(SERVE_OK); GatewayProcess gateway = GatewayProcess.start(folder, server)) {
+            Client leavingClient = gateway.connectClient();
+            leavingClient.write(submitRequest("left", LONG_TIMEOUT_MILLIS, "x"));
             // The first connect is over by then, and the next follows a second later.
             TimeUnit.MILLISECONDS.sleep(STALL_MILLIS);
             gateway.pause();
-            server.comesUp();
-            await("its connection", () -> server.dialled() >= 1);
-            leaving.socket.close();
+            server.startAccepting();
+            await("its connection", () -> server.countGatewayConnections() >= 1);
+            leavingClient.socket.close();
             TimeUnit.MILLISECONDS.sleep(STALL_MILLIS);
             gateway.resume();
             assertServes(gateway, "last");
-            assertEquals(List.of("last"), ids(server));
+            assertEquals(List.of("last"), requestIds(server));
         }
     }
 
     @Test
-    void theDeadlinePassedOnIsWhatTheClientHasLeftAfterTheStall() throws Exception {
-        long timeout = 1_500;
-        try (ScriptedHost server = new ScriptedHost(SERVES); GatewayProcess gateway = GatewayProcess.start(folder, server)) {
+    void theForwardedDeadlineIsWhatTheClientHasLeftAfterTheStall() throws Exception {
+        long timeoutMillis = 1_500;
+        try (ScriptedServer server = new ScriptedServer(SERVE_OK); GatewayProcess gateway = GatewayProcess.start(folder, server)) {
             assertServes(gateway, "first");
-            Client kept = gateway.client();
-            assertTrue(kept.ask(status("kept", LONG_MILLIS)).firstLine().contains(" 200 "));
+            Client keptClient = gateway.connectClient();
+            assertTrue(keptClient.exchange(statusRequest("kept", LONG_TIMEOUT_MILLIS)).firstLine().contains(" 200 "));
             gateway.pause();
-            kept.write(status("waited", (int) timeout));
+            keptClient.write(statusRequest("waited", (int) timeoutMillis));
             TimeUnit.MILLISECONDS.sleep(STALL_MILLIS);
             gateway.resume();
-            Message answer = kept.read();
+            Message answer = keptClient.read();
             assertTrue(answer != null && (answer.firstLine().contains(" 200 ") || answer.firstLine().contains(" 503 ")), gateway.log());
             for (Message request : server.requests) {
                 if (request.header("X-Request-ID").equals("waited")) {
-                    long left = timeout - STALL_MILLIS;
-                    assertTrue(millisPassedOn(request) <= left + DEADLINE_SLACK_MILLIS, request.header("X-Timeout"));
+                    long leftMillis = timeoutMillis - STALL_MILLIS;
+                    assertTrue(forwardedTimeoutMillis(request) <= leftMillis + DEADLINE_SLACK_MILLIS, request.header("X-Timeout"));
                 }
             }
         }
@@ -118,35 +118,35 @@
      */
     @Test
     void aRequestThatComesAfterTheStallHasAllOfItsTime() throws Exception {
-        int timeout = 1_500;
-        try (ScriptedHost server = new ScriptedHost(SERVES); GatewayProcess gateway = GatewayProcess.start(folder, server)) {
+        int timeoutMillis = 1_500;
+        try (ScriptedServer server = new ScriptedServer(SERVE_OK); GatewayProcess gateway = GatewayProcess.start(folder, server)) {
             assertServes(gateway, "first");
             gateway.pause();
             TimeUnit.MILLISECONDS.sleep(STALL_MILLIS);
             gateway.resume();
             assertServes(gateway, "awake");
             // Until the loop has read all of its sockets again, what it reads may have arrived during the stall.
-            TimeUnit.MILLISECONDS.sleep(AWAKE_MILLIS);
-            assertTrue(gateway.client().ask(status("after", timeout)).firstLine().contains(" 200 "), gateway.log());
+            TimeUnit.MILLISECONDS.sleep(SETTLE_MILLIS);
+            assertTrue(gateway.connectClient().exchange(statusRequest("after", timeoutMillis)).firstLine().contains(" 200 "), gateway.log());
             Message after = server.requests.get(server.requests.size() - 1);
             assertEquals("after", after.header("X-Request-ID"));
-            assertTrue(millisPassedOn(after) > timeout - DEADLINE_SLACK_MILLIS, after.header("X-Timeout"));
+            assertTrue(forwardedTimeoutMillis(after) > timeoutMillis - DEADLINE_SLACK_MILLIS, after.header("X-Timeout"));
         }
     }
 
     /** The request waits for over a second for its server's connection; the server must not be given that time as well. */
     @Test
-    void theDeadlinePassedOnIsWhatTheClientHasLeftWhenTheConnectionComesUpLate() throws Exception {
-        try (ScriptedHost server = ScriptedHost.late(SERVES); GatewayProcess gateway = GatewayProcess.start(folder, server)) {
-            Client client = gateway.client();
-            long asked = System.nanoTime();
-            client.write(submit("late", LONG_MILLIS, "x"));
+    void theForwardedDeadlineIsWhatTheClientHasLeftWhenTheConnectionIsUpLate() throws Exception {
+        try (ScriptedServer server = ScriptedServer.withFullBacklog(SERVE_OK); GatewayProcess gateway = GatewayProcess.start(folder, server)) {
+            Client client = gateway.connectClient();
+            long sentAtNanos = System.nanoTime();
+            client.write(submitRequest("late", LONG_TIMEOUT_MILLIS, "x"));
             TimeUnit.MILLISECONDS.sleep(STALL_MILLIS);
-            server.comesUp();
+            server.startAccepting();
             await("the request", () -> !server.requests.isEmpty());
-            long waited = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - asked);
-            long passedOn = millisPassedOn(server.requests.get(0));
-            assertTrue(passedOn <= LONG_MILLIS - STALL_MILLIS + DEADLINE_SLACK_MILLIS, passedOn + " ms after " + waited + " ms");
+            long waitedMillis = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - sentAtNanos);
+            long forwardedMillis = forwardedTimeoutMillis(server.requests.get(0));
+            assertTrue(forwardedMillis <= LONG_TIMEOUT_MILLIS - STALL_MILLIS + DEADLINE_SLACK_MILLIS, forwardedMillis + " ms after " + waitedMillis + " ms");
             assertTrue(client.read().firstLine().contains(" 200 "));
         }
     }
@@ -156,35 +156,35 @@
      * read.
      */
     @Test
-    void aRetryDoesNotGoOutForAClientThatLeftDuringTheStall() throws Exception {
+    void noRetryIsSentForAClientThatLeftDuringTheStall() throws Exception {
         CountDownLatch clientLeft = new CountDownLatch(1);
-        ScriptedHost.Script turnsAway = (socket, request) -> {
+        ScriptedServer.Script rejectAfterDisconnect = (socket, request) -> {
             if (request.header("X-Request-ID").equals("last")) {
-                SERVES.answer(socket, request);
+                SERVE_OK.answer(socket, request);
                 return;
             }
-            ScriptedHost.await(clientLeft);
-            ScriptedHost.write(socket, "HTTP/1.1 503 Service Unavailable\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n");
+            ScriptedServer.await(clientLeft);
+            ScriptedServer.write(socket, "HTTP/1.1 503 Service Unavailable\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n");
         };
-        try (ScriptedHost one = new ScriptedHost(turnsAway); ScriptedHost other = new ScriptedHost(turnsAway);
-                GatewayProcess gateway = GatewayProcess.start(folder, one, other)) {
-            leaveInAStall(gateway, submit("left", LONG_MILLIS, "x"), clientLeft, one, other);
+        try (ScriptedServer firstServer = new ScriptedServer(rejectAfterDisconnect); ScriptedServer secondServer = new ScriptedServer(rejectAfterDisconnect);
+                GatewayProcess gateway = GatewayProcess.start(folder, firstServer, secondServer)) {
+            assertNotRetriedAfterDisconnect(gateway, submitRequest("left", LONG_TIMEOUT_MILLIS, "x"), clientLeft, firstServer, secondServer);
         }
     }
 
     /** The hedge of a request falls due in the stall in which its client disconnects. */
     @Test
-    void aHedgeDoesNotGoOutForAClientThatLeftDuringTheStall() throws Exception {
-        Path operator = Files.writeString(folder.resolve("operator.toml"), "[class.status.second_copy]\nafter = \"" + STALL_MILLIS / 2
+    void noHedgeIsSentForAClientThatLeftDuringTheStall() throws Exception {
+        Path operatorFile = Files.writeString(folder.resolve("operator.toml"), "[class.status.second_copy]\nafter = \"" + STALL_MILLIS / 2
                 + "ms\"\nbudget = { share = 1.0 }\n");
-        ScriptedHost.Script silentToTheFirst = (socket, request) -> {
+        ScriptedServer.Script answerOnlyLast = (socket, request) -> {
             if (request.header("X-Request-ID").equals("last")) {
-                SERVES.answer(socket, request);
+                SERVE_OK.answer(socket, request);
             }
         };
-        try (ScriptedHost one = new ScriptedHost(silentToTheFirst); ScriptedHost other = new ScriptedHost(silentToTheFirst);
-                GatewayProcess gateway = GatewayProcess.start(folder, Map.of("LB_OPERATOR", operator.toString()), one, other)) {
-            leaveInAStall(gateway, status("left", LONG_MILLIS), new CountDownLatch(1), one, other);
+        try (ScriptedServer firstServer = new ScriptedServer(answerOnlyLast); ScriptedServer secondServer = new ScriptedServer(answerOnlyLast);
+                GatewayProcess gateway = GatewayProcess.start(folder, Map.of("LB_OPERATOR", operatorFile.toString()), firstServer, secondServer)) {
+            assertNotRetriedAfterDisconnect(gateway, statusRequest("left", LONG_TIMEOUT_MILLIS), new CountDownLatch(1), firstServer, secondServer);
         }
     }
 
@@ -192,21 +192,21 @@
      * Sends a request, disconnects while the gateway is stopped after its first attempt, and asserts that no other server
      * gets it.
      */
-    private void leaveInAStall(GatewayProcess gateway, String request, CountDownLatch left, ScriptedHost one, ScriptedHost other)
+    private void assertNotRetriedAfterDisconnect(GatewayProcess gateway, String request, CountDownLatch clientLeft, ScriptedServer firstServer, ScriptedServer secondServer)
             throws Exception {
-        Client client = gateway.client();
+        Client client = gateway.connectClient();
         client.write(request);
-        await("the first attempt", () -> one.requests.size() + other.requests.size() == 1);
+        await("the first attempt", () -> firstServer.requests.size() + secondServer.requests.size() == 1);
         gateway.pause();
         client.socket.close();
-        left.countDown();
+        clientLeft.countDown();
         TimeUnit.MILLISECONDS.sleep(STALL_MILLIS);
         gateway.resume();
         assertServes(gateway, "last");
         TimeUnit.MILLISECONDS.sleep(STALL_MILLIS);
-        List<String> all = new ArrayList<>(ids(one));
-        all.addAll(ids(other));
-        assertEquals(1, all.stream().filter("left"::equals).count(), gateway.log());
+        List<String> allIds = new ArrayList<>(requestIds(firstServer));
+        allIds.addAll(requestIds(secondServer));
+        assertEquals(1, allIds.stream().filter("left"::equals).count(), gateway.log());
     }
 
     /**
@@ -215,37 +215,37 @@
      */
     @Test
     void aRequestDoesNotGoToAServerThatWasDrainedDuringTheStall() throws Exception {
-        CountDownLatch drains = new CountDownLatch(1);
-        CountDownLatch told = new CountDownLatch(1);
-        try (ScriptedHost drained = new ScriptedHost(SERVES); ScriptedHost stays = new ScriptedHost(SERVES);
-                ScriptedHost discovery = new ScriptedHost((socket, request) -> {
-                    GatewayFixture.startWatch(socket);
-                    GatewayFixture.line(socket, GatewayFixture.list(2, false, List.of()));
-                    ScriptedHost.await(drains);
-                    GatewayFixture.line(socket, GatewayFixture.list(3, false, List.of(GatewayFixture.entry("s-0", drained,
+        CountDownLatch startDraining = new CountDownLatch(1);
+        CountDownLatch drainingSent = new CountDownLatch(1);
+        try (ScriptedServer drainingServer = new ScriptedServer(SERVE_OK); ScriptedServer upServer = new ScriptedServer(SERVE_OK);
+                ScriptedServer discovery = new ScriptedServer((socket, request) -> {
+                    GatewayFixture.startWatchResponse(socket);
+                    GatewayFixture.sendWatchLine(socket, GatewayFixture.endpointListJson(2, false, List.of()));
+                    ScriptedServer.await(startDraining);
+                    GatewayFixture.sendWatchLine(socket, GatewayFixture.endpointListJson(3, false, List.of(GatewayFixture.endpointJson("s-0", drainingServer,
                             "draining", 0))));
-                    told.countDown();
+                    drainingSent.countDown();
                 });
-                GatewayProcess gateway = GatewayProcess.start(folder, Map.of("LB_DISCOVERY", discovery.addressText()), drained, stays)) {
+                GatewayProcess gateway = GatewayProcess.start(folder, Map.of("LB_DISCOVERY", discovery.addressText()), drainingServer, upServer)) {
             List<Client> clients = new ArrayList<>();
-            for (int i = 0; i < CLIENTS; i++) {
-                clients.add(gateway.client());
-                assertTrue(clients.get(i).ask(status("before-" + i, LONG_MILLIS)).firstLine().contains(" 200 "));
+            for (int i = 0; i < CLIENT_COUNT; i++) {
+                clients.add(gateway.connectClient());
+                assertTrue(clients.get(i).exchange(statusRequest("before-" + i, LONG_TIMEOUT_MILLIS)).firstLine().contains(" 200 "));
             }
-            assertTrue(!drained.requests.isEmpty(), "it serves as long as it is up");
+            assertTrue(!drainingServer.requests.isEmpty(), "it serves as long as it is up");
             gateway.pause();
             for (Client client : clients) {
-                client.write(status("after", LONG_MILLIS).replace("after", "after-" + clients.indexOf(client)));
+                client.write(statusRequest("after", LONG_TIMEOUT_MILLIS).replace("after", "after-" + clients.indexOf(client)));
             }
-            assertEquals(CLIENTS, drained.requests.size() + stays.requests.size(), "what comes before the drain is no breach of it");
-            drains.countDown();
-            assertTrue(told.await(LONG_MILLIS, TimeUnit.MILLISECONDS));
+            assertEquals(CLIENT_COUNT, drainingServer.requests.size() + upServer.requests.size(), "what comes before the drain is no breach of it");
+            startDraining.countDown();
+            assertTrue(drainingSent.await(LONG_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS));
             TimeUnit.MILLISECONDS.sleep(2 * STALL_MILLIS);
             gateway.resume();
             for (Client client : clients) {
                 assertTrue(client.read().firstLine().contains(" 200 "), gateway.log());
             }
-            assertEquals(List.of(), ids(drained).stream().filter(id -> id.startsWith("after")).toList(), gateway.log());
+            assertEquals(List.of(), requestIds(drainingServer).stream().filter(id -> id.startsWith("after")).toList(), gateway.log());
         }
     }
 
@@ -255,30 +255,30 @@
      */
     @Test
     void aRequestDoesNotGoOutOnAConnectionThatCameUpDuringTheStallToAServerThatWasDrained() throws Exception {
-        CountDownLatch drains = new CountDownLatch(1);
-        CountDownLatch told = new CountDownLatch(1);
-        try (ScriptedHost drained = ScriptedHost.late(SERVES);
-                ScriptedHost discovery = new ScriptedHost((socket, request) -> {
-                    GatewayFixture.startWatch(socket);
-                    GatewayFixture.line(socket, GatewayFixture.list(2, false, List.of()));
-                    ScriptedHost.await(drains);
-                    GatewayFixture.line(socket, GatewayFixture.list(3, false, List.of(GatewayFixture.entry("s-0", drained,
+        CountDownLatch startDraining = new CountDownLatch(1);
+        CountDownLatch drainingSent = new CountDownLatch(1);
+        try (ScriptedServer drainingServer = ScriptedServer.withFullBacklog(SERVE_OK);
+                ScriptedServer discovery = new ScriptedServer((socket, request) -> {
+                    GatewayFixture.startWatchResponse(socket);
+                    GatewayFixture.sendWatchLine(socket, GatewayFixture.endpointListJson(2, false, List.of()));
+                    ScriptedServer.await(startDraining);
+                    GatewayFixture.sendWatchLine(socket, GatewayFixture.endpointListJson(3, false, List.of(GatewayFixture.endpointJson("s-0", drainingServer,
                             "draining", 0))));
-                    told.countDown();
+                    drainingSent.countDown();
                 });
-                GatewayProcess gateway = GatewayProcess.start(folder, Map.of("LB_DISCOVERY", discovery.addressText()), drained)) {
-            Client client = gateway.client();
-            client.write(submit("waits", (int) (4 * STALL_MILLIS), "x"));
+                GatewayProcess gateway = GatewayProcess.start(folder, Map.of("LB_DISCOVERY", discovery.addressText()), drainingServer)) {
+            Client client = gateway.connectClient();
+            client.write(submitRequest("waits", (int) (4 * STALL_MILLIS), "x"));
             TimeUnit.MILLISECONDS.sleep(STALL_MILLIS);
             gateway.pause();
-            drained.comesUp();
-            await("its connection", () -> drained.dialled() >= 1);
-            drains.countDown();
-            assertTrue(told.await(LONG_MILLIS, TimeUnit.MILLISECONDS));
+            drainingServer.startAccepting();
+            await("its connection", () -> drainingServer.countGatewayConnections() >= 1);
+            startDraining.countDown();
+            assertTrue(drainingSent.await(LONG_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS));
             TimeUnit.MILLISECONDS.sleep(STALL_MILLIS);
             gateway.resume();
             assertTrue(client.read().firstLine().contains(" 503 "), gateway.log());
-            assertEquals(List.of(), ids(drained));
+            assertEquals(List.of(), requestIds(drainingServer));
         }
     }
 }
--- a/src/test/java/cinderhollow/daemon/StartFaultsTest.java
+++ b/src/test/java/cinderhollow/daemon/StartFaultsTest.java
@@ -12,17 +12,17 @@
  * only checked exceptions as its own failure.
  */
 class StartFaultsTest {
-    private static final int PERCENT = 40;
+    private static final int FAULT_PERCENT = 40;
 
     @TempDir
     private Path folder;
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
-    void aStartComesUpThoughSocketsCannotBeHadAtFirst(long seed) throws Exception {
-        try (ScriptedHost server = new ScriptedHost(ScriptedHost.reply("200 OK", "served"));
-                GatewayProcess gateway = GatewayProcess.start(folder, SystemCallFaults.environment(folder, PERCENT, seed, 0), server)) {
-            gateway.client().socket.close(); // start() has waited until the process is ready
+    void aGatewayStartsThoughSocketsCannotBeOpenedAtFirst(long seed) throws Exception {
+        try (ScriptedServer server = new ScriptedServer(ScriptedServer.reply("200 OK", "served"));
+                GatewayProcess gateway = GatewayProcess.start(folder, SystemCallFaults.faultEnvironment(folder, FAULT_PERCENT, seed, 0), server)) {
+            gateway.connectClient().socket.close(); // start() has waited until the process is ready
         }
     }
 }
--- a/src/test/java/cinderhollow/daemon/SystemCallFaults.java
+++ b/src/test/java/cinderhollow/daemon/SystemCallFaults.java
@@ -12,15 +12,15 @@
     private SystemCallFaults() { }
 
     /** Returns an environment in which {@code percent} of the calls on files fail for {@code durationSeconds}, and no others. */
-    static Map<String, String> ofFiles(Path folder, int percent, long seed, int forSeconds) throws Exception {
-        Map<String, String> environment = new HashMap<>(environment(folder, 0, seed, 0));
+    static Map<String, String> fileFaultEnvironment(Path folder, int percent, long seed, int durationSeconds) throws Exception {
+        Map<String, String> environment = new HashMap<>(faultEnvironment(folder, 0, seed, 0));
         environment.put("SYSCALL_FAULTS_FILES", String.valueOf(percent));
-        environment.put("SYSCALL_FAULTS_UNTIL", String.valueOf(forSeconds));
+        environment.put("SYSCALL_FAULTS_UNTIL", String.valueOf(durationSeconds));
         return environment;
     }
 
     /** Returns an environment in which {@code percent} of the calls fail, from {@code delaySeconds} after the start on. */
-    static Map<String, String> environment(Path folder, int percent, long seed, int afterSeconds) throws Exception {
+    static Map<String, String> faultEnvironment(Path folder, int percent, long seed, int delaySeconds) throws Exception {
         Path library = folder.resolve("libsyscallfaults.so");
         Path errors = folder.resolve("gcc.log");
         Process compiler = new ProcessBuilder("gcc", "-O2", "-shared", "-fPIC", "-o", library.toString(),
@@ -33,6 +33,6 @@
             }
         });
         return Map.of("LD_PRELOAD", library.toString(), "SYSCALL_FAULTS_PERCENT", String.valueOf(percent),
-                "SYSCALL_FAULTS_SEED", String.valueOf(seed), "SYSCALL_FAULTS_AFTER", String.valueOf(afterSeconds));
+                "SYSCALL_FAULTS_SEED", String.valueOf(seed), "SYSCALL_FAULTS_AFTER", String.valueOf(delaySeconds));
     }
 }
--- a/src/test/java/cinderhollow/daemon/RehearsalTest.java
+++ b/src/test/java/cinderhollow/daemon/WarmUpTest.java
@@ -16,27 +16,27 @@
 import org.junit.jupiter.api.Test;
 
 /** The warm-up before a gateway listens ends in any case, and leaves no files behind. */
-class RehearsalTest {
+class WarmUpTest {
     private static GatewayConfig config() throws IOException {
         String settings = GatewayFixture.SETTINGS.replace("IDLE", "15000000000");
-        InetSocketAddress nowhere = new InetSocketAddress("127.0.0.1", 1);
+        InetSocketAddress unusedAddress = new InetSocketAddress("127.0.0.1", 1);
         return GatewayConfig.read(Json.read("{\"seed\":\"2a\",\"settings\":" + settings + "}"),
-                nowhere, nowhere, null);
+                unusedAddress, unusedAddress, null);
     }
 
     /** Returns the warm-up folders of this process; other processes on the machine may be warming up at the same time. */
-    private static List<Path> folders() throws IOException {
-        String own = "rehearsal-" + ProcessHandle.current().pid() + "-";
+    private static List<Path> warmUpFolders() throws IOException {
+        String ownPrefix = "rehearsal-" + ProcessHandle.current().pid() + "-";
         try (var files = Files.list(Path.of(System.getProperty("java.io.tmpdir")))) {
-            return files.filter(f -> f.getFileName().toString().startsWith(own)).toList();
+            return files.filter(f -> f.getFileName().toString().startsWith(ownPrefix)).toList();
         }
     }
 
     @Test
-    void isPlayedToItsEndAndLeavesNothing() throws Exception {
-        List<Path> before = folders();
-        assertTrue(WarmUp.run(config(), GatewayFixture.PATIENCE_MILLIS * 6));
-        assertEquals(before, folders());
+    void runsToItsEndAndLeavesNoFiles() throws Exception {
+        List<Path> before = warmUpFolders();
+        assertTrue(WarmUp.run(config(), GatewayFixture.TIMEOUT_MILLIS * 6));
+        assertEquals(before, warmUpFolders());
     }
 
     /**
@@ -44,17 +44,17 @@
      * limit.
      */
     @Test
-    void isPlayedWithinTheProcessWhereNobodyComesToSockets() throws Exception {
-        List<Path> before = folders();
-        Transport deaf = new Transport(Transport.UNIX_DOMAIN.serverChannelType(), NeverConnects.class);
+    void runsInProcessWhereNoConnectionComesUp() throws Exception {
+        List<Path> before = warmUpFolders();
+        Transport neverConnecting = new Transport(Transport.UNIX_DOMAIN.serverChannelType(), NeverConnectingChannel.class);
         long start = System.nanoTime();
-        assertTrue(WarmUp.run(config(), deaf, 60_000));
+        assertTrue(WarmUp.run(config(), neverConnecting, 60_000));
         assertTrue(System.nanoTime() - start < 30_000_000_000L, "the warm-up waited for a connection that is never established");
-        assertEquals(before, folders());
+        assertEquals(before, warmUpFolders());
     }
 
     /** A client channel whose connect never completes. */
-    public static final class NeverConnects extends NioSocketChannel {
+    public static final class NeverConnectingChannel extends NioSocketChannel {
         @Override
         protected boolean doConnect(SocketAddress remote, SocketAddress local) {
             return false;
@@ -62,9 +62,9 @@
     }
 
     @Test
-    void isCutShortWhereItTakesTooLong() throws Exception {
-        List<Path> before = folders();
+    void isStoppedWhereItTakesTooLong() throws Exception {
+        List<Path> before = warmUpFolders();
         assertFalse(WarmUp.run(config(), 1));
-        assertEquals(before, folders());
+        assertEquals(before, warmUpFolders());
     }
 }
