--- a/src/main/java/cinderhollow/cli/CheckCommand.java
+++ b/src/main/java/cinderhollow/cli/CheckCommand.java
@@ -18,7 +18,8 @@
     @Parameters(paramLabel = "FILE", description = "the operator's file")
     private Path operatorFile;
 
-    @Option(names = "--config", paramLabel = "CONFIG", description = "a gateway's JSON file, whose settings limit the operator's file "
+    @Option(names = "--config", paramLabel = "CONFIG", description =
+            "a gateway's JSON file, whose settings limit the operator's file "
             + "(default: a deployment with the classes status and submit)")
     private Path configFile;
 
--- a/src/main/java/cinderhollow/cli/Commands.java
+++ b/src/main/java/cinderhollow/cli/Commands.java
@@ -2,16 +2,17 @@
 
 import cinderhollow.lab.Lab;
 import java.io.PrintWriter;
+import picocli.CommandLine;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Spec;
-import picocli.CommandLine;
 
 /** The root command, with all subcommands except {@code serve} and {@code simhost}, which {@link Main} runs itself. */
 @Command(name = "cinderhollow", mixinStandardHelpOptions = true, version = "cinderhollow 0.1.0",
         description = "A load-balancing gateway for server fleets, and a lab to test it.",
-        subcommands = {DemoCommand.class, RunCommand.class, CheckCommand.class, LedgerCommand.class, ZoneCommand.class, LabCommand.class, EmulateCommand.class,
+        subcommands = {DemoCommand.class, RunCommand.class, CheckCommand.class, LedgerCommand.class, ZoneCommand.class,
+        LabCommand.class, EmulateCommand.class,
             Commands.Serve.class, Commands.Simhost.class})
 final class Commands implements Runnable {
     @Spec
--- a/src/main/java/cinderhollow/cli/DemoCommand.java
+++ b/src/main/java/cinderhollow/cli/DemoCommand.java
@@ -1,10 +1,10 @@
 package cinderhollow.cli;
 
+import cinderhollow.lab.FaultPlan;
+import cinderhollow.lab.FleetConfig;
 import cinderhollow.lab.GatewayProcess;
 import cinderhollow.lab.Lab;
-import cinderhollow.lab.FaultPlan;
 import cinderhollow.lab.Report;
-import cinderhollow.lab.FleetConfig;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
--- a/src/main/java/cinderhollow/cli/EmulateCommand.java
+++ b/src/main/java/cinderhollow/cli/EmulateCommand.java
@@ -24,10 +24,12 @@
     @Option(names = "--nodes", defaultValue = "65", description = "how many nodes (default: ${DEFAULT-VALUE})")
     private int nodes;
 
-    @Option(names = "--seconds", defaultValue = "25", description = "length of each run, in virtual seconds (default: ${DEFAULT-VALUE})")
+    @Option(names = "--seconds", defaultValue = "25", description =
+            "length of each run, in virtual seconds (default: ${DEFAULT-VALUE})")
     private int seconds;
 
-    @Option(names = "--load", defaultValue = "0.6", description = "offered load as a fraction of the nodes' capacity (default: ${DEFAULT-VALUE})")
+    @Option(names = "--load", defaultValue = "0.6", description =
+            "offered load as a fraction of the nodes' capacity (default: ${DEFAULT-VALUE})")
     private double load;
 
     @Option(names = "--seeds", defaultValue = "4", description = "number of seeds, each one run (default: ${DEFAULT-VALUE})")
@@ -76,12 +78,14 @@
         Emulation emulation = new Emulation(scenario, seed);
         Emulation.Result result = emulation.run();
         if (printPerSecond) {
-            Commands.print(spec, "seed " + seed + ":" + Arrays.stream(emulation.inTimeRatioBySecond()).mapToObj(part -> " " + Math.round(100 * part))
+            Commands.print(spec, "seed " + seed + ":" + Arrays.stream(emulation.inTimeRatioBySecond())
+                    .mapToObj(part -> " " + Math.round(100 * part))
                     .collect(Collectors.joining()));
         }
         if (peering) {
             Scenario.Fault f = scenario.fault();
-            Emulation.EvacuationReport leaving = f == null ? emulation.measureEvacuation(0, seconds) : emulation.measureEvacuation(f.fromSecond(), f.seconds());
+            Emulation.EvacuationReport leaving = f == null ? emulation.measureEvacuation(0, seconds)
+                    : emulation.measureEvacuation(f.fromSecond(), f.seconds());
             Commands.print(spec, "seed " + seed + ": " + leaving);
             if (printZoneLog) {
                 emulation.logLines().stream().filter(line -> line.contains("zone=")).forEach(line -> Commands.print(spec, line));
@@ -94,7 +98,8 @@
         String[] parts = text.split(":", -1);
         try {
             if (parts.length == 4 || parts.length == 5) {
-                return new Scenario.Fault(Scenario.FaultKind.valueOf(parts[0].toUpperCase(Locale.ROOT)), Double.parseDouble(parts[1]),
+                return new Scenario.Fault(Scenario.FaultKind.valueOf(parts[0].toUpperCase(Locale.ROOT)),
+                        Double.parseDouble(parts[1]),
                         Double.parseDouble(parts[2]), Double.parseDouble(parts[3]),
                         parts.length == 5 ? Double.parseDouble(parts[4]) : 1);
             }
--- a/src/main/java/cinderhollow/cli/FleetOptions.java
+++ b/src/main/java/cinderhollow/cli/FleetOptions.java
@@ -12,7 +12,8 @@
     @Option(names = "--nodes", defaultValue = "9", description = "stand-in nodes (default: ${DEFAULT-VALUE})")
     private int nodes;
 
-    @Option(names = "--gateways", defaultValue = "3", description = "gateways, each a process of its own (default: ${DEFAULT-VALUE})")
+    @Option(names = "--gateways", defaultValue = "3", description =
+            "gateways, each a process of its own (default: ${DEFAULT-VALUE})")
     private int gateways;
 
     @Option(names = "--operator", paramLabel = "FILE", description = "the operator's file for the gateways")
@@ -27,7 +28,8 @@
     FleetConfig buildSite(long seconds, long seed) {
         FleetConfig site = FleetConfig.withDefaults(nodes, gateways, rate, seconds, seed);
         return operatorFile == null ? site
-                : site.withOperatorFile(new FleetConfig.OperatorFile(operatorFile.toAbsolutePath().toString(), everySecondGateway));
+                : site.withOperatorFile(new FleetConfig.OperatorFile(operatorFile.toAbsolutePath().toString(),
+                everySecondGateway));
     }
 
     int nodes() {
--- a/src/main/java/cinderhollow/cli/LabCommand.java
+++ b/src/main/java/cinderhollow/cli/LabCommand.java
@@ -1,7 +1,7 @@
 package cinderhollow.cli;
 
-import cinderhollow.lab.LoadBenchmark;
 import cinderhollow.lab.FaultPlan;
+import cinderhollow.lab.LoadBenchmark;
 import cinderhollow.lab.SingleNode;
 import cinderhollow.lab.StartupBenchmark;
 import java.io.IOException;
@@ -50,10 +50,12 @@
     @Command(name = "soak", mixinStandardHelpOptions = true, sortOptions = false,
             description = "A long run with a random fault every few seconds; the seed determines the faults.")
     static final class Soak implements Callable<Integer> {
-        @Option(names = "--seconds", defaultValue = "600", description = "length of the run in seconds (default: ${DEFAULT-VALUE})")
+        @Option(names = "--seconds", defaultValue = "600", description =
+                "length of the run in seconds (default: ${DEFAULT-VALUE})")
         private long seconds;
 
-        @Option(names = "--seed", defaultValue = "1", description = "seed of the plan and of the arrivals (default: ${DEFAULT-VALUE})")
+        @Option(names = "--seed", defaultValue = "1", description =
+                "seed of the plan and of the arrivals (default: ${DEFAULT-VALUE})")
         private long seed;
 
         @Option(names = "--faults", split = ",", paramLabel = "KIND",
@@ -83,13 +85,16 @@
         @Option(names = "--nodes", defaultValue = "10", description = "nodes in the list (default: ${DEFAULT-VALUE})")
         private int nodes;
 
-        @Option(names = "--connections", defaultValue = "64", description = "number of clients, each with a connection (default: ${DEFAULT-VALUE})")
+        @Option(names = "--connections", defaultValue = "64", description =
+                "number of clients, each with a connection (default: ${DEFAULT-VALUE})")
         private int connections;
 
-        @Option(names = "--seconds", defaultValue = "10", description = "length of the measurement in seconds (default: ${DEFAULT-VALUE})")
+        @Option(names = "--seconds", defaultValue = "10", description =
+                "length of the measurement in seconds (default: ${DEFAULT-VALUE})")
         private int seconds;
 
-        @Option(names = "--warm-up", defaultValue = "3", description = "seconds of load before the measurement (default: ${DEFAULT-VALUE})")
+        @Option(names = "--warm-up", defaultValue = "3", description =
+                "seconds of load before the measurement (default: ${DEFAULT-VALUE})")
         private int warmUp;
 
         @Option(names = "--relay", description = "measure a plain byte relay in place of the gateway")
@@ -101,7 +106,8 @@
         @Option(names = "--cpu", paramLabel = "N", description = "pin the measured process to these cores, such as 4 or 4-7")
         private String cpus;
 
-        @Option(names = "--changes", defaultValue = "0", description = "changes of the list of nodes per second (default: ${DEFAULT-VALUE})")
+        @Option(names = "--changes", defaultValue = "0", description =
+                "changes of the list of nodes per second (default: ${DEFAULT-VALUE})")
         private int changes;
 
         @Option(names = "--operator", paramLabel = "FILE", description = "the operator's file for the gateway")
@@ -116,7 +122,8 @@
         @Override
         public Integer call() throws IOException, InterruptedException, ExecutionException {
             try (LoadBenchmark load = new LoadBenchmark(nodes, connections,
-                    codec ? LoadBenchmark.Target.CODEC : relay ? LoadBenchmark.Target.RELAY : LoadBenchmark.Target.GATEWAY, changes, cpus,
+                    codec ? LoadBenchmark.Target.CODEC : relay ? LoadBenchmark.Target.RELAY : LoadBenchmark.Target.GATEWAY,
+                    changes, cpus,
                     operatorFile == null ? null : operatorFile.toAbsolutePath().toString(), javaFlags)) {
                 Runtime.getRuntime().addShutdownHook(new Thread(load::close));
                 Commands.print(spec, load.run(warmUp, seconds));
@@ -129,19 +136,23 @@
     @Command(name = "start", mixinStandardHelpOptions = true, sortOptions = false,
             description = "Measure the CPU time of a gateway's start until it is ready; with --vs of two commands, alternately.")
     static final class Start implements Callable<Integer> {
-        @Option(names = "--command", required = true, paramLabel = "COMMAND", description = "the command that starts it, as run in deploy/balancer.toml")
+        @Option(names = "--command", required = true, paramLabel = "COMMAND", description =
+                "the command that starts it, as run in deploy/balancer.toml")
         private String command;
 
-        @Option(names = "--folder", defaultValue = ".", description = "working directory of the command (default: ${DEFAULT-VALUE})")
+        @Option(names = "--folder", defaultValue = ".", description =
+                "working directory of the command (default: ${DEFAULT-VALUE})")
         private Path folder;
 
         @Option(names = "--vs", paramLabel = "COMMAND", description = "the command to compare with")
         private String otherCommand;
 
-        @Option(names = "--vs-folder", defaultValue = ".", description = "working directory of that command (default: ${DEFAULT-VALUE})")
+        @Option(names = "--vs-folder", defaultValue = ".", description =
+                "working directory of that command (default: ${DEFAULT-VALUE})")
         private Path otherFolder;
 
-        @Option(names = "--runs", defaultValue = "15", description = "number of starts of each command (default: ${DEFAULT-VALUE})")
+        @Option(names = "--runs", defaultValue = "15", description =
+                "number of starts of each command (default: ${DEFAULT-VALUE})")
         private int runs;
 
         @Spec
@@ -155,7 +166,8 @@
     }
 
     /** Runs the byte relay that serves as the baseline for measurements of a gateway. */
-    @Command(name = "relay", hidden = true, description = "Forward bytes, with one connection to the node for each client connection.")
+    @Command(name = "relay", hidden = true, description =
+            "Forward bytes, with one connection to the node for each client connection.")
     static final class Relay implements Callable<Integer> {
         @Option(names = "--listen", required = true)
         private int listen;
--- a/src/main/java/cinderhollow/cli/LabFaultSoakCommand.java
+++ b/src/main/java/cinderhollow/cli/LabFaultSoakCommand.java
@@ -1,9 +1,9 @@
 package cinderhollow.cli;
 
+import cinderhollow.lab.FaultPlan;
 import cinderhollow.lab.FaultSoak;
 import cinderhollow.lab.GatewayProcess;
 import cinderhollow.lab.Lab;
-import cinderhollow.lab.FaultPlan;
 import cinderhollow.lab.Report;
 import java.io.IOException;
 import java.nio.file.Files;
@@ -29,7 +29,8 @@
 final class LabFaultSoakCommand implements Callable<Integer> {
     private static final String SEED_RANGE_PATTERN = "\\d+\\.\\.\\d+";
 
-    @Option(names = "--seeds", defaultValue = "1..10", paramLabel = "A..B", description = "the range of seeds (default: ${DEFAULT-VALUE})")
+    @Option(names = "--seeds", defaultValue = "1..10", paramLabel = "A..B", description =
+            "the range of seeds (default: ${DEFAULT-VALUE})")
     private String seeds;
 
     @Option(names = "--gateways", defaultValue = "12", description = "how many (default: ${DEFAULT-VALUE})")
@@ -41,20 +42,24 @@
     @Option(names = "--rate", defaultValue = "300", description = "requests a second (default: ${DEFAULT-VALUE})")
     private double rate;
 
-    @Option(names = "--seconds", defaultValue = "20", description = "length of the run for each seed, in seconds (default: ${DEFAULT-VALUE})")
+    @Option(names = "--seconds", defaultValue = "20", description =
+            "length of the run for each seed, in seconds (default: ${DEFAULT-VALUE})")
     private long seconds;
 
-    @Option(names = "--impatient", defaultValue = "0.1", description = "fraction of the clients that leave early (default: ${DEFAULT-VALUE})")
+    @Option(names = "--impatient", defaultValue = "0.1", description =
+            "fraction of the clients that leave early (default: ${DEFAULT-VALUE})")
     private double impatient;
 
     @Option(names = "--preload", paramLabel = "LIBRARY", description = "a library that makes system calls of the gateways fail "
             + "(src/test/c/syscall_faults.c)")
     private Path preloadLibrary;
 
-    @Option(names = "--percent", defaultValue = "5", description = "with --preload: percentage of the calls that fail (default: ${DEFAULT-VALUE})")
+    @Option(names = "--percent", defaultValue = "5", description =
+            "with --preload: percentage of the calls that fail (default: ${DEFAULT-VALUE})")
     private int percent;
 
-    @Option(names = "--out", paramLabel = "FOLDER", description = "where to write the plan, the report and the gateways' logs of each seed "
+    @Option(names = "--out", paramLabel = "FOLDER", description =
+            "where to write the plan, the report and the gateways' logs of each seed "
             + "that breaks a rule")
     private Path outputDirectory;
 
@@ -73,19 +78,23 @@
                 failedSeeds.add(seed);
             }
         }
-        Commands.print(spec, failedSeeds.isEmpty() ? "fault soak: no rule broken with seeds " + seeds : "fault soak: rules broken with seeds " + failedSeeds);
+        Commands.print(spec, failedSeeds.isEmpty() ? "fault soak: no rule broken with seeds " + seeds
+                : "fault soak: rules broken with seeds " + failedSeeds);
         return failedSeeds.isEmpty() ? 0 : DemoCommand.EXIT_RULES_BROKEN;
     }
 
     private boolean runSeed(long seed) throws IOException, InterruptedException, ExecutionException {
         FaultSoak soak = new FaultSoak(nodes, gateways, rate, seconds, impatient);
         FaultPlan plan = soak.plan(seed);
-        try (Lab lab = new Lab(soak.fleetConfig(seed), plan, GatewayProcess.launcher(GatewayProcess.DEPLOYMENT_JVM_FLAGS, buildEnvironment(seed)), second -> { })) {
+        try (Lab lab = new Lab(soak.fleetConfig(seed), plan,
+                GatewayProcess.launcher(GatewayProcess.DEPLOYMENT_JVM_FLAGS, buildEnvironment(seed)), second -> { })) {
             Commands.closeOnExit(lab);
             Report report = lab.run();
             boolean passed = report.isClean() && report.openMalformedConnections() == 0;
-            Commands.print(spec, String.format(Locale.ROOT, "seed %d: %s; %d asked, %d served, %d late, %d bad clients not ended, "
-                    + "lab late by %.0f ms", seed, passed ? "clean" : "rules broken", report.requests(), report.served(), report.answeredLate(),
+            Commands.print(spec, String.format(Locale.ROOT,
+                    "seed %d: %s; %d asked, %d served, %d late, %d bad clients not ended, "
+                    + "lab late by %.0f ms", seed, passed ? "clean" : "rules broken", report.requests(), report.served(),
+                    report.answeredLate(),
                     report.openMalformedConnections(), report.worstLatenessMillis()));
             if (!passed) {
                 Commands.print(spec, report);
@@ -97,7 +106,8 @@
     }
 
     private String rerunCommand(long seed) {
-        return String.format(Locale.ROOT, "lab fault-soak --seeds %d..%d --gateways %d --nodes %d --rate %s --seconds %d --impatient %s",
+        return String.format(Locale.ROOT,
+                "lab fault-soak --seeds %d..%d --gateways %d --nodes %d --rate %s --seconds %d --impatient %s",
                 seed, seed, gateways, nodes, rate, seconds, impatient)
                 + (preloadLibrary == null ? "" : " --preload " + preloadLibrary + " --percent " + percent);
     }
--- a/src/main/java/cinderhollow/cli/LedgerCommand.java
+++ b/src/main/java/cinderhollow/cli/LedgerCommand.java
@@ -36,7 +36,8 @@
         @Option(names = "--admin", required = true, paramLabel = "ADDRESS", description = "one gateway's admin listener")
         private String adminAddress;
 
-        @Option(names = "--fleet", required = true, split = ",", paramLabel = "ADDRESS", description = "the admin listeners of several gateways, whose totals are added up")
+        @Option(names = "--fleet", required = true, split = ",", paramLabel = "ADDRESS", description =
+                "the admin listeners of several gateways, whose totals are added up")
         private List<String> fleetAddresses;
     }
 
--- a/src/main/java/cinderhollow/cli/RunCommand.java
+++ b/src/main/java/cinderhollow/cli/RunCommand.java
@@ -1,7 +1,7 @@
 package cinderhollow.cli;
 
-import cinderhollow.daemon.GatewayDaemon;
 import cinderhollow.daemon.CommandLineConfig;
+import cinderhollow.daemon.GatewayDaemon;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -31,18 +31,22 @@
                 "keyed (POST with Idempotency-Key); AIM and DEADLINE as 150ms or 2s (default: 500ms, 2s)"})
     private List<String> classSpecs = new ArrayList<>();
 
-    @Option(names = "--classes", paramLabel = "FILE", description = "a file with one class per line, in the form of --class; # starts a comment")
+    @Option(names = "--classes", paramLabel = "FILE", description =
+            "a file with one class per line, in the form of --class; # starts a comment")
     private Path classesFile;
 
-    @Option(names = "--operator", paramLabel = "FILE", description = "an operator's file with routes, timeouts, attempts; see check")
+    @Option(names = "--operator", paramLabel = "FILE", description =
+            "an operator's file with routes, timeouts, attempts; see check")
     private String operatorFile;
 
     /** The source of the nodes: a fixed list, or a discovery service. */
     static final class NodeSource {
-        @Option(names = "--nodes", required = true, split = ",", paramLabel = "HOST:PORT", description = "the nodes, as a fixed list")
+        @Option(names = "--nodes", required = true, split = ",", paramLabel = "HOST:PORT", description =
+                "the nodes, as a fixed list")
         private List<String> nodes = new ArrayList<>();
 
-        @Option(names = "--discovery", required = true, paramLabel = "HOST:PORT", description = "the discovery service that has the list of nodes")
+        @Option(names = "--discovery", required = true, paramLabel = "HOST:PORT", description =
+                "the discovery service that has the list of nodes")
         private String discoveryAddress;
     }
 
@@ -53,7 +57,8 @@
             Files.readAllLines(classesFile).stream().map(String::strip).filter(line -> !line.isEmpty() && !line.startsWith("#"))
                     .forEach(allClassSpecs::add);
         }
-        GatewayDaemon.serve(new CommandLineConfig(listenAddress, nodeSource.discoveryAddress, nodeSource.nodes, allClassSpecs, operatorFile));
+        GatewayDaemon.serve(new CommandLineConfig(listenAddress, nodeSource.discoveryAddress, nodeSource.nodes, allClassSpecs,
+                operatorFile));
         return Commands.KEEPS_RUNNING;
     }
 }
--- a/src/main/java/cinderhollow/cli/ZoneCommand.java
+++ b/src/main/java/cinderhollow/cli/ZoneCommand.java
@@ -25,7 +25,8 @@
     @Option(names = "--admin", required = true, paramLabel = "ADDRESS", description = "one gateway's admin listener")
     private String adminAddress;
 
-    @Option(names = "--minutes", defaultValue = "60", description = "how long the order is valid, in minutes (default: ${DEFAULT-VALUE})")
+    @Option(names = "--minutes", defaultValue = "60", description =
+            "how long the order is valid, in minutes (default: ${DEFAULT-VALUE})")
     private long minutes;
 
     @Spec
@@ -40,7 +41,8 @@
                     throw new ParameterException(spec.commandLine(), "an order needs a ZONE");
                 }
                 AdminClient.order(adminAddress, action, zone, TimeUnit.MINUTES.toMillis(minutes));
-                Commands.print(spec, "ordered: " + action + " " + zone + " for " + minutes + " minutes; 'zone status' lists the members that have not received it");
+                Commands.print(spec, "ordered: " + action + " " + zone + " for " + minutes
+                        + " minutes; 'zone status' lists the members that have not received it");
             }
             default -> throw new ParameterException(spec.commandLine(), "unknown action: " + action);
         }
--- a/src/main/java/cinderhollow/core/EventLoopLag.java
+++ b/src/main/java/cinderhollow/core/EventLoopLag.java
@@ -67,7 +67,8 @@
      * is read after such a tick may therefore have been waiting as long as input that is read before it.
      */
     public long earliestArrival(long now) {
-        boolean lastTickWasLate = secondLastTickAt != NEVER && lastTickAt - secondLastTickAt > TICK_INTERVAL_NANOS + ON_TIME_TOLERANCE_NANOS;
+        boolean lastTickWasLate = secondLastTickAt != NEVER && lastTickAt - secondLastTickAt > TICK_INTERVAL_NANOS
+                + ON_TIME_TOLERANCE_NANOS;
         if (lastTickWasLate) {
             return secondLastTickAt;
         }
--- a/src/main/java/cinderhollow/daemon/Admin.java
+++ b/src/main/java/cinderhollow/daemon/Admin.java
@@ -70,7 +70,8 @@
         if (socketFile != null) {
             removeStaleSocket(socketFile);
         }
-        listener = new ServerBootstrap().group(group).channel((socketFile == null ? Transport.TCP : Transport.UNIX_DOMAIN).serverChannelType())
+        listener = new ServerBootstrap().group(group)
+                .channel((socketFile == null ? Transport.TCP : Transport.UNIX_DOMAIN).serverChannelType())
                 .handler(new AcceptErrorHandler()).childHandler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
@@ -146,7 +147,8 @@
             } else if (requestLine.equals("POST /ledger/acknowledge")) {
                 answerWhenDone(ctx, gateway.acknowledgeBreaches().thenApply(none -> "acknowledged\n"));
             } else if (requestLine.equals("GET /zones")) {
-                answerWhenDone(ctx, gateway.zoneStatus().thenApply(standing -> standing == null ? NO_PEERS_TEXT : standing.formatText()));
+                answerWhenDone(ctx, gateway.zoneStatus()
+                        .thenApply(standing -> standing == null ? NO_PEERS_TEXT : standing.formatText()));
             } else if (requestLine.startsWith("POST /zones/")) {
                 order(ctx, request.uri().substring("/zones/".length()));
             } else {
--- a/src/main/java/cinderhollow/daemon/CommandLineConfig.java
+++ b/src/main/java/cinderhollow/daemon/CommandLineConfig.java
@@ -40,7 +40,8 @@
      * @param classes each as {@code NAME:safe|unsafe|keyed[:AIM[:DEADLINE]]}
      * @param operator path of the operator's file, or null
      */
-    public CommandLineConfig(String listenAddress, String discoveryAddress, List<String> nodes, List<String> classes, String operatorFile) {
+    public CommandLineConfig(String listenAddress, String discoveryAddress, List<String> nodes, List<String> classes,
+            String operatorFile) {
         this.listenAddress = listenAddress;
         this.discoveryAddress = discoveryAddress;
         this.nodes = List.copyOf(nodes);
@@ -93,7 +94,8 @@
     GatewayConfig toGatewayConfig() {
         try {
             SocketAddress discoverySocketAddress = discoveryAddress == null ? null : EndpointList.parseAddress(discoveryAddress);
-            return GatewayConfig.read(Json.of(buildJson()), EndpointList.parseAddress(listenAddress), discoverySocketAddress, operatorFile);
+            return GatewayConfig.read(Json.of(buildJson()), EndpointList.parseAddress(listenAddress), discoverySocketAddress,
+                    operatorFile);
         } catch (IOException e) {
             throw new IllegalArgumentException(e.getMessage(), e);
         }
@@ -122,7 +124,8 @@
         settings.put("resolution_ns", 1_000_000);
         settings.put("grades", classSettings);
         settings.put("allowed", Map.of("max_attempts", 3, "may_cancel", true, "may_duplicate", true,
-                "retry_after", true, "max_retry_after_ns", TimeUnit.SECONDS.toNanos(60), "dial_timeout_ns", TimeUnit.MILLISECONDS.toNanos(500), "conn_idle_ns", TimeUnit.SECONDS.toNanos(15)));
+                "retry_after", true, "max_retry_after_ns", TimeUnit.SECONDS.toNanos(60), "dial_timeout_ns",
+                TimeUnit.MILLISECONDS.toNanos(500), "conn_idle_ns", TimeUnit.SECONDS.toNanos(15)));
         settings.put("obligations", Map.of("drain_grace_ns", TimeUnit.SECONDS.toNanos(1),
                 "ask_within_ns", TimeUnit.SECONDS.toNanos(10), "cold_from", 0.3,
                 "warm_up_ns", TimeUnit.SECONDS.toNanos(10), "overload_factor", 2.5,
--- a/src/main/java/cinderhollow/daemon/EarlierRuns.java
+++ b/src/main/java/cinderhollow/daemon/EarlierRuns.java
@@ -19,7 +19,8 @@
  * @param logLines lines for the log
  * @param segmentsRead segments covered by this, which may be deleted once it has been written to a new segment
  */
-record EarlierRuns(List<EarlierRunTotals> totals, List<JournalRecovery.Orphan> orphans, List<String> logLines, List<Path> segmentsRead) {
+record EarlierRuns(List<EarlierRunTotals> totals, List<JournalRecovery.Orphan> orphans, List<String> logLines,
+        List<Path> segmentsRead) {
     /** Name of the file that lists the orphans: a list longer than a screen is of no use in a log. */
     static final String ORPHANS_FILE = "orphans.txt";
     private static final int MAX_ORPHANS_LOGGED = 20;
@@ -38,7 +39,8 @@
                 }
                 orphans.addAll(latest.orphans());
                 if (latest.lostEntries() > 0) {
-                    logLines.add("the last run could not write " + latest.lostEntries() + " entries to disk, and wrote a checkpoint later");
+                    logLines.add("the last run could not write " + latest.lostEntries()
+                            + " entries to disk, and wrote a checkpoint later");
                 }
             }
         }
--- a/src/main/java/cinderhollow/daemon/EventLoopConfig.java
+++ b/src/main/java/cinderhollow/daemon/EventLoopConfig.java
@@ -21,6 +21,8 @@
         }
         Map<String, Integer> gateways = new HashMap<>();
         subsetPlace.gatewaysByZone().forEach((zone, count) -> gateways.put(zone, count * loopCount));
-        return new EventLoopConfig(1, listenerPerLoop, loop > 0, new FleetPosition(subsetPlace.subsetSize(), gateways, subsetPlace.zone(), subsetPlace.number() * loopCount + loop));
+        return new EventLoopConfig(1, listenerPerLoop, loop > 0,
+                new FleetPosition(subsetPlace.subsetSize(), gateways, subsetPlace.zone(), subsetPlace.number() * loopCount
+                + loop));
     }
 }
--- a/src/main/java/cinderhollow/daemon/Gateway.java
+++ b/src/main/java/cinderhollow/daemon/Gateway.java
@@ -1,65 +1,65 @@
 package cinderhollow.daemon;
 
-import cinderhollow.core.GatewayClock;
 import cinderhollow.core.EventLoopLag;
-import cinderhollow.core.RequestCounters;
+import cinderhollow.core.GatewayClock;
 import cinderhollow.core.LagAwareTimers;
+import cinderhollow.core.RequestCounters;
 import cinderhollow.core.Transport;
+import cinderhollow.evacuation.Order;
+import cinderhollow.evacuation.TrafficObserver;
+import cinderhollow.evacuation.ZoneStatus;
+import cinderhollow.handover.Snapshot;
 import cinderhollow.http1.Acceptor;
+import cinderhollow.http1.DownstreamConnectionManager;
 import cinderhollow.http1.DownstreamConnectionManager.BadRequest;
 import cinderhollow.http1.DownstreamConnectionManager.Reply;
-import cinderhollow.http1.DownstreamConnectionManager;
-import cinderhollow.http1.UpstreamPool;
-import cinderhollow.http1.ResponseSink;
 import cinderhollow.http1.RequestReader;
+import cinderhollow.http1.ResponseSink;
 import cinderhollow.http1.Upload;
-import cinderhollow.evacuation.Order;
-import cinderhollow.evacuation.TrafficObserver;
-import cinderhollow.evacuation.ZoneStatus;
-import cinderhollow.handover.Snapshot;
+import cinderhollow.http1.UpstreamPool;
+import cinderhollow.ledger.Breach;
+import cinderhollow.ledger.JournalFrame;
+import cinderhollow.ledger.Ledger;
+import cinderhollow.ledger.LedgerCounters;
+import cinderhollow.ledger.LedgerMetrics;
+import cinderhollow.ledger.LedgerPlace;
+import cinderhollow.ledger.RequestEnd;
 import cinderhollow.lifecycle.RequestLifecycle;
 import cinderhollow.lifecycle.RequestState;
 import cinderhollow.lifecycle.SampledLog;
 import cinderhollow.lifecycle.SendDecision;
 import cinderhollow.lifecycle.TransitionMonitor;
-import cinderhollow.ledger.Breach;
-import cinderhollow.ledger.RequestEnd;
-import cinderhollow.ledger.LedgerMetrics;
-import cinderhollow.ledger.JournalFrame;
-import cinderhollow.ledger.Ledger;
-import cinderhollow.ledger.LedgerPlace;
-import cinderhollow.ledger.LedgerCounters;
 import cinderhollow.membership.Discovery;
-import cinderhollow.membership.EndpointList.Endpoint;
 import cinderhollow.membership.EndpointList;
+import cinderhollow.membership.EndpointList.Endpoint;
 import cinderhollow.membership.EndpointListDiffer;
 import cinderhollow.membership.StartTimes;
 import cinderhollow.membership.Subset;
 import cinderhollow.ops.GatewayStats;
 import cinderhollow.policy.LoadBalancer;
 import cinderhollow.policy.Protocol.Actions;
-import cinderhollow.policy.Protocol.RequestHeadArrived;
 import cinderhollow.policy.Protocol.AttemptEnded;
 import cinderhollow.policy.Protocol.ClientLeft;
-import cinderhollow.policy.Protocol.ShutdownStarted;
 import cinderhollow.policy.Protocol.Event;
+import cinderhollow.policy.Protocol.GatewaysPerServerChanged;
+import cinderhollow.policy.Protocol.LearnedStateReceived;
 import cinderhollow.policy.Protocol.ListKind;
 import cinderhollow.policy.Protocol.ListReceived;
 import cinderhollow.policy.Protocol.LoadReport;
 import cinderhollow.policy.Protocol.Outcome;
 import cinderhollow.policy.Protocol.ProcessOverlapChanged;
 import cinderhollow.policy.Protocol.Readiness;
-import cinderhollow.policy.Protocol.LearnedStateReceived;
 import cinderhollow.policy.Protocol.RequestArrived;
+import cinderhollow.policy.Protocol.RequestBodyReceived;
 import cinderhollow.policy.Protocol.RequestClass;
-import cinderhollow.policy.Protocol.SettingsChanged;
-import cinderhollow.policy.Protocol.ServerInfo;
-import cinderhollow.policy.Protocol.GatewaysPerServerChanged;
+import cinderhollow.policy.Protocol.RequestHeadArrived;
 import cinderhollow.policy.Protocol.RequestNotReplayable;
+import cinderhollow.policy.Protocol.ServerInfo;
+import cinderhollow.policy.Protocol.SettingsChanged;
+import cinderhollow.policy.Protocol.ShutdownStarted;
 import cinderhollow.policy.Protocol.TimerFired;
-import cinderhollow.policy.Protocol.RequestBodyReceived;
-import cinderhollow.routes.Paths;
 import cinderhollow.routes.BudgetedRoutePolicy;
+import cinderhollow.routes.Paths;
 import cinderhollow.routes.Routing;
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.ChannelFuture;
@@ -207,12 +207,14 @@
                 : Journal.open(loop, config.ledger(), Journal.FILE_OUTPUTS, ledger, this::writeOpenRequests, log);
         int reservedDescriptors = RESERVED_DESCRIPTORS + (config.opsAddress() == null ? 0 : OPS_SOCKET_DESCRIPTORS);
         int connections = Math.max(2, config.maxDescriptors() - reservedDescriptors);
-        upstreamPool = new UpstreamPool(loop, transport, clock, config.dialTimeoutNanos(), config.idleTimeoutNanos(), connections / 2,
+        upstreamPool = new UpstreamPool(loop, transport, clock, config.dialTimeoutNanos(), config.idleTimeoutNanos(),
+                connections / 2,
                 ledger == null ? null : ledger.counters(LedgerPlace.NODES), ledger == null ? 0 : ledger.accounts().size());
         discovery = config.discoveryAddress() == null ? null : new Discovery(loop, transport, config.discoveryAddress(),
                 config.knownEndpoints().index(), Discovery.SILENCE_TIMEOUT_MILLIS,
                 // The larger limit only with an operator's file: an endless line is detected by its length alone.
-                config.routes() == null ? Discovery.MAX_LIST_BYTES : Discovery.MAX_LARGE_FLEET_LIST_BYTES, new DiscoveryListener(), log);
+                config.routes() == null ? Discovery.MAX_LIST_BYTES : Discovery.MAX_LARGE_FLEET_LIST_BYTES,
+                        new DiscoveryListener(), log);
         discoveryResolved = discovery == null && (config.eventLoops() == null || !config.eventLoops().follower());
         downstream = new DownstreamConnectionManager(loop, transport, clock, lag, connections / 2, new RequestListener(),
                 ledger == null ? null : ledger.counters(LedgerPlace.CLIENTS));
@@ -252,7 +254,8 @@
             loop.scheduleAtFixedRate(this::checkLedger, 1, 1, TimeUnit.SECONDS);
             long logIntervalNanos = config.ledger().logIntervalNanos();
             if (logIntervalNanos > 0) {
-                loop.scheduleAtFixedRate(() -> ledger.formatTotals(countOpen()).forEach(log), logIntervalNanos, logIntervalNanos, TimeUnit.NANOSECONDS);
+                loop.scheduleAtFixedRate(() -> ledger.formatTotals(countOpen()).forEach(log), logIntervalNanos,
+                        logIntervalNanos, TimeUnit.NANOSECONDS);
             }
         }
         EndpointList cachedList = startTimes.convertCached(config.knownEndpoints(), clock.nanos());
@@ -396,21 +399,25 @@
                 classes.keySet().forEach(this::countersFor);
                 countersByClass.forEach((name, counters) -> counts.put(name, counters.counts()));
             }
-            return new GatewayStats(counts, openRequests.values().stream().filter(r -> !r.reply.isFinished()).count() + downstream.pipelinedRequestCount(),
-                    upstreamPool.serverCount(), upstreamPool.serverCount() - policy.usableServerCount(), reloadsAccepted, reloadsRejected);
+            return new GatewayStats(counts, openRequests.values().stream().filter(r -> !r.reply.isFinished()).count()
+                    + downstream.pipelinedRequestCount(),
+                    upstreamPool.serverCount(), upstreamPool.serverCount() - policy.usableServerCount(), reloadsAccepted,
+                    reloadsRejected);
         }, loop);
     }
 
     @Override
     public CompletableFuture<Snapshot> snapshot() {
-        return CompletableFuture.supplyAsync(() -> new Snapshot(policy.learnedState(), listIndex, upstreamPool.endpoints().stream()
+        return CompletableFuture.supplyAsync(() ->
+                new Snapshot(policy.learnedState(), listIndex, upstreamPool.endpoints().stream()
                 .map(Gateway::toEndpointEntry).toList(), standby), loop);
     }
 
     private static Snapshot.EndpointEntry toEndpointEntry(Endpoint e) {
         InetSocketAddress address = (InetSocketAddress) e.address();
         ServerInfo info = e.info();
-        return new Snapshot.EndpointEntry(info.id(), address.getHostString() + ":" + address.getPort(), info.zone(), info.machineType(),
+        return new Snapshot.EndpointEntry(info.id(), address.getHostString() + ":" + address.getPort(), info.zone(),
+                info.machineType(),
                 info.cell(), info.readiness() != Readiness.READY, info.capacityHint(),
                 TimeUnit.NANOSECONDS.toMillis(info.startedAtNanos()));
     }
@@ -429,7 +436,8 @@
     public CompletableFuture<Void> restore(Snapshot snapshot) {
         return CompletableFuture.runAsync(() -> {
             if (!discoveryResolved && listChanges == null && !snapshot.endpoints().isEmpty()) {
-                applyList(ListKind.CACHED, new EndpointList(snapshot.listIndex(), true, snapshot.endpoints().stream().map(Gateway::toEndpoint).toList()));
+                applyList(ListKind.CACHED, new EndpointList(snapshot.listIndex(), true, snapshot.endpoints().stream()
+                        .map(Gateway::toEndpoint).toList()));
             }
             dispatch(new LearnedStateReceived(snapshot.learnedState()));
             if (snapshot.standby()) {
@@ -482,7 +490,8 @@
         loop.execute(() -> {
             if (!shuttingDown) {
                 shuttingDown = true;
-                long answerWithinNanos = Math.min(MAX_SHUTDOWN_DEADLINE_NANOS, maxOfClasses(RequestClass::deadlineNanos)) + KILL_GRACE_NANOS
+                long answerWithinNanos = Math.min(MAX_SHUTDOWN_DEADLINE_NANOS, maxOfClasses(RequestClass::deadlineNanos))
+                        + KILL_GRACE_NANOS
                         - SHUTDOWN_MARGIN_NANOS;
                 shutdownDeadlineNanos = requestedAtNanos + answerWithinNanos;
                 long nowNanos = clock.nanos();
@@ -496,7 +505,8 @@
                 }
                 long acceptForNanos = Math.min(MAX_SHUTDOWN_ACCEPT_NANOS,
                         Math.max(MIN_SHUTDOWN_ACCEPT_NANOS, answerWithinNanos - maxOfClasses(RequestClass::aimNanos)));
-                loop.schedule(this::stopAccepting, Math.max(0, requestedAtNanos + acceptForNanos - nowNanos), TimeUnit.NANOSECONDS);
+                loop.schedule(this::stopAccepting, Math.max(0, requestedAtNanos + acceptForNanos - nowNanos),
+                        TimeUnit.NANOSECONDS);
             }
         });
         return shutdownDone;
@@ -842,7 +852,8 @@
                 throw new BadRequest(HttpResponseStatus.CONFLICT, "a request with this id is open");
             }
             OpenRequest r = new OpenRequest(arrived, request.retain(), upload, reply,
-                    ledger == null ? null : new LedgerEntry(arrived.id(), ((BudgetedRoutePolicy) arrived.routePolicy()).index(), nowNanos));
+                    ledger == null ? null : new LedgerEntry(arrived.id(), ((BudgetedRoutePolicy) arrived.routePolicy()).index(),
+                    nowNanos));
             openRequests.put(r.id, r);
             if (countersByClass != null) {
                 r.counters = countersFor(arrived.requestClass());
@@ -947,10 +958,12 @@
             }
             attemptServers.add(server);
             if (upload == null) {
-                attempts.add(upstreamPool.send(server, RequestReader.toUpstreamRequest(request, timeoutNanos), timeoutNanos, this));
+                attempts.add(upstreamPool.send(server, RequestReader.toUpstreamRequest(request, timeoutNanos), timeoutNanos,
+                        this));
             } else {
                 long attemptTimeoutNanos = Math.min(expiresInNanos, timeoutNanos);
-                attempts.add(upstreamPool.send(server, RequestReader.toUpstreamRequest(request, upload, attemptTimeoutNanos), upload, this));
+                attempts.add(upstreamPool.send(server, RequestReader.toUpstreamRequest(request, upload, attemptTimeoutNanos),
+                        upload, this));
                 if (upload.isFullyReceived()) {
                     attempts.get(attempts.size() - 1).setTimeout(attemptTimeoutNanos);
                 }
@@ -976,7 +989,8 @@
         }
 
         @Override
-        public ResponseSink onStreamStarted(UpstreamPool.Attempt attempt, long at, LoadReport load, long length, ResponseSink.Source source) {
+        public ResponseSink onStreamStarted(UpstreamPool.Attempt attempt, long at, LoadReport load, long length,
+                ResponseSink.Source source) {
             int number = recordAttemptEnd(attempt, Outcome.SERVED);
             boolean wanted = !reply.isConcluded();
             if (wanted) {
@@ -990,7 +1004,8 @@
             if (zoneTraffic != null) {
                 zoneTraffic.onAttemptEnded(at, number, Outcome.SERVED, attempt.elapsed(at), load);
             }
-            dispatch(at, new AttemptEnded(id, number, attemptServers.get(number), Outcome.SERVED, attempt.elapsed(at), true, load));
+            dispatch(at, new AttemptEnded(id, number, attemptServers.get(number), Outcome.SERVED, attempt.elapsed(at), true,
+                    load));
             return wanted ? this : null;
         }
 
--- a/src/main/java/cinderhollow/daemon/GatewayConfig.java
+++ b/src/main/java/cinderhollow/daemon/GatewayConfig.java
@@ -33,7 +33,8 @@
  * @param inheritedListener the clients' listener where the platform provides it, or null where it is bound here
  */
 record GatewayConfig(SocketAddress listenAddress, SocketAddress discoveryAddress, long seed, int maxDescriptors,
-                     long dialTimeoutNanos, long idleTimeoutNanos, Settings settings, EndpointList knownEndpoints, List<Route> routes,
+                     long dialTimeoutNanos, long idleTimeoutNanos, Settings settings, EndpointList knownEndpoints,
+                     List<Route> routes,
                      EventLoopConfig eventLoops, LoopLedgerConfig ledger, SocketAddress adminAddress, Peering peering,
                      SocketAddress opsAddress, InheritedListener inheritedListener) {
     private static final int DEFAULT_MAX_DESCRIPTORS = 1024;
@@ -66,19 +67,23 @@
     /** Reads the configuration from the parsed file, the two addresses, and the path of the operator's file or null. */
     static GatewayConfig read(Json json, SocketAddress listenAddress, SocketAddress discoveryAddress, String operatorFile) {
         SettingsReader settings = settings(json);
-        OperatorConfigLoader.LoadedConfig operatorConfig = operatorFile == null ? null : OperatorConfigLoader.read(operatorFile, settings);
+        OperatorConfigLoader.LoadedConfig operatorConfig = operatorFile == null ? null
+                : OperatorConfigLoader.read(operatorFile, settings);
         return new GatewayConfig(listenAddress, discoveryAddress, seed(json.field("seed").text()),
                 json.field("limits").field("sockets").number(DEFAULT_MAX_DESCRIPTORS).intValue(),
                 settings.number("allowed.dial_timeout_ns"), settings.number("allowed.conn_idle_ns"),
                 settings.read(), knownEndpoints(json.field("known")), operatorConfig == null ? null : operatorConfig.routes(),
-                operatorConfig == null ? null : operatorConfig.eventLoops(), operatorConfig == null ? null : operatorConfig.ledger(),
+                operatorConfig == null ? null : operatorConfig.eventLoops(), operatorConfig == null ? null
+                : operatorConfig.ledger(),
                 operatorConfig == null ? null : operatorConfig.adminAddress(),
-                operatorConfig == null || operatorConfig.peers() == null ? null : OperatorConfigLoader.readPeering(operatorConfig.peers(), settings, json), null, null);
+                operatorConfig == null || operatorConfig.peers() == null ? null
+                : OperatorConfigLoader.readPeering(operatorConfig.peers(), settings, json), null, null);
     }
 
     /** Returns a copy with the address of an operators' socket. */
     GatewayConfig withOpsAddress(SocketAddress address) {
-        return new GatewayConfig(listenAddress, discoveryAddress, seed, maxDescriptors, dialTimeoutNanos, idleTimeoutNanos, settings, knownEndpoints, routes,
+        return new GatewayConfig(listenAddress, discoveryAddress, seed, maxDescriptors, dialTimeoutNanos, idleTimeoutNanos,
+                settings, knownEndpoints, routes,
                 eventLoops, ledger, adminAddress, peering, address, inheritedListener);
     }
 
@@ -87,7 +92,8 @@
         if (eventLoops != null && eventLoops.listenerPerLoop()) {
             throw new IllegalArgumentException("LB_INHERITED_FD gives one listener, the operator's file wants one per loop");
         }
-        return new GatewayConfig(listenAddress, discoveryAddress, seed, maxDescriptors, dialTimeoutNanos, idleTimeoutNanos, settings, knownEndpoints, routes,
+        return new GatewayConfig(listenAddress, discoveryAddress, seed, maxDescriptors, dialTimeoutNanos, idleTimeoutNanos,
+                settings, knownEndpoints, routes,
                 eventLoops, ledger, adminAddress, peering, opsAddress, InheritedListener.adopt(descriptor, handoverDirectory));
     }
 
@@ -103,7 +109,8 @@
         Settings loopSettings = new Settings(s.gateways() * loops, s.gatewayNumber() * loops + number, s.zone(),
                 s.subscribe() && number == 0, s.timerResolutionNanos(), s.classes(), s.tenants(), s.overQuotaWorth(),
                 s.upstreamOptions(), s.rules());
-        return new GatewayConfig(listenAddress, number == 0 ? discoveryAddress : null, seed + number * LOOP_SEED_STEP, maxDescriptors / loops,
+        return new GatewayConfig(listenAddress, number == 0 ? discoveryAddress : null, seed + number * LOOP_SEED_STEP,
+                maxDescriptors / loops,
                 dialTimeoutNanos, idleTimeoutNanos / loops, loopSettings, knownEndpoints, routes, eventLoops.forLoop(number),
                 ledger == null ? null : ledger.forLoop(number, loops), null, null, opsAddress, inheritedListener);
     }
--- a/src/main/java/cinderhollow/daemon/GatewayDaemon.java
+++ b/src/main/java/cinderhollow/daemon/GatewayDaemon.java
@@ -53,12 +53,14 @@
         GatewayService gateway = open(group, config, System.out::println).join();
         started.accept(gateway);
         // Opened before the warm-up: operators may ask from the start, and are answered that the gateway does not serve yet.
-        Runnable closeOpsSocket = config.opsAddress() == null ? null : OpsSocketLauncher.open(group, config.opsAddress(), gateway);
+        Runnable closeOpsSocket = config.opsAddress() == null ? null
+                : OpsSocketLauncher.open(group, config.opsAddress(), gateway);
         // The warm-up runs while discovery's first answer is awaited.
         WarmUp.run(config, WarmUp.MAX_DURATION_MILLIS);
         boolean handoverEnabled = config.inheritedListener() != null && config.inheritedListener().handoverDirectory() != null;
         // As late as possible, so that the predecessor's snapshot is as recent as possible.
-        Runnable notifyPredecessor = handoverEnabled ? Handover.takeOver(group.next(), config.inheritedListener().handoverDirectory(), gateway,
+        Runnable notifyPredecessor = handoverEnabled
+                ? Handover.takeOver(group.next(), config.inheritedListener().handoverDirectory(), gateway,
                 System.out::println) : null;
         try {
             // Before the clients' listener: an address that cannot be bound must fail the start before any client has
--- a/src/main/java/cinderhollow/daemon/Handover.java
+++ b/src/main/java/cinderhollow/daemon/Handover.java
@@ -59,7 +59,8 @@
                             throw new IOException(bound.cause());
                         }
                         // Replaced atomically: a successor always finds either the old socket or this one.
-                        Files.move(ownSocket, directory.resolve(SOCKET_NAME), StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+                        Files.move(ownSocket, directory.resolve(SOCKET_NAME), StandardCopyOption.ATOMIC_MOVE,
+                                StandardCopyOption.REPLACE_EXISTING);
                     } catch (IOException e) {
                         log.accept("cannot offer a handover to a successor: " + e.getMessage());
                     }
@@ -124,7 +125,8 @@
             try {
                 Channel channel = new Bootstrap().group(loop).channel(NioDomainSocketChannel.class).handler(successor)
                         .connect(UnixDomainSocketAddress.of(socketPath)).addListener(successor::connectDone).channel();
-                gateway.restore(successor.snapshot.get(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)).get(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
+                gateway.restore(successor.snapshot.get(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS))
+                        .get(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
                 gateway.updateOverlap(true);
                 channel.closeFuture().addListener(closed -> gateway.updateOverlap(false));
                 log.accept("took over from the process before");
--- a/src/main/java/cinderhollow/daemon/InheritedListener.java
+++ b/src/main/java/cinderhollow/daemon/InheritedListener.java
@@ -33,7 +33,8 @@
             }
             listener.configureBlocking(false);
             // Accepting is the only way to find out whether the socket listens: the call fails if it does not.
-            return new InheritedListener(listener, listener.accept(), handoverDirectory == null ? null : Path.of(handoverDirectory));
+            return new InheritedListener(listener, listener.accept(), handoverDirectory == null ? null
+                    : Path.of(handoverDirectory));
         } catch (IOException e) {
             throw new IllegalArgumentException("LB_INHERITED_FD names descriptor 0, which can't accept: " + e.getMessage(), e);
         }
--- a/src/main/java/cinderhollow/daemon/Journal.java
+++ b/src/main/java/cinderhollow/daemon/Journal.java
@@ -1,9 +1,9 @@
 package cinderhollow.daemon;
 
-import cinderhollow.ledger.RequestEnd;
+import cinderhollow.ledger.EarlierRunTotals;
 import cinderhollow.ledger.JournalFrame;
 import cinderhollow.ledger.Ledger;
-import cinderhollow.ledger.EarlierRunTotals;
+import cinderhollow.ledger.RequestEnd;
 import io.netty.channel.EventLoop;
 import java.io.Closeable;
 import java.io.IOException;
@@ -115,7 +115,8 @@
     private volatile boolean closing;
     private volatile long lostInWriter;
 
-    private Journal(EventLoop loop, LoopLedgerConfig config, OutputFactory outputFactory, Ledger ledger, EarlierRuns earlierRuns, OpenRequestSource openRequests,
+    private Journal(EventLoop loop, LoopLedgerConfig config, OutputFactory outputFactory, Ledger ledger,
+            EarlierRuns earlierRuns, OpenRequestSource openRequests,
                     Consumer<String> log, FileChannel lock) {
         this.lock = lock;
         this.loop = loop;
@@ -133,7 +134,8 @@
     /**
      * Reads the journals of earlier runs and opens a new one. Returns null, with a log line, if the directory cannot be used.
      */
-    static Journal open(EventLoop loop, LoopLedgerConfig config, OutputFactory outputFactory, Ledger ledger, OpenRequestSource openRequests, Consumer<String> log) {
+    static Journal open(EventLoop loop, LoopLedgerConfig config, OutputFactory outputFactory, Ledger ledger,
+            OpenRequestSource openRequests, Consumer<String> log) {
         FileChannel lock = null;
         try {
             lock = lock(config);
--- a/src/main/java/cinderhollow/daemon/LoopLedgerConfig.java
+++ b/src/main/java/cinderhollow/daemon/LoopLedgerConfig.java
@@ -12,7 +12,8 @@
  * @param loopNumber number of this event loop in the process
  * @param loopCount number of event loops of the process
  */
-record LoopLedgerConfig(long logIntervalNanos, Path directory, long syncIntervalNanos, long maxSegmentBytes, int loopNumber, int loopCount) {
+record LoopLedgerConfig(long logIntervalNanos, Path directory, long syncIntervalNanos, long maxSegmentBytes, int loopNumber,
+        int loopCount) {
     static final long DEFAULT_MAX_SEGMENT_BYTES = 64L << 20;
 
     /** Returns the configuration for one of several event loops. */
--- a/src/main/java/cinderhollow/daemon/MultiLoopGateway.java
+++ b/src/main/java/cinderhollow/daemon/MultiLoopGateway.java
@@ -1,10 +1,10 @@
 package cinderhollow.daemon;
 
 import cinderhollow.core.Transport;
-import cinderhollow.http1.Acceptor;
 import cinderhollow.evacuation.Order;
 import cinderhollow.evacuation.ZoneStatus;
 import cinderhollow.handover.Snapshot;
+import cinderhollow.http1.Acceptor;
 import cinderhollow.ledger.LedgerMetrics;
 import cinderhollow.ops.GatewayStats;
 import io.netty.channel.EventLoop;
@@ -74,7 +74,8 @@
             return gateways.get(0).listen().thenCompose(first -> allOf(gateways.stream().skip(1)
                     .map(gateway -> gateway.listen(first.address())).toList()));
         }
-        return GatewayService.completeWhenDone(new CompletableFuture<>(), inheritedListener == null ? acceptor.listen(listenAddress)
+        return GatewayService.completeWhenDone(new CompletableFuture<>(), inheritedListener == null
+                ? acceptor.listen(listenAddress)
                 : acceptor.listen(inheritedListener.listener(), inheritedListener.firstConnection()), this);
     }
 
--- a/src/main/java/cinderhollow/daemon/OperatorConfigLoader.java
+++ b/src/main/java/cinderhollow/daemon/OperatorConfigLoader.java
@@ -4,15 +4,15 @@
 import cinderhollow.evacuation.EvacuationSettings;
 import cinderhollow.membership.EndpointList;
 import cinderhollow.membership.Subset.FleetPosition;
-import cinderhollow.operator.LedgerConfig;
-import cinderhollow.operator.PeersConfig;
 import cinderhollow.operator.Finding;
-import cinderhollow.operator.ScalingConfig;
+import cinderhollow.operator.LedgerConfig;
 import cinderhollow.operator.OperatorFile;
+import cinderhollow.operator.PeersConfig;
 import cinderhollow.operator.PlatformConstraints;
+import cinderhollow.operator.ScalingConfig;
 import cinderhollow.peers.Roster;
-import cinderhollow.policy.Protocol.Effect;
 import cinderhollow.policy.Protocol.DedupGroup;
+import cinderhollow.policy.Protocol.Effect;
 import cinderhollow.policy.Protocol.RequestClass;
 import cinderhollow.policy.Protocol.Settings;
 import cinderhollow.policy.SettingsReader;
@@ -34,7 +34,8 @@
     private OperatorConfigLoader() { }
 
     /** The configuration of a valid file. */
-    record LoadedConfig(List<Route> routes, EventLoopConfig eventLoops, LoopLedgerConfig ledger, SocketAddress adminAddress, PeersConfig peers) { }
+    record LoadedConfig(List<Route> routes, EventLoopConfig eventLoops, LoopLedgerConfig ledger, SocketAddress adminAddress,
+            PeersConfig peers) { }
 
     /**
      * Reads the file. Any fault in it causes an {@link IllegalArgumentException} that lists the faults, and the gateway must
@@ -45,8 +46,10 @@
         if (!operatorFile.findings().isEmpty()) {
             throw new IllegalArgumentException(describeFindings(file, operatorFile.findings(), MAX_FINDINGS_SHOWN));
         }
-        return new LoadedConfig(operatorFile.routes(), toEventLoopConfig(operatorFile.scalingConfig()), toLedgerConfig(operatorFile.ledgerConfig()),
-                operatorFile.adminAddress() == null ? null : AdminClient.parseAddress(operatorFile.adminAddress()), operatorFile.peersConfig());
+        return new LoadedConfig(operatorFile.routes(), toEventLoopConfig(operatorFile.scalingConfig()),
+                toLedgerConfig(operatorFile.ledgerConfig()),
+                operatorFile.adminAddress() == null ? null : AdminClient.parseAddress(operatorFile.adminAddress()),
+                operatorFile.peersConfig());
     }
 
     /** Returns the peers, from the operator's file or else from the platform's configuration. */
@@ -64,8 +67,10 @@
         }
         try {
             byte[] secret = peers.secretFile() == null ? new byte[0] : Files.readAllBytes(peers.secretFile());
-            return new Peering(EndpointList.parseAddress(listen), members, new Roster(number, members.size(), peers.fleet(), secret),
-                    new EvacuationSettings(peers.zones(), peers.zones().indexOf(parsedSettings.zone()), peers.gatewaysByZone(), peers.regionByZone(), peers.maxRegionsOut(), peers.holdNanos(), peers.maxHoldNanos()));
+            return new Peering(EndpointList.parseAddress(listen), members,
+                    new Roster(number, members.size(), peers.fleet(), secret),
+                    new EvacuationSettings(peers.zones(), peers.zones().indexOf(parsedSettings.zone()), peers.gatewaysByZone(),
+                    peers.regionByZone(), peers.maxRegionsOut(), peers.holdNanos(), peers.maxHoldNanos()));
         } catch (IOException e) {
             throw new IllegalArgumentException("can't read the file with the fleet's secret: " + e.getMessage(), e);
         }
@@ -79,14 +84,17 @@
     private static EventLoopConfig toEventLoopConfig(ScalingConfig growth) {
         FleetPosition place = growth.subsetSize() == 0 ? null
                 : new FleetPosition(growth.subsetSize(), growth.gatewaysByZone(), growth.zone(), growth.numberInZone());
-        return growth.loopCount() == 1 && place == null ? null : new EventLoopConfig(growth.loopCount(), growth.listenerPerLoop(), false, place);
+        return growth.loopCount() == 1 && place == null ? null
+                : new EventLoopConfig(growth.loopCount(), growth.listenerPerLoop(), false, place);
     }
 
     private static PlatformConstraints readPlatform(SettingsReader settings) {
         boolean retryAfterAllowed = settings.flag("allowed.retry_after", false);
         Settings parsedSettings = settings.read();
-        return new PlatformConstraints(parsedSettings.classes(), parsedSettings.upstreamOptions().maxAttempts(), settings.flag("allowed.may_duplicate", false),
-                retryAfterAllowed ? settings.number("allowed.max_retry_after_ns", 0) : 0, parsedSettings.gateways(), parsedSettings.gatewayNumber(),
+        return new PlatformConstraints(parsedSettings.classes(), parsedSettings.upstreamOptions().maxAttempts(),
+                settings.flag("allowed.may_duplicate", false),
+                retryAfterAllowed ? settings.number("allowed.max_retry_after_ns", 0) : 0, parsedSettings.gateways(),
+                parsedSettings.gatewayNumber(),
                 parsedSettings.zone(), settings.flag("allowed.peers", true));
     }
 
--- a/src/main/java/cinderhollow/daemon/OpsSocketLauncher.java
+++ b/src/main/java/cinderhollow/daemon/OpsSocketLauncher.java
@@ -1,8 +1,8 @@
 package cinderhollow.daemon;
 
 import cinderhollow.ops.GatewayControl;
-import cinderhollow.ops.OpsSocket;
 import cinderhollow.ops.GatewayStats;
+import cinderhollow.ops.OpsSocket;
 import io.netty.channel.EventLoopGroup;
 import java.net.SocketAddress;
 import java.util.concurrent.CompletableFuture;
--- a/src/main/java/cinderhollow/daemon/PeerTransport.java
+++ b/src/main/java/cinderhollow/daemon/PeerTransport.java
@@ -6,9 +6,9 @@
 import cinderhollow.evacuation.TrafficObserver;
 import cinderhollow.evacuation.ZoneStatus;
 import cinderhollow.peers.GossipSettings;
-import cinderhollow.policy.Protocol.WarmServerRateReceived;
 import cinderhollow.policy.Protocol.Event;
 import cinderhollow.policy.Protocol.Rules;
+import cinderhollow.policy.Protocol.WarmServerRateReceived;
 import cinderhollow.policy.Protocol.ZoneWeightsChanged;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBufUtil;
@@ -35,7 +35,8 @@
 final class PeerTransport {
     /** Longest datagram that is read, in bytes, longer than any valid one; a longer one is truncated and then rejected. */
     private static final int MAX_DATAGRAM_BYTES = 512;
-    private static final long MIN_TICK_DELAY_NANOS = TimeUnit.MILLISECONDS.toNanos(1), MAX_TICK_DELAY_NANOS = TimeUnit.MILLISECONDS.toNanos(25);
+    private static final long MIN_TICK_DELAY_NANOS = TimeUnit.MILLISECONDS.toNanos(1), MAX_TICK_DELAY_NANOS =
+            TimeUnit.MILLISECONDS.toNanos(25);
     /** Lateness of the event loop from which the gateway doubts its own observations, in nanoseconds. */
     private static final long LATE_THRESHOLD_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
 
@@ -59,7 +60,8 @@
         for (int i = 0; i < peering.members().size(); i++) {
             memberNumbers.put(peering.members().get(i), i);
         }
-        evacuation = new Evacuation(peering.evacuationConfig(), rules, peering.roster(), GossipSettings.DEFAULT, seed, unixMillis(), new Evacuation.Callbacks() {
+        evacuation = new Evacuation(peering.evacuationConfig(), rules, peering.roster(), GossipSettings.DEFAULT, seed,
+                unixMillis(), new Evacuation.Callbacks() {
             @Override
             public void send(int member, byte[] datagram) {
                 channel.writeAndFlush(new DatagramPacket(Unpooled.wrappedBuffer(datagram), peering.members().get(member)),
@@ -115,7 +117,8 @@
             return;
         }
         long next = evacuation.tick(clock.nanos(), unixMillis());
-        loop.schedule(this::tick, Math.max(MIN_TICK_DELAY_NANOS, Math.min(MAX_TICK_DELAY_NANOS, next - clock.nanos())), TimeUnit.NANOSECONDS);
+        loop.schedule(this::tick, Math.max(MIN_TICK_DELAY_NANOS, Math.min(MAX_TICK_DELAY_NANOS, next - clock.nanos())),
+                TimeUnit.NANOSECONDS);
     }
 
     /** Tells the other gateways that this one leaves, so that they need not detect it, and stops the exchange. */
--- a/src/main/java/cinderhollow/daemon/Peering.java
+++ b/src/main/java/cinderhollow/daemon/Peering.java
@@ -13,7 +13,8 @@
  * @param roster this member's number, the fleet's size and name, and its secret
  * @param evacuationConfig configuration of the evacuation of zones
  */
-record Peering(InetSocketAddress listenAddress, List<InetSocketAddress> members, Roster roster, EvacuationSettings evacuationConfig) {
+record Peering(InetSocketAddress listenAddress, List<InetSocketAddress> members, Roster roster,
+        EvacuationSettings evacuationConfig) {
     /** Copies the list of members. */
     Peering {
         members = List.copyOf(members);
--- a/src/main/java/cinderhollow/daemon/ReloadValidator.java
+++ b/src/main/java/cinderhollow/daemon/ReloadValidator.java
@@ -62,7 +62,8 @@
             Json entry = next.get(i);
             String entryPath = path + "." + i;
             if (!typeName(entry).equals(typeName(running.get(0)))) {
-                throw new IllegalArgumentException(entryPath + " is " + typeName(entry) + " and the others were " + typeName(running.get(0)));
+                throw new IllegalArgumentException(entryPath + " is " + typeName(entry) + " and the others were "
+                        + typeName(running.get(0)));
             }
             checkFields(entryPath, sharedKeys, running.get(0), entry);
         }
--- a/src/main/java/cinderhollow/daemon/WarmUp.java
+++ b/src/main/java/cinderhollow/daemon/WarmUp.java
@@ -2,8 +2,8 @@
 
 import cinderhollow.core.AcceptErrorHandler;
 import cinderhollow.core.Transport;
-import cinderhollow.membership.EndpointList.Endpoint;
 import cinderhollow.membership.EndpointList;
+import cinderhollow.membership.EndpointList.Endpoint;
 import cinderhollow.policy.Protocol.Effect;
 import cinderhollow.policy.Protocol.Readiness;
 import cinderhollow.policy.Protocol.RequestClass;
@@ -189,7 +189,8 @@
                     1, 0), serverAddress));
         }
         return new GatewayConfig(gatewayAddress, serverAddress, config.seed(), config.maxDescriptors(), config.dialTimeoutNanos(),
-                config.idleTimeoutNanos(), config.settings(), new EndpointList(0, true, endpoints), null, null, null, null, null, null, null);
+                config.idleTimeoutNanos(), config.settings(), new EndpointList(0, true, endpoints), null, null, null, null,
+                null, null, null);
     }
 
     private void connectClients() {
--- a/src/main/java/cinderhollow/emulator/EmulatedGateway.java
+++ b/src/main/java/cinderhollow/emulator/EmulatedGateway.java
@@ -8,7 +8,6 @@
 import cinderhollow.policy.LoadBalancer;
 import cinderhollow.policy.Protocol.Actions;
 import cinderhollow.policy.Protocol.AttemptEnded;
-import cinderhollow.policy.Protocol.WarmServerRateReceived;
 import cinderhollow.policy.Protocol.ClientLeft;
 import cinderhollow.policy.Protocol.Event;
 import cinderhollow.policy.Protocol.ListKind;
@@ -20,6 +19,7 @@
 import cinderhollow.policy.Protocol.RequestClass;
 import cinderhollow.policy.Protocol.Settings;
 import cinderhollow.policy.Protocol.TimerFired;
+import cinderhollow.policy.Protocol.WarmServerRateReceived;
 import cinderhollow.policy.Protocol.ZoneWeightsChanged;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -156,9 +156,11 @@
 
     /** Makes the evacuation module and the callbacks that connect it with the environment. */
     private Evacuation createEvacuation(Settings settings, long seed) {
-        List<String> zoneNames = IntStream.range(0, scenario.zones()).mapToObj(i -> Emulation.zoneName(i, scenario.zones())).toList();
+        List<String> zoneNames = IntStream.range(0, scenario.zones()).mapToObj(i -> Emulation.zoneName(i, scenario.zones()))
+                .toList();
         Roster roster = new Roster(settings.gatewayNumber(), settings.gateways(), "emulated", new byte[0]);
-        return new Evacuation(EvacuationSettings.withDefaults(zoneNames, zoneNames.indexOf(zone), Collections.nCopies(zoneNames.size(), 0)), settings.rules(), roster, GossipSettings.DEFAULT, seed,
+        return new Evacuation(EvacuationSettings.withDefaults(zoneNames, zoneNames.indexOf(zone),
+                Collections.nCopies(zoneNames.size(), 0)), settings.rules(), roster, GossipSettings.DEFAULT, seed,
                 unixMillis(), new Evacuation.Callbacks() {
             @Override
             public void send(int member, byte[] datagram) {
@@ -201,7 +203,8 @@
             return;
         }
         long next = evacuation.tick(scheduler.now(), unixMillis());
-        scheduler.scheduleAt(Math.max(scheduler.now() + 1_000_000, Math.min(next, scheduler.now() + MAX_TICK_INTERVAL_NANOS)), this::runEvacuationTick);
+        scheduler.scheduleAt(Math.max(scheduler.now() + 1_000_000, Math.min(next, scheduler.now() + MAX_TICK_INTERVAL_NANOS)),
+                this::runEvacuationTick);
     }
 
     /** Passes a datagram of another gateway to the evacuation module. */
@@ -267,9 +270,11 @@
      */
     List<String> kill() {
         killed = true;
-        idleConnections.forEach((id, connections) -> connections.forEach(connection -> environment.node(id).disconnect(connection.generation)));
+        idleConnections.forEach((id, connections) ->
+                connections.forEach(connection -> environment.node(id).disconnect(connection.generation)));
         idleConnections.clear();
-        List<String> unanswered = attemptsByRequest.keySet().stream().filter(request -> !concludedRequests.contains(request)).toList();
+        List<String> unanswered = attemptsByRequest.keySet().stream().filter(request -> !concludedRequests.contains(request))
+                .toList();
         attemptsByRequest.values().forEach(attempts -> attempts.stream().filter(a -> !a.hasEnded).forEach(a -> {
             a.hasEnded = true;
             dropAtNode(a);
@@ -349,7 +354,8 @@
             }
             handshakes++;
             attempt.connectionGeneration = node.generation();
-            scheduler.scheduleAfter(oneWayNanos, () -> deliverToNode(attempt, scenario.nodeSettings().handshakeMillis() * 1e6, oneWayNanos));
+            scheduler.scheduleAfter(oneWayNanos,
+                    () -> deliverToNode(attempt, scenario.nodeSettings().handshakeMillis() * 1e6, oneWayNanos));
         });
     }
 
--- a/src/main/java/cinderhollow/emulator/Emulation.java
+++ b/src/main/java/cinderhollow/emulator/Emulation.java
@@ -1,6 +1,5 @@
 package cinderhollow.emulator;
 
-import cinderhollow.policy.Protocol.UpstreamOptions;
 import cinderhollow.policy.Protocol.ListKind;
 import cinderhollow.policy.Protocol.ListReceived;
 import cinderhollow.policy.Protocol.Readiness;
@@ -8,6 +7,7 @@
 import cinderhollow.policy.Protocol.Rules;
 import cinderhollow.policy.Protocol.ServerInfo;
 import cinderhollow.policy.Protocol.Settings;
+import cinderhollow.policy.Protocol.UpstreamOptions;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -36,8 +36,10 @@
      * @param openRequests number of requests that gateways still hold at the end, when all should have ended
      * @param events number of tasks run in virtual time
      */
-    public record Result(long requests, double inTimeRatio, double worstWindowRatio, double worstClassRatio, double refusedRatio, double submissionsPerRequest,
-                         double handshakesPerRequest, double connectionUtilisation, double silenceDetectionsPerRequest, int overloadCrashes, long breachCount, String firstBreach, int openRequests,
+    public record Result(long requests, double inTimeRatio, double worstWindowRatio, double worstClassRatio,
+            double refusedRatio, double submissionsPerRequest,
+                         double handshakesPerRequest, double connectionUtilisation, double silenceDetectionsPerRequest,
+                         int overloadCrashes, long breachCount, String firstBreach, int openRequests,
                          long events) {
         /** Returns whether no rule was broken, no cold node crashed by overload, and no request was left open. */
         public boolean isClean() {
@@ -51,9 +53,12 @@
 
         @Override
         public String toString() {
-            return String.format(Locale.ROOT, "figure %.4f  in time %.4f  worst %.4f  worst class %.4f  refused %.3f  tries %.2f  "
-                    + "handshakes %.3f  places %.2f  silent %.3f  fallen %d%s", score(), inTimeRatio, worstWindowRatio, worstClassRatio, refusedRatio, submissionsPerRequest,
-                    handshakesPerRequest, connectionUtilisation, silenceDetectionsPerRequest, overloadCrashes, breachCount == 0 && openRequests == 0 ? "" : ", broken " + breachCount
+            return String.format(Locale.ROOT,
+                    "figure %.4f  in time %.4f  worst %.4f  worst class %.4f  refused %.3f  tries %.2f  "
+                    + "handshakes %.3f  places %.2f  silent %.3f  fallen %d%s", score(), inTimeRatio, worstWindowRatio,
+                    worstClassRatio, refusedRatio, submissionsPerRequest,
+                    handshakesPerRequest, connectionUtilisation, silenceDetectionsPerRequest, overloadCrashes, breachCount == 0
+                    && openRequests == 0 ? "" : ", broken " + breachCount
                     + ", open " + openRequests + ": " + firstBreach);
         }
     }
@@ -184,7 +189,8 @@
     private void startGateway(GatewaySlot slot) {
         Scenario.NodeSettings s = scenario.nodeSettings();
         Settings settings = new Settings(scenario.gateways(), slot.number, slot.zone, false, MS, Scenario.CLASSES, List.of(), 0.2,
-                new UpstreamOptions(5, true), new Rules(50 * MS, SECOND, 10 * SECOND, s.coldCapacityFraction(), (long) (s.warmUpMillis() * MS),
+                new UpstreamOptions(5, true), new Rules(50 * MS, SECOND, 10 * SECOND, s.coldCapacityFraction(),
+                (long) (s.warmUpMillis() * MS),
                         s.overloadFactor(), (long) (s.overloadWindowMillis() * MS)));
         EmulatedGateway gateway = new EmulatedGateway(scheduler, scenario, settings,
                 (seed * 31 + slot.number) * 31 + slot.startCount++, new FleetEnvironment(),
@@ -207,7 +213,8 @@
         public void transmit(EmulatedGateway from, int to, byte[] datagram) {
             GatewaySlot receiver = slots.get(to);
             if (!arePartitioned(from.zone, receiver.zone) && random.nextDouble() >= DATAGRAM_LOSS_RATIO) {
-                scheduler.scheduleAfter((from.zone.equals(receiver.zone) ? SAME_ZONE_ONE_WAY_NANOS : CROSS_ZONE_ONE_WAY_NANOS) + random.nextLong(MS), () -> {
+                scheduler.scheduleAfter((from.zone.equals(receiver.zone) ? SAME_ZONE_ONE_WAY_NANOS : CROSS_ZONE_ONE_WAY_NANOS)
+                        + random.nextLong(MS), () -> {
                     if (receiver.gateway != null) {
                         receiver.gateway.onDatagram(from.number(), datagram);
                     }
@@ -227,7 +234,8 @@
 
         @Override
         public void onZoneWeightsChanged(EmulatedGateway gateway, Map<String, Double> weightByZone) {
-            weightByZone.forEach((zone, weight) -> weightChanges.add(new WeightChange(scheduler.now(), gateway.number(), zone, weight)));
+            weightByZone.forEach((zone, weight) ->
+                    weightChanges.add(new WeightChange(scheduler.now(), gateway.number(), zone, weight)));
         }
 
         @Override
@@ -274,11 +282,14 @@
      * @param otherZoneReductions number of times that a gateway set a weight below 1 for another zone, over the whole run
      * @param datagramsPerGatewaySecond datagrams sent per second and gateway, over the whole run
      */
-    public record EvacuationReport(int evacuatedGateways, int totalGateways, double medianSeconds, double p95Seconds, double maxSeconds, int otherZoneReductions, double datagramsPerGatewaySecond) {
+    public record EvacuationReport(int evacuatedGateways, int totalGateways, double medianSeconds, double p95Seconds,
+            double maxSeconds, int otherZoneReductions, double datagramsPerGatewaySecond) {
         @Override
         public String toString() {
-            return String.format(Locale.ROOT, "left by %d of %d after %.2f s (median), %.2f s (95 of 100), %.2f s (last); other zones left %d "
-                    + "times; %.1f datagrams a second and gateway", evacuatedGateways, totalGateways, medianSeconds, p95Seconds, maxSeconds, otherZoneReductions, datagramsPerGatewaySecond);
+            return String.format(Locale.ROOT,
+                    "left by %d of %d after %.2f s (median), %.2f s (95 of 100), %.2f s (last); other zones left %d "
+                    + "times; %.1f datagrams a second and gateway", evacuatedGateways, totalGateways, medianSeconds, p95Seconds,
+                    maxSeconds, otherZoneReductions, datagramsPerGatewaySecond);
         }
     }
 
@@ -287,7 +298,8 @@
         Map<Integer, Double> secondsToLeave = new HashMap<>();
         int otherZoneReductions = 0;
         for (WeightChange change : weightChanges) {
-            if (change.weight < 0.5 && change.zone.equals(zoneName(0)) && change.secondsSinceStart() >= fromSecond && change.secondsSinceStart() <= fromSecond + withinSeconds) {
+            if (change.weight < 0.5 && change.zone.equals(zoneName(0)) && change.secondsSinceStart() >= fromSecond
+                    && change.secondsSinceStart() <= fromSecond + withinSeconds) {
                 secondsToLeave.putIfAbsent(change.gateway, change.secondsSinceStart() - fromSecond);
             } else if (change.weight < 1 && !change.zone.equals(zoneName(0))) {
                 otherZoneReductions++;
@@ -295,14 +307,17 @@
         }
         List<Double> sortedSeconds = secondsToLeave.values().stream().sorted().toList();
         int count = sortedSeconds.size();
-        double datagramsPerGatewaySecond = allGateways.stream().mapToLong(g -> g.datagramsSent).sum() / (double) (scenario.seconds() * slots.size());
-        return new EvacuationReport(count, slots.size(), count == 0 ? Double.NaN : sortedSeconds.get(count / 2), count == 0 ? Double.NaN : sortedSeconds.get((count - 1) * 95 / 100),
+        double datagramsPerGatewaySecond = allGateways.stream().mapToLong(g -> g.datagramsSent)
+                .sum() / (double) (scenario.seconds() * slots.size());
+        return new EvacuationReport(count, slots.size(), count == 0 ? Double.NaN : sortedSeconds.get(count / 2), count == 0
+                ? Double.NaN : sortedSeconds.get((count - 1) * 95 / 100),
                 count == 0 ? Double.NaN : sortedSeconds.get(count - 1), otherZoneReductions, datagramsPerGatewaySecond);
     }
 
     /** Returns the ratio of worth answered within the aim to worth requested in each second; valid after {@link #run}. */
     public double[] inTimeRatioBySecond() {
-        return IntStream.range(0, scenario.seconds()).mapToDouble(second -> inTimeRatio(0, requestedWorth.length, second, second + 1)).toArray();
+        return IntStream.range(0, scenario.seconds())
+                .mapToDouble(second -> inTimeRatio(0, requestedWorth.length, second, second + 1)).toArray();
     }
 
     /** Runs the scenario to its end and 3 s beyond, so that open requests get their answers. */
@@ -335,8 +350,10 @@
             worstWindowRatio = Math.min(worstWindowRatio, inTimeRatio(0, requestedWorth.length, s, s + WORST_WINDOW_SECONDS));
         }
         double requestDivisor = Math.max(1, requestCount);
-        return new Result(requestCount, inTimeRatio(0, requestedWorth.length, 0, scenario.seconds()), worstWindowRatio, worstClassRatio,
-                refusalCount / Math.max(1.0, submissionCount), submissionCount / requestDivisor, handshakes / requestDivisor, connectionUtilisation, silenceDetections / requestDivisor, overloadCrashes,
+        return new Result(requestCount, inTimeRatio(0, requestedWorth.length, 0, scenario.seconds()), worstWindowRatio,
+                worstClassRatio,
+                refusalCount / Math.max(1.0, submissionCount), submissionCount / requestDivisor, handshakes / requestDivisor,
+                connectionUtilisation, silenceDetections / requestDivisor, overloadCrashes,
                 breachCount, firstBreach, openRequests, events);
     }
 
@@ -394,14 +411,16 @@
         String submissionId = requestCount + "." + submissionCount++;
         request.submissions++;
         pendingSubmissions.put(submissionId, request);
-        long clientTimeoutNanos = (long) (request.requestClass.deadlineNanos() * scenario.clientSettings().timeoutDeadlineFraction());
+        long clientTimeoutNanos = (long) (request.requestClass.deadlineNanos() * scenario.clientSettings()
+                .timeoutDeadlineFraction());
         EmulatedGateway gateway = pickGateway(request.slot);
         request.latestGateway = gateway;
         if (gateway == null) {
             scheduler.scheduleAfter(2 * CLIENT_ONE_WAY_NANOS, () -> onSubmissionEnded(submissionId, request, false, false));
             return;
         }
-        scheduler.scheduleAfter(CLIENT_ONE_WAY_NANOS, () -> gateway.submit(submissionId, request.requestClass, clientTimeoutNanos));
+        scheduler.scheduleAfter(CLIENT_ONE_WAY_NANOS,
+                () -> gateway.submit(submissionId, request.requestClass, clientTimeoutNanos));
         scheduler.scheduleAfter(clientTimeoutNanos + 2 * CLIENT_ONE_WAY_NANOS, () -> {
             if (pendingSubmissions.containsKey(submissionId)) {
                 gateway.onClientLeft(submissionId);
@@ -420,7 +439,8 @@
             request.done = true;
             servedWorth[request.classIndex][secondOf(request)] += scheduler.now() - request.firstAskedAt <= request.requestClass.aimNanos() ? request.requestClass.worth() : 0;
         } else if (request.submissions <= scenario.clientSettings().maxRetries()) {
-            double backoffMillis = scenario.clientSettings().initialBackoffMillis() * (1 << request.submissions - 1) * (0.5 + random.nextDouble());
+            double backoffMillis = scenario.clientSettings()
+                    .initialBackoffMillis() * (1 << request.submissions - 1) * (0.5 + random.nextDouble());
             scheduler.scheduleAfter((long) (backoffMillis * MS), () -> submit(request));
         } else {
             request.done = true;
@@ -447,7 +467,8 @@
         }
         int affectedCount = (int) Math.round(fault.affectedFraction() * nodes.size());
         // Nodes of one zone come first, since machines of one location fail together.
-        List<Node> affectedNodes = nodes.stream().sorted((a, b) -> a.info.zone().compareTo(b.info.zone())).limit(affectedCount).toList();
+        List<Node> affectedNodes = nodes.stream().sorted((a, b) -> a.info.zone().compareTo(b.info.zone())).limit(affectedCount)
+                .toList();
         for (int i = 0; i < affectedNodes.size(); i++) {
             Node node = affectedNodes.get(i);
             long staggerNanos = (until - from) * i / Math.max(1, affectedNodes.size());
@@ -501,13 +522,15 @@
     /** Returns the node's list entry, marked as removed. */
     private static ServerInfo asGone(Node node) {
         ServerInfo info = node.info;
-        return new ServerInfo(info.id(), info.zone(), info.machineType(), info.cell(), Readiness.GONE, info.capacityHint(), info.startedAtNanos());
+        return new ServerInfo(info.id(), info.zone(), info.machineType(), info.cell(), Readiness.GONE, info.capacityHint(),
+                info.startedAtNanos());
     }
 
     /** Sends changes of the server list to each gateway, after a random delay of its own. */
     private void sendListChanges(ServerInfo... changedServers) {
         for (EmulatedGateway gateway : allGateways) {
-            scheduler.scheduleAfter((long) (random.nextDouble() * MAX_LIST_DELAY_NANOS), () -> gateway.deliver(new ListReceived(ListKind.CHANGES, List.of(changedServers))));
+            scheduler.scheduleAfter((long) (random.nextDouble() * MAX_LIST_DELAY_NANOS),
+                    () -> gateway.deliver(new ListReceived(ListKind.CHANGES, List.of(changedServers))));
         }
     }
 }
--- a/src/main/java/cinderhollow/emulator/Invariants.java
+++ b/src/main/java/cinderhollow/emulator/Invariants.java
@@ -101,14 +101,16 @@
         if (!listedNodes.containsKey(node)) {
             recordBreach(Rule.UNKNOWN_NODE, now, request + " sent to unknown node " + node);
         } else if (notReadySince.containsKey(node) && now > notReadySince.get(node) + rules.drainGraceNanos()) {
-            recordBreach(Rule.DRAIN, now, request + " sent to " + node + ", notified as not ready at " + notReadySince.get(node) / 1e9 + " s");
+            recordBreach(Rule.DRAIN, now, request + " sent to " + node + ", notified as not ready at "
+                    + notReadySince.get(node) / 1e9 + " s");
         }
         if (openRequest == null) {
             recordBreach(Rule.ANSWERED_TWICE, now, "attempt sent for " + request + ", which has already ended");
             return;
         }
         if (openRequest.requestClass.effect() == Effect.UNSAFE && openRequest.possibleRuns > 0) {
-            recordBreach(Rule.RAN_TWICE, now, request + " of class " + openRequest.requestClass.name() + " sent again to " + node);
+            recordBreach(Rule.RAN_TWICE, now, request + " of class " + openRequest.requestClass.name() + " sent again to "
+                    + node);
         }
         openRequest.attemptCount++;
         openRequest.possibleRuns++;
@@ -138,7 +140,8 @@
         }
         openRequest.answered = true;
         if (refused && openRequest.requestClass.effect() == Effect.UNSAFE && openRequest.possibleRuns > 0) {
-            recordBreach(Rule.REFUSED_THOUGH_IT_MAY_HAVE_RUN, now, request + " refused although it may have run, of class " + openRequest.requestClass.name());
+            recordBreach(Rule.REFUSED_THOUGH_IT_MAY_HAVE_RUN, now, request + " refused although it may have run, of class "
+                    + openRequest.requestClass.name());
         }
         if (now > openRequest.answerDueAt) {
             recordBreach(Rule.LOST, now, request + " answered " + (now - openRequest.answerDueAt) / 1e6 + " ms too late");
--- a/src/main/java/cinderhollow/emulator/Node.java
+++ b/src/main/java/cinderhollow/emulator/Node.java
@@ -149,7 +149,8 @@
     /** Returns the work done per nanosecond now; open connections and a slowdown reduce it. */
     private double effectiveSpeed() {
         double connectionUtilisation = Math.min(1, (double) connections / scenario.nodeSettings().maxConnections());
-        return speed * capacityFraction() * (1 - scenario.nodeSettings().connectionOverheadFraction() * connectionUtilisation) / slowdown;
+        return speed * capacityFraction() * (1 - scenario.nodeSettings()
+                .connectionOverheadFraction() * connectionUtilisation) / slowdown;
     }
 
     /** Receives a complete request with this work in nanoseconds at speed 1; the callback gets its result at most once. */
@@ -187,7 +188,8 @@
         while (recentWork.peekFirst().arrivedAt <= scheduler.now() - overloadWindowNanos) {
             recentWorkNanos -= recentWork.pollFirst().workNanos;
         }
-        crashedByOverload = recentWorkNanos > scenario.nodeSettings().overloadFactor() * speed * capacityFraction() * overloadWindowNanos
+        crashedByOverload = recentWorkNanos > scenario.nodeSettings()
+                .overloadFactor() * speed * capacityFraction() * overloadWindowNanos
                 + OVERLOAD_SLACK_REQUESTS * scenario.meanWorkNanos();
     }
 
@@ -224,7 +226,8 @@
     LoadReport report() {
         double elapsedNanos = scheduler.now() - reportPeriodStart;
         if (elapsedNanos >= REPORT_INTERVAL_NANOS) {
-            lastReport = new LoadReport(completedJobs * SECOND / elapsedNanos, Math.min(1, busyNanos / elapsedNanos), 0, Double.NaN, Double.NaN, Double.NaN);
+            lastReport = new LoadReport(completedJobs * SECOND / elapsedNanos, Math.min(1, busyNanos / elapsedNanos), 0,
+                    Double.NaN, Double.NaN, Double.NaN);
             busyNanos = 0;
             completedJobs = 0;
             reportPeriodStart = scheduler.now();
--- a/src/main/java/cinderhollow/emulator/Scenario.java
+++ b/src/main/java/cinderhollow/emulator/Scenario.java
@@ -1,7 +1,7 @@
 package cinderhollow.emulator;
 
-import cinderhollow.policy.Protocol.Effect;
 import cinderhollow.policy.Protocol.DedupGroup;
+import cinderhollow.policy.Protocol.Effect;
 import cinderhollow.policy.Protocol.RequestClass;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
@@ -23,7 +23,8 @@
  * @param fault the fault that occurs, or null for none
  */
 public record Scenario(int gateways, int nodes, int zones, int seconds, double load, double rateVariation, double burstFactor,
-                       double workScale, NodeSettings nodeSettings, ClientSettings clientSettings, boolean evacuationEnabled, Fault fault) {
+                       double workScale, NodeSettings nodeSettings, ClientSettings clientSettings, boolean evacuationEnabled,
+                       Fault fault) {
     /**
      * Properties of the nodes and costs of connections.
      *
@@ -40,8 +41,10 @@
      * @param overloadFactor a cold node crashes if it gets more than this multiple of its current capacity and a small slack
      * @param overloadWindowMillis window over which that is measured
      */
-    public record NodeSettings(double slowNodeFraction, double slowSpeed, int maxConnections, int maxQueuedRequests, double connectionOverheadFraction, double handshakeMillis,
-                         double connectRoundTrips, double idleTimeoutMillis, double coldCapacityFraction, double warmUpMillis, double overloadFactor,
+    public record NodeSettings(double slowNodeFraction, double slowSpeed, int maxConnections, int maxQueuedRequests,
+            double connectionOverheadFraction, double handshakeMillis,
+                         double connectRoundTrips, double idleTimeoutMillis, double coldCapacityFraction, double warmUpMillis,
+                         double overloadFactor,
                          double overloadWindowMillis) { }
 
     /**
@@ -116,12 +119,14 @@
 
     /** Returns the same scenario with this fault. */
     public Scenario withFault(Fault newFault) {
-        return new Scenario(gateways, nodes, zones, seconds, load, rateVariation, burstFactor, workScale, nodeSettings, clientSettings, evacuationEnabled, newFault);
+        return new Scenario(gateways, nodes, zones, seconds, load, rateVariation, burstFactor, workScale, nodeSettings,
+                clientSettings, evacuationEnabled, newFault);
     }
 
     /** Returns the same scenario with gateways that gossip and evacuate zones together. */
     public Scenario withEvacuation() {
-        return new Scenario(gateways, nodes, zones, seconds, load, rateVariation, burstFactor, workScale, nodeSettings, clientSettings, true, fault);
+        return new Scenario(gateways, nodes, zones, seconds, load, rateVariation, burstFactor, workScale, nodeSettings,
+                clientSettings, true, fault);
     }
 
     /** Returns the mean work of a request in nanoseconds on a machine of speed 1. */
--- a/src/main/java/cinderhollow/evacuation/AttemptWindow.java
+++ b/src/main/java/cinderhollow/evacuation/AttemptWindow.java
@@ -143,7 +143,8 @@
         int[] failures = failuresSinceGood.clone();
         for (int slot = 0; slot < sentAtNanos.length; slot++) {
             int zone = serverKeys[slot] >> 8;
-            failures[zone] += sentAtNanos[slot] > 0 && now - sentAtNanos[slot] > silenceLimitsNanos[slot] && sentAtNanos[slot] >= newestGoodSentAtNanos[zone] ? 1 : 0;
+            failures[zone] += sentAtNanos[slot] > 0 && now - sentAtNanos[slot] > silenceLimitsNanos[slot]
+                    && sentAtNanos[slot] >= newestGoodSentAtNanos[zone] ? 1 : 0;
         }
         return failures;
     }
@@ -190,7 +191,8 @@
         Map<Integer, Boolean> newestSucceeded = new HashMap<>();
         for (int slot = 0; slot < sentAtNanos.length; slot++) {
             int zone = serverKeys[slot] >> 8;
-            if (sentAtNanos[slot] > 0 && now - sentAtNanos[slot] > silenceLimitsNanos[slot] && sentAtNanos[slot] >= discardBeforeNanos[zone]) {
+            if (sentAtNanos[slot] > 0 && now - sentAtNanos[slot] > silenceLimitsNanos[slot]
+                    && sentAtNanos[slot] >= discardBeforeNanos[zone]) {
                 signalCounts[zone][ZoneSignal.FAILED.ordinal()]++;
                 newestSucceeded.put(serverKeys[slot], false);
             }
@@ -215,7 +217,8 @@
         for (int zone = 0; zone < zoneCount; zone++) {
             int[] counts = signalCounts[zone];
             int attempts = Arrays.stream(counts).sum();
-            summaries[zone] = Digest.ZoneSummary.scaled(zone, attempts, counts[ZoneSignal.FAILED.ordinal()], counts[ZoneSignal.LATE.ordinal()] + counts[ZoneSignal.FULL.ordinal()],
+            summaries[zone] = Digest.ZoneSummary.scaled(zone, attempts, counts[ZoneSignal.FAILED.ordinal()],
+                    counts[ZoneSignal.LATE.ordinal()] + counts[ZoneSignal.FULL.ordinal()],
                     Digest.UNKNOWN_UTILISATION, healthyServerBits[zone], failingServerBits[zone]);
         }
         return summaries;
--- a/src/main/java/cinderhollow/evacuation/Digest.java
+++ b/src/main/java/cinderhollow/evacuation/Digest.java
@@ -16,7 +16,8 @@
  * @param warmServedRate requests per second served by warm servers
  * @param zones summaries of the zones; only those with the most failures are encoded
  */
-record Digest(int vantage, boolean localFaultSuspected, int ordersHash, int arrivalRate, int warmServedRate, List<ZoneSummary> zones) {
+record Digest(int vantage, boolean localFaultSuspected, int ordersHash, int arrivalRate, int warmServedRate,
+        List<ZoneSummary> zones) {
     static final int SERVER_BUCKETS = 64, UNKNOWN_UTILISATION = 255;
     private static final int MAX_ZONES_PER_DIGEST = 7, MAX_COUNT = 255, MAX_RATE_PER_SECOND = 65_535;
 
@@ -30,14 +31,18 @@
      * @param healthyServerBits bit set of the server buckets whose newest attempt succeeded
      * @param failingServerBits bit set of the server buckets whose newest attempt failed
      */
-    record ZoneSummary(int zone, int attempts, int failures, int lateOrFull, int scaledUtilisation, long healthyServerBits, long failingServerBits) {
+    record ZoneSummary(int zone, int attempts, int failures, int lateOrFull, int scaledUtilisation, long healthyServerBits,
+            long failingServerBits) {
         /** Returns a summary with counts that fit into a byte: above 255 attempts, all counts are scaled down to 255 attempts. */
-        static ZoneSummary scaled(int zone, int attempts, int failures, int lateOrFull, int scaledUtilisation, long healthyServerBits, long failingServerBits) {
+        static ZoneSummary scaled(int zone, int attempts, int failures, int lateOrFull, int scaledUtilisation,
+                long healthyServerBits, long failingServerBits) {
             if (attempts <= MAX_COUNT) {
-                return new ZoneSummary(zone, attempts, failures, lateOrFull, scaledUtilisation, healthyServerBits, failingServerBits);
+                return new ZoneSummary(zone, attempts, failures, lateOrFull, scaledUtilisation, healthyServerBits,
+                        failingServerBits);
             }
             double factor = (double) MAX_COUNT / attempts;
-            return new ZoneSummary(zone, MAX_COUNT, (int) Math.round(failures * factor), (int) Math.round(lateOrFull * factor), scaledUtilisation, healthyServerBits, failingServerBits);
+            return new ZoneSummary(zone, MAX_COUNT, (int) Math.round(failures * factor), (int) Math.round(lateOrFull * factor),
+                    scaledUtilisation, healthyServerBits, failingServerBits);
         }
 
         ZoneSummary withUtilisation(int utilisationParts) {
@@ -49,10 +54,12 @@
         List<ZoneSummary> included = new ArrayList<>(zones);
         included.removeIf(z -> z.attempts == 0 && z.scaledUtilisation == UNKNOWN_UTILISATION);
         included.sort(Comparator.comparingInt((ZoneSummary z) -> -z.failures).thenComparingInt(z -> -z.attempts));
-        ByteCursor to = ByteCursor.allocate(8 + MAX_ZONES_PER_DIGEST * 21).put(vantage, 1).put(localFaultSuspected ? 1 : 0, 1).put(ordersHash, 2)
+        ByteCursor to = ByteCursor.allocate(8 + MAX_ZONES_PER_DIGEST * 21).put(vantage, 1).put(localFaultSuspected ? 1 : 0, 1)
+                .put(ordersHash, 2)
                 .put(Math.min(arrivalRate, MAX_RATE_PER_SECOND), 2).put(Math.min(warmServedRate, MAX_RATE_PER_SECOND), 2);
         for (ZoneSummary z : included.subList(0, Math.min(MAX_ZONES_PER_DIGEST, included.size()))) {
-            to.put(z.zone, 1).put(z.attempts, 1).put(z.failures, 1).put(z.lateOrFull, 1).put(z.scaledUtilisation, 1).put(z.healthyServerBits, 8).put(z.failingServerBits, 8);
+            to.put(z.zone, 1).put(z.attempts, 1).put(z.failures, 1).put(z.lateOrFull, 1).put(z.scaledUtilisation, 1)
+                    .put(z.healthyServerBits, 8).put(z.failingServerBits, 8);
         }
         return to.toByteArray();
     }
@@ -67,7 +74,8 @@
         int warmServedRate = (int) from.readUnsigned(2);
         List<ZoneSummary> summaries = new ArrayList<>();
         while (from.remaining() > 0) {
-            ZoneSummary z = new ZoneSummary((int) from.readUnsigned(1), (int) from.readUnsigned(1), (int) from.readUnsigned(1), (int) from.readUnsigned(1), (int) from.readUnsigned(1),
+            ZoneSummary z = new ZoneSummary((int) from.readUnsigned(1), (int) from.readUnsigned(1), (int) from.readUnsigned(1),
+                    (int) from.readUnsigned(1), (int) from.readUnsigned(1),
                     from.readUnsigned(8), from.readUnsigned(8));
             if (z.zone >= zoneCount || z.failures + z.lateOrFull > z.attempts) {
                 throw new IllegalArgumentException("digest with an invalid zone number or counts: " + z);
--- a/src/main/java/cinderhollow/evacuation/Evacuation.java
+++ b/src/main/java/cinderhollow/evacuation/Evacuation.java
@@ -1,7 +1,7 @@
 package cinderhollow.evacuation;
 
-import cinderhollow.evacuation.ZoneDecision.Phase;
 import cinderhollow.evacuation.ZoneAssessment.Verdict;
+import cinderhollow.evacuation.ZoneDecision.Phase;
 import cinderhollow.peers.Fact;
 import cinderhollow.peers.FactKind;
 import cinderhollow.peers.GossipSettings;
@@ -55,12 +55,14 @@
      * Intervals of evaluation while a zone is suspected or evacuated and otherwise; intervals of publishing a digest while a
      * zone is suspected and otherwise.
      */
-    private static final long EVALUATION_INTERVAL_NANOS = 25 * MS, IDLE_EVALUATION_INTERVAL_NANOS = 100 * MS, URGENT_DIGEST_INTERVAL_NANOS = 100 * MS, DIGEST_INTERVAL_NANOS = SECOND;
+    private static final long EVALUATION_INTERVAL_NANOS = 25 * MS, IDLE_EVALUATION_INTERVAL_NANOS = 100 * MS,
+            URGENT_DIGEST_INTERVAL_NANOS = 100 * MS, DIGEST_INTERVAL_NANOS = SECOND;
     /**
      * Age up to which a digest counts during a suspicion; time in which news reaches the fleet; time of fast gossip after a
      * decision; interval of updating the rate that a warm server can take.
      */
-    private static final long URGENT_DIGEST_MAX_AGE_NANOS = 600 * MS, PROPAGATION_NANOS = 100 * MS, FAST_GOSSIP_NANOS = SECOND, WARM_RATE_INTERVAL_NANOS = 250 * MS;
+    private static final long URGENT_DIGEST_MAX_AGE_NANOS = 600 * MS, PROPAGATION_NANOS = 100 * MS, FAST_GOSSIP_NANOS = SECOND,
+            WARM_RATE_INTERVAL_NANOS = 250 * MS;
     /**
      * Bounds on the digests sent: of a vantage at most this many gateways send urgent digests, which is enough to decide and
      * keeps the traffic from growing with the fleet; and all members together send about this many normal digests per second.
@@ -73,8 +75,10 @@
      * later decider; the bound of that additional wait.
      */
     private static final long CONFIRMATION_NANOS = 50 * MS, DECIDER_DELAY_NANOS = 40 * MS, MAX_DECIDER_DELAY_NANOS = 400 * MS;
-    private static final long LEAVE_STEP_INTERVAL_NANOS = 250 * MS, RETURN_STEP_INTERVAL_NANOS = 250 * MS, TRIAL_STEP_INTERVAL_NANOS = 3 * SECOND, FLAP_DECAY_NANOS = 60 * SECOND;
-    private static final double MIN_TRIAL_WEIGHT = 0.02, MAX_TRIAL_WEIGHT = 0.25, INITIAL_RETURN_WEIGHT = 0.25, RETURN_GROWTH_FACTOR = 2, MIN_IN_USE_WEIGHT = 0.5;
+    private static final long LEAVE_STEP_INTERVAL_NANOS = 250 * MS, RETURN_STEP_INTERVAL_NANOS = 250 * MS,
+            TRIAL_STEP_INTERVAL_NANOS = 3 * SECOND, FLAP_DECAY_NANOS = 60 * SECOND;
+    private static final double MIN_TRIAL_WEIGHT = 0.02, MAX_TRIAL_WEIGHT = 0.25, INITIAL_RETURN_WEIGHT = 0.25,
+            RETURN_GROWTH_FACTOR = 2, MIN_IN_USE_WEIGHT = 0.5;
     /**
      * Utilisation up to which other zones are filled; ratio of attempts answered in time below which a zone counts as dead;
      * utilisation assumed at least when the capacity of a warm server is estimated.
@@ -87,7 +91,8 @@
      * time since the zone was left that gives the least length of a hold.
      */
     private static final int INDEPENDENT_TRIAL_HOLDS = 8, OUT_TIME_DIVISOR = 8;
-    private static final int UTILISATION_SCALE = 200, MIN_ATTEMPTS_PER_VANTAGE = 30, MIN_ATTEMPTS_PER_GATEWAY = 3, MIN_SUSPICIOUS_FAILURES = 2;
+    private static final int UTILISATION_SCALE = 200, MIN_ATTEMPTS_PER_VANTAGE = 30, MIN_ATTEMPTS_PER_GATEWAY = 3,
+            MIN_SUSPICIOUS_FAILURES = 2;
     private static final double RESIDUAL_WEIGHT = 0.05, MIN_WEIGHT_CHANGE = 0.005, RATE_SMOOTHING_FACTOR = 0.3;
 
     private record ReceivedDigest(Digest digest, long receivedAtNanos) { }
@@ -126,7 +131,8 @@
     private Map<String, Double> appliedWeights = Map.of();
     private double appliedWarmServerRate;
     private boolean acceptingClients = true;
-    private long now, unixMillis, evaluateAtNanos, publishedAtNanos = NEVER, ratesUpdatedAtNanos = NEVER, warmRateUpdatedAtNanos = NEVER;
+    private long now, unixMillis, evaluateAtNanos, publishedAtNanos = NEVER, ratesUpdatedAtNanos = NEVER,
+            warmRateUpdatedAtNanos = NEVER;
     private long previousArrivalCount, previousWarmServedCount, lastDigestVersion;
     private double arrivalRate, warmServedRate;
     private boolean loopLate;
@@ -134,7 +140,8 @@
     private long unreadableFacts;
 
     /** Creates the evacuation of a member that knows no others yet; the start time in Unix milliseconds is its generation. */
-    public Evacuation(EvacuationSettings settings, Rules rules, Roster roster, GossipSettings gossipSettings, long seed, long generationMillis, Callbacks callbacks) {
+    public Evacuation(EvacuationSettings settings, Rules rules, Roster roster, GossipSettings gossipSettings, long seed,
+            long generationMillis, Callbacks callbacks) {
         this.settings = settings;
         this.callbacks = callbacks;
         attemptWindow = new AttemptWindow(settings.zones().size());
@@ -144,7 +151,8 @@
             zones[z] = new Zone();
             zones[z].decision = ZoneDecision.initial(z, settings.vantage());
         }
-        peers = new Peers(roster, gossipSettings, List.of(DIGEST_KIND, ZoneDecision.FACT_KIND, Order.FACT_KIND), seed, generationMillis, new Peers.Callbacks() {
+        peers = new Peers(roster, gossipSettings, List.of(DIGEST_KIND, ZoneDecision.FACT_KIND, Order.FACT_KIND), seed,
+                generationMillis, new Peers.Callbacks() {
             @Override
             public void send(int member, byte[] datagram) {
                 callbacks.send(member, datagram);
@@ -201,7 +209,8 @@
             boolean fastGossip = false;
             for (Zone z : zones) {
                 idle &= z.suspectedSinceNanos == NEVER && z.decision.phase() == Phase.IN;
-                fastGossip |= z.suspectedSinceNanos != NEVER || now - z.adoptedAtNanos < FAST_GOSSIP_NANOS && z.decision.epoch() > 0;
+                fastGossip |= z.suspectedSinceNanos != NEVER || now - z.adoptedAtNanos < FAST_GOSSIP_NANOS
+                        && z.decision.epoch() > 0;
             }
             peers.setFastGossip(fastGossip);
             evaluateAtNanos = now + (idle ? IDLE_EVALUATION_INTERVAL_NANOS : EVALUATION_INTERVAL_NANOS);
@@ -291,18 +300,22 @@
 
     private void refreshDigest() {
         int aliveGateways = Math.max(1, aliveCountOf(settings.vantage()));
-        Digest.ZoneSummary[] summaries = attemptWindow.summarise(now, Math.max(MIN_ATTEMPTS_PER_GATEWAY, MIN_ATTEMPTS_PER_VANTAGE / aliveGateways));
+        Digest.ZoneSummary[] summaries =
+                attemptWindow.summarise(now, Math.max(MIN_ATTEMPTS_PER_GATEWAY, MIN_ATTEMPTS_PER_VANTAGE / aliveGateways));
         int zonesTried = 0;
         int zonesFailing = 0;
         for (int z = 0; z < summaries.length; z++) {
             double utilisation = traffic.utilisation(z);
-            summaries[z] = summaries[z].withUtilisation(Double.isNaN(utilisation) ? Digest.UNKNOWN_UTILISATION : (int) Math.round(Math.min(1, utilisation) * UTILISATION_SCALE));
+            summaries[z] = summaries[z].withUtilisation(Double.isNaN(utilisation) ? Digest.UNKNOWN_UTILISATION
+                    : (int) Math.round(Math.min(1, utilisation) * UTILISATION_SCALE));
             zonesTried += summaries[z].attempts() >= MIN_SUSPICIOUS_FAILURES ? 1 : 0;
-            zonesFailing += summaries[z].failures() >= MIN_SUSPICIOUS_FAILURES && 2 * summaries[z].failures() >= summaries[z].attempts() ? 1 : 0;
+            zonesFailing += summaries[z].failures() >= MIN_SUSPICIOUS_FAILURES
+                    && 2 * summaries[z].failures() >= summaries[z].attempts() ? 1 : 0;
         }
         // If all zones fail, or the loop is late, the cause is likely local: a starved core, no descriptors, a broken link.
         boolean localFaultSuspected = loopLate || zonesTried > 1 && zonesFailing == zonesTried;
-        ownDigest = new Digest(settings.vantage(), localFaultSuspected, ordersHash(), (int) Math.round(arrivalRate), (int) Math.round(warmServedRate), List.of(summaries));
+        ownDigest = new Digest(settings.vantage(), localFaultSuspected, ordersHash(), (int) Math.round(arrivalRate),
+                (int) Math.round(warmServedRate), List.of(summaries));
         if (!localFaultSuspected) {
             int[] failuresSinceGood = attemptWindow.countFailuresSinceGood(now);
             for (Digest.ZoneSummary z : summaries) {
@@ -313,7 +326,8 @@
         }
         boolean urgent = false;
         for (int z = 0; z < zones.length; z++) {
-            urgent |= zones[z].suspectedSinceNanos != NEVER && summaries[z].attempts() > 0 && deciderRank(z, 0) < MAX_URGENT_REPORTERS;
+            urgent |= zones[z].suspectedSinceNanos != NEVER && summaries[z].attempts() > 0
+                    && deciderRank(z, 0) < MAX_URGENT_REPORTERS;
         }
         if (now - publishedAtNanos >= (urgent ? URGENT_DIGEST_INTERVAL_NANOS : digestIntervalNanos())) {
             publishedAtNanos = now;
@@ -333,7 +347,8 @@
     }
 
     final int aliveCountOf(int vantage) {
-        return (int) vantageByMember.entrySet().stream().filter(e -> e.getValue() == vantage && peers.isAlive(e.getKey())).count();
+        return (int) vantageByMember.entrySet().stream().filter(e -> e.getValue() == vantage && peers.isAlive(e.getKey()))
+                .count();
     }
 
     /** Returns this gateway's rank for a zone and epoch: the number of living gateways of its vantage that come before it. */
@@ -360,7 +375,8 @@
         Zone z = zones[zone];
         long freshSince = now - 3 * digestIntervalNanos() / 2;
         // During a suspicion digests come often, and older ones may be from before the fault: only the most recent count.
-        long since = z.suspectedSinceNanos == NEVER ? freshSince : Math.max(Math.max(freshSince, z.suspectedSinceNanos), now - URGENT_DIGEST_MAX_AGE_NANOS);
+        long since = z.suspectedSinceNanos == NEVER ? freshSince
+                : Math.max(Math.max(freshSince, z.suspectedSinceNanos), now - URGENT_DIGEST_MAX_AGE_NANOS);
         if (vantage == settings.vantage() && (z.decision.phase() == Phase.TRYING || z.decision.phase() == Phase.RETURNING)) {
             // Ignores digests that others sent before they knew of the new trial.
             since = Math.max(since, z.phaseSinceNanos + PROPAGATION_NANOS);
@@ -390,7 +406,8 @@
         } else if (z.residentsReturnedAtNanos == NEVER && z.residentsWereOut) {
             z.residentsReturnedAtNanos = now;
         }
-        z.residentsWereOut = residentPhase == Phase.OUT || residentPhase == Phase.TRYING || z.residentsWereOut && z.decision.phase() != Phase.IN;
+        z.residentsWereOut = residentPhase == Phase.OUT || residentPhase == Phase.TRYING || z.residentsWereOut
+                && z.decision.phase() != Phase.IN;
         ZoneDecision newest = knownDecision(zone, settings.vantage());
         if (newest != null && (newest.epoch() != z.decision.epoch() || newest.decider() != z.decision.decider())) {
             adoptDecision(z, newest);
@@ -403,7 +420,8 @@
                     z.order = given;
                     z.orderedWeight = z.decision.weight();
                     z.orderSteppedAtNanos = now;
-                    callbacks.log("zone=" + settings.zones().get(zone) + " order=" + given.action().name().toLowerCase(Locale.ROOT)
+                    callbacks.log("zone=" + settings.zones().get(zone) + " order=" + given.action().name()
+                            .toLowerCase(Locale.ROOT)
                             + " epoch=" + given.epoch() + " by=" + given.issuer());
                 }
             } catch (IllegalArgumentException | IndexOutOfBoundsException e) {
@@ -424,8 +442,10 @@
             // Attempts of the previous phase say nothing about the new one.
             z.suspectedSinceNanos = NEVER;
             attemptWindow.discardBefore(now, newest.zone());
-            callbacks.log(String.format(Locale.ROOT, "zone=%s seen-from=%s phase=%s weight=%.2f epoch=%d by=%d flaps=%d evidence=\"%s\"",
-                    settings.zones().get(newest.zone()), settings.zones().get(newest.vantage()), newest.phaseName(), newest.weight(),
+            callbacks.log(String.format(Locale.ROOT,
+                    "zone=%s seen-from=%s phase=%s weight=%.2f epoch=%d by=%d flaps=%d evidence=\"%s\"",
+                    settings.zones().get(newest.zone()), settings.zones().get(newest.vantage()), newest.phaseName(),
+                    newest.weight(),
                     newest.epoch(), newest.decider(), newest.flaps(), z.evidence));
         }
     }
@@ -438,7 +458,8 @@
     boolean isEvacuated(int zone) {
         int region = settings.regionByZone().get(zone);
         return zones[zone].decision.phase() != Phase.IN
-                && countRegions(z -> settings.regionByZone().get(z) < region && zones[z].decision.phase() != Phase.IN) < settings.maxRegionsOut();
+                && countRegions(z -> settings.regionByZone().get(z) < region
+                && zones[z].decision.phase() != Phase.IN) < settings.maxRegionsOut();
     }
 
     /** Returns the number of regions with at least one zone that matches. */
@@ -457,7 +478,8 @@
      */
     private boolean isAvoided(int zone) {
         int region = settings.regionByZone().get(zone);
-        int otherRegions = countRegions(z -> settings.regionByZone().get(z) != region && (isEvacuated(z) || z < zone && now < zones[z].avoidedUntilNanos));
+        int otherRegions = countRegions(z -> settings.regionByZone().get(z) != region
+                && (isEvacuated(z) || z < zone && now < zones[z].avoidedUntilNanos));
         return now < zones[zone].avoidedUntilNanos && otherRegions < settings.maxRegionsOut();
     }
 
@@ -491,7 +513,8 @@
         // Waiting costs little with a slow zone; and if all zones become slow at once, the digests of the others must have
         // arrived before the decision.
         long confirmationNanos = z.decision.phase() != Phase.IN ? 0 : verdict == Verdict.SLOW ? SECOND : CONFIRMATION_NANOS;
-        long waitNanos = confirmationNanos + Math.min(MAX_DECIDER_DELAY_NANOS, deciderRank(zone, z.decision.epoch()) * DECIDER_DELAY_NANOS);
+        long waitNanos = confirmationNanos
+                + Math.min(MAX_DECIDER_DELAY_NANOS, deciderRank(zone, z.decision.epoch()) * DECIDER_DELAY_NANOS);
         if (now - z.stepDueSinceNanos >= waitNanos) {
             ZoneDecision decision = stampEpoch(next);
             peers.publish(decision.toFact());
@@ -530,28 +553,35 @@
                     boolean flapped = current.epoch() > 0 && sinceAdoptedNanos < FLAP_DECAY_NANOS;
                     return nextLeaveStep(current, assessment, verdict, flapped ? current.flaps() + 1 : current.flaps());
                 }
-                return current.flaps() > 0 && sinceAdoptedNanos >= FLAP_DECAY_NANOS ? current.transitionTo(Phase.IN, 1, current.flaps() - 1) : null;
+                return current.flaps() > 0 && sinceAdoptedNanos >= FLAP_DECAY_NANOS
+                        ? current.transitionTo(Phase.IN, 1, current.flaps() - 1) : null;
             case LEAVING:
                 if (verdict == Verdict.SOUND && sinceAdoptedNanos >= SECOND || !mayLeave(current.zone(), verdict)) {
                     return current.transitionTo(Phase.RETURNING, current.weight(), current.flaps());
                 }
-                return sinceAdoptedNanos >= LEAVE_STEP_INTERVAL_NANOS ? nextLeaveStep(current, assessment, verdict, current.flaps()) : null;
+                return sinceAdoptedNanos >= LEAVE_STEP_INTERVAL_NANOS
+                        ? nextLeaveStep(current, assessment, verdict, current.flaps()) : null;
             case OUT:
                 if (z.serversReplaced && z.serverCount > 0) {
                     // The list says that the servers are new, so no trial is needed; the cold-server budget limits their load.
                     return current.transitionTo(Phase.RETURNING, MIN_IN_USE_WEIGHT, current.flaps());
                 }
-                return z.serverCount > 0 && mayTry(z) ? current.transitionTo(Phase.TRYING, Math.max(trialWeight(), current.weight()), current.flaps()) : null;
+                return z.serverCount > 0 && mayTry(z)
+                        ? current.transitionTo(Phase.TRYING, Math.max(trialWeight(), current.weight()), current.flaps()) : null;
             case TRYING:
                 // The zone was bad before, so that a few failures are enough to end the trial without losing more requests.
-                if (unhealthy || assessment.failures() >= TRIAL_FAILURE_LIMIT && 2 * assessment.failures() >= assessment.attempts()) {
+                if (unhealthy || assessment.failures() >= TRIAL_FAILURE_LIMIT
+                        && 2 * assessment.failures() >= assessment.attempts()) {
                     return current.transitionTo(Phase.OUT, 0, current.flaps());
-                } else if (verdict == Verdict.SOUND || z.residentsReturnedAtNanos != NEVER && isSoundForResidents(current.zone())) {
-                    return current.transitionTo(Phase.RETURNING, Math.max(INITIAL_RETURN_WEIGHT, current.weight()), current.flaps());
+                } else if (verdict == Verdict.SOUND || z.residentsReturnedAtNanos != NEVER
+                        && isSoundForResidents(current.zone())) {
+                    return current.transitionTo(Phase.RETURNING, Math.max(INITIAL_RETURN_WEIGHT, current.weight()),
+                            current.flaps());
                 } else if (sinceAdoptedNanos < TRIAL_STEP_INTERVAL_NANOS) {
                     return null;
                 }
-                return current.weight() < MAX_TRIAL_WEIGHT ? current.transitionTo(Phase.TRYING, Math.min(MAX_TRIAL_WEIGHT, 2 * current.weight()), current.flaps())
+                return current.weight() < MAX_TRIAL_WEIGHT
+                        ? current.transitionTo(Phase.TRYING, Math.min(MAX_TRIAL_WEIGHT, 2 * current.weight()), current.flaps())
                         : current.transitionTo(Phase.RETURNING, MAX_TRIAL_WEIGHT, current.flaps());
             default:
                 if (verdict == Verdict.BAD) {
@@ -559,10 +589,13 @@
                 } else if (sinceAdoptedNanos < RETURN_STEP_INTERVAL_NANOS) {
                     return null;
                 } else if (verdict == Verdict.SLOW) {
-                    return current.weight() > MIN_TRIAL_WEIGHT ? current.transitionTo(Phase.RETURNING, Math.max(MIN_TRIAL_WEIGHT, current.weight() / 2), current.flaps()) : null;
+                    return current.weight() > MIN_TRIAL_WEIGHT
+                            ? current.transitionTo(Phase.RETURNING, Math.max(MIN_TRIAL_WEIGHT, current.weight() / 2),
+                            current.flaps()) : null;
                 }
                 double increased = current.weight() * RETURN_GROWTH_FACTOR;
-                return increased >= 1 ? current.transitionTo(Phase.IN, 1, current.flaps()) : current.transitionTo(Phase.RETURNING, increased, current.flaps());
+                return increased >= 1 ? current.transitionTo(Phase.IN, 1, current.flaps())
+                        : current.transitionTo(Phase.RETURNING, increased, current.flaps());
         }
     }
 
@@ -579,8 +612,10 @@
     private boolean mayTry(Zone z) {
         int zone = z.decision.zone();
         long sinceAdoptedNanos = now - z.adoptedAtNanos;
-        boolean goesFirst = zone == settings.vantage() || aliveCountOf(zone) == 0 || residentPhase(zone) == Phase.IN && !z.residentsWereOut;
-        return goesFirst ? sinceAdoptedNanos >= holdNanos(z) : z.residentsReturnedAtNanos != NEVER && z.decision.flaps() == 0 || sinceAdoptedNanos >= INDEPENDENT_TRIAL_HOLDS * holdNanos(z)
+        boolean goesFirst = zone == settings.vantage() || aliveCountOf(zone) == 0 || residentPhase(zone) == Phase.IN
+                && !z.residentsWereOut;
+        return goesFirst ? sinceAdoptedNanos >= holdNanos(z) : z.residentsReturnedAtNanos != NEVER && z.decision.flaps() == 0
+                || sinceAdoptedNanos >= INDEPENDENT_TRIAL_HOLDS * holdNanos(z)
                 || z.residentsReturnedAtNanos != NEVER && sinceAdoptedNanos >= holdNanos(z);
     }
 
@@ -594,9 +629,11 @@
     private double trialWeight() {
         double vantageArrivalRate = 0;
         for (ReceivedDigest h : receivedDigests.values()) {
-            vantageArrivalRate += h.digest.vantage() == settings.vantage() && now - h.receivedAtNanos < 3 * digestIntervalNanos() ? h.digest.arrivalRate() : 0;
+            vantageArrivalRate += h.digest.vantage() == settings.vantage()
+                    && now - h.receivedAtNanos < 3 * digestIntervalNanos() ? h.digest.arrivalRate() : 0;
         }
-        return Math.max(MIN_TRIAL_WEIGHT, Math.min(MAX_TRIAL_WEIGHT, TRIAL_REQUESTS_PER_SECOND / Math.max(1, vantageArrivalRate)));
+        return Math.max(MIN_TRIAL_WEIGHT,
+                Math.min(MAX_TRIAL_WEIGHT, TRIAL_REQUESTS_PER_SECOND / Math.max(1, vantageArrivalRate)));
     }
 
     /** Returns the next step down, toward the weight of the traffic for which the other zones have no room. */
@@ -614,7 +651,8 @@
         double movedLoad = traffic.warmCapacity(zone) * reportedUtilisation(zone);
         double spareCapacity = 0;
         for (int z = 0; z < zones.length; z++) {
-            spareCapacity += z == zone || appliedWeight(z) < MIN_IN_USE_WEIGHT ? 0 : traffic.warmCapacity(z) * Math.max(0, MAX_FILL_RATIO - reportedUtilisation(z));
+            spareCapacity += z == zone || appliedWeight(z) < MIN_IN_USE_WEIGHT ? 0
+                    : traffic.warmCapacity(z) * Math.max(0, MAX_FILL_RATIO - reportedUtilisation(z));
         }
         return movedLoad <= 0 ? 0 : Math.max(0, Math.min(1, (movedLoad - spareCapacity) / movedLoad));
     }
@@ -625,7 +663,8 @@
         int count = 0;
         for (ReceivedDigest h : receivedDigests.values()) {
             Digest.ZoneSummary z = h.digest.findZone(zone);
-            if (z != null && z.scaledUtilisation() != Digest.UNKNOWN_UTILISATION && now - h.receivedAtNanos < 3 * digestIntervalNanos()) {
+            if (z != null && z.scaledUtilisation() != Digest.UNKNOWN_UTILISATION
+                    && now - h.receivedAtNanos < 3 * digestIntervalNanos()) {
                 sum += (double) z.scaledUtilisation() / UTILISATION_SCALE;
                 count++;
             }
@@ -658,7 +697,8 @@
                 hasAlternative |= residentVerdict != Verdict.BAD && residentVerdict != Verdict.SLOW && better;
             }
         }
-        return hasAlternative && countRegions(z -> settings.regionByZone().get(z) != region && isEvacuatedOrOrderedOut(z)) < settings.maxRegionsOut();
+        return hasAlternative && countRegions(z -> settings.regionByZone().get(z) != region
+                && isEvacuatedOrOrderedOut(z)) < settings.maxRegionsOut();
     }
 
     /** Returns whether a zone is left, by automatic decision or by an operator's order. */
@@ -692,7 +732,8 @@
         }
         // The zone's own gateways have left it, and all attempts from here, by at least two gateways, failed.
         ZoneAssessment here = assess(zone, settings.vantage());
-        return vantagesAgainst >= 2 || countDecisions && isOutFrom(zone, zone) && here.voters() >= 2 && here.failures() == here.attempts();
+        return vantagesAgainst >= 2 || countDecisions && isOutFrom(zone, zone) && here.voters() >= 2
+                && here.failures() == here.attempts();
     }
 
     private boolean isOutFrom(int zone, int vantage) {
@@ -715,7 +756,8 @@
         if (hasAlternative && assessLocally(zone).verdict() == Verdict.BAD) {
             zones[zone].avoidedUntilNanos = now + settings.holdNanos();
             attemptWindow.discardBefore(now, zone);
-            callbacks.log("zone=" + settings.zones().get(zone) + " avoided by this gateway alone: it hears too few to decide, and saw "
+            callbacks.log("zone=" + settings.zones().get(zone)
+                    + " avoided by this gateway alone: it hears too few to decide, and saw "
                     + assessLocally(zone));
         }
     }
@@ -729,7 +771,8 @@
             double weight = nextWeight(z);
             String name = settings.zones().get(z);
             weights.put(name, weight);
-            changed = changed || Math.abs(weight - appliedWeights.get(name)) > MIN_WEIGHT_CHANGE || weight == 1 && appliedWeights.get(name) != 1;
+            changed = changed || Math.abs(weight - appliedWeights.get(name)) > MIN_WEIGHT_CHANGE || weight == 1
+                    && appliedWeights.get(name) != 1;
         }
         if (changed) {
             appliedWeights = Map.copyOf(weights);
@@ -822,7 +865,8 @@
     /** Publishes an operator's order to the whole fleet, valid from now until the given Unix time in milliseconds. */
     public void issueOrder(int zone, Order.Action action, long untilMillis) {
         Order before = zones[zone].order;
-        peers.publish(new Order(zone, action, untilMillis, ZoneDecision.nextEpoch(before == null ? 0 : before.epoch(), unixMillis), self()).toFact());
+        peers.publish(new Order(zone, action, untilMillis,
+                ZoneDecision.nextEpoch(before == null ? 0 : before.epoch(), unixMillis), self()).toFact());
     }
 
     /** Returns the state of all zones and members for operators. */
@@ -833,11 +877,13 @@
             for (int v = 0; v < zones.length; v++) {
                 ZoneDecision known = knownDecision(z, v);
                 ZoneDecision c = known == null ? ZoneDecision.initial(z, v) : known;
-                vantageEntries.add(new ZoneStatus.VantageEntry(settings.zones().get(v), c.phaseName(), c.weight(), c.epoch(), c.decider(), c.flaps(),
+                vantageEntries.add(new ZoneStatus.VantageEntry(settings.zones().get(v), c.phaseName(), c.weight(), c.epoch(),
+                        c.decider(), c.flaps(),
                         assess(z, v).toString()));
             }
             zoneEntries.add(new ZoneStatus.ZoneEntry(settings.zones().get(z), appliedWeight(z),
-                    orderedAction(zones[z]), orderedAction(zones[z]) == Order.Action.NONE ? 0 : zones[z].order.untilMillis(), vantageEntries));
+                    orderedAction(zones[z]), orderedAction(zones[z]) == Order.Action.NONE ? 0 : zones[z].order.untilMillis(),
+                    vantageEntries));
         }
         int known = ordersHash();
         List<Integer> unconfirmed = new ArrayList<>();
--- a/src/main/java/cinderhollow/evacuation/EvacuationSettings.java
+++ b/src/main/java/cinderhollow/evacuation/EvacuationSettings.java
@@ -14,7 +14,8 @@
  * @param holdNanos minimum time for which a zone stays out; doubles with each time that the zone failed again
  * @param maxHoldNanos upper bound of that time
  */
-public record EvacuationSettings(List<String> zones, int vantage, List<Integer> gatewaysByZone, List<Integer> regionByZone, int maxRegionsOut, long holdNanos, long maxHoldNanos) {
+public record EvacuationSettings(List<String> zones, int vantage, List<Integer> gatewaysByZone, List<Integer> regionByZone,
+        int maxRegionsOut, long holdNanos, long maxHoldNanos) {
     /** Checks the values and copies the lists. */
     public EvacuationSettings {
         zones = List.copyOf(zones);
@@ -36,6 +37,7 @@
      * 1 s to 60 s.
      */
     public static EvacuationSettings withDefaults(List<String> zones, int vantage, List<Integer> gatewaysByZone) {
-        return new EvacuationSettings(zones, vantage, gatewaysByZone, oneRegionPerZone(zones.size()), Math.max(1, (zones.size() - 1) / 2), 1_000_000_000L, 60_000_000_000L);
+        return new EvacuationSettings(zones, vantage, gatewaysByZone, oneRegionPerZone(zones.size()),
+                Math.max(1, (zones.size() - 1) / 2), 1_000_000_000L, 60_000_000_000L);
     }
 }
--- a/src/main/java/cinderhollow/evacuation/TrafficObserver.java
+++ b/src/main/java/cinderhollow/evacuation/TrafficObserver.java
@@ -130,7 +130,8 @@
             Server server = knownServers.get(serverId);
             attemptServers[attemptCount] = server;
             windowSlots[attemptCount++] = server == null ? -1
-                    : attemptWindow.onAttemptSent(now, server.zone, server.idHash, (long) (requestClass.aimNanos() * SILENCE_LIMIT_FACTOR));
+                    : attemptWindow.onAttemptSent(now, server.zone, server.idHash,
+                    (long) (requestClass.aimNanos() * SILENCE_LIMIT_FACTOR));
         }
 
         /** Records how an attempt ended; the load report may be null. */
@@ -145,7 +146,8 @@
             }
             if (load != null && server.zone >= 0 && load.utilisation() >= 0) {
                 double before = utilisation[server.zone];
-                utilisation[server.zone] = Double.isNaN(before) ? load.utilisation() : before + UTILISATION_SMOOTHING_FACTOR * (load.utilisation() - before);
+                utilisation[server.zone] = Double.isNaN(before) ? load.utilisation() : before
+                        + UTILISATION_SMOOTHING_FACTOR * (load.utilisation() - before);
             }
         }
     }
--- a/src/main/java/cinderhollow/evacuation/ZoneAssessment.java
+++ b/src/main/java/cinderhollow/evacuation/ZoneAssessment.java
@@ -23,7 +23,8 @@
  * @param serversSeen server buckets that were tried
  * @param serversFailing server buckets that only failed
  */
-record ZoneAssessment(Verdict verdict, double attempts, double failures, double lateOrFull, int voters, int failureVotes, int serversSeen, int serversFailing) {
+record ZoneAssessment(Verdict verdict, double attempts, double failures, double lateOrFull, int voters, int failureVotes,
+        int serversSeen, int serversFailing) {
     /** Verdict on a zone. */
     enum Verdict { UNKNOWN, SOUND, SLOW, BAD }
 
@@ -34,7 +35,8 @@
     static final double MAX_ATTEMPTS_PER_GATEWAY = 12;
     /** Part of the tried servers that may fail by themselves without the zone being at fault; significance level of that test. */
     static final double INDEPENDENT_SERVER_FAILURE_RATIO = 0.4, SERVER_SAMPLE_FALSE_ALARM_PROBABILITY = 0.01;
-    private static final double MIN_FAILING_SERVERS_RATIO = 0.6, MAJORITY_RATIO = 0.5, MIN_SLOW_RATIO = 0.75, MAX_SOUND_SLOW_RATIO = 0.4;
+    private static final double MIN_FAILING_SERVERS_RATIO = 0.6, MAJORITY_RATIO = 0.5, MIN_SLOW_RATIO = 0.75,
+            MAX_SOUND_SLOW_RATIO = 0.4;
     private static final int MIN_ATTEMPTS_FOR_SOUND = 5;
 
     /** Assesses a zone with the given number of servers by these digests. */
@@ -65,11 +67,14 @@
         int serversSeen = Long.bitCount(healthyServerBits | failingServerBits);
         int serversFailing = Long.bitCount(failingServerBits & ~healthyServerBits);
         Verdict verdict = Verdict.UNKNOWN;
-        if (failures >= MAJORITY_RATIO * attempts && isSignificant(failures, attempts) && 2 * failureVotes > voters && areMostServersFailing(serversFailing, serversSeen, serverCount)) {
+        if (failures >= MAJORITY_RATIO * attempts && isSignificant(failures, attempts) && 2 * failureVotes > voters
+                && areMostServersFailing(serversFailing, serversSeen, serverCount)) {
             verdict = Verdict.BAD;
-        } else if (failures + lateOrFull >= MIN_SLOW_RATIO * attempts && isSignificant(failures + lateOrFull, attempts) && 3 * slowVotes > 2 * voters) {
+        } else if (failures + lateOrFull >= MIN_SLOW_RATIO * attempts && isSignificant(failures + lateOrFull, attempts)
+                && 3 * slowVotes > 2 * voters) {
             verdict = Verdict.SLOW;
-        } else if (attempts >= MIN_ATTEMPTS_FOR_SOUND && failures <= EXPECTED_FAILURE_RATIO * attempts && failures + lateOrFull <= MAX_SOUND_SLOW_RATIO * attempts) {
+        } else if (attempts >= MIN_ATTEMPTS_FOR_SOUND && failures <= EXPECTED_FAILURE_RATIO * attempts && failures
+                + lateOrFull <= MAX_SOUND_SLOW_RATIO * attempts) {
             verdict = Verdict.SOUND;
         }
         return new ZoneAssessment(verdict, attempts, failures, lateOrFull, voters, failureVotes, serversSeen, serversFailing);
@@ -78,7 +83,8 @@
     /** Returns whether the failure ratio is above the expected one by more than chance explains. */
     static boolean isSignificant(double failures, double attempts) {
         double ratio = attempts == 0 ? 0 : failures / attempts;
-        return ratio > EXPECTED_FAILURE_RATIO && attempts * divergence(ratio, EXPECTED_FAILURE_RATIO) >= -Math.log(FALSE_ALARM_PROBABILITY);
+        return ratio > EXPECTED_FAILURE_RATIO
+                && attempts * divergence(ratio, EXPECTED_FAILURE_RATIO) >= -Math.log(FALSE_ALARM_PROBABILITY);
     }
 
     /**
@@ -87,12 +93,15 @@
      */
     static boolean areMostServersFailing(int failing, int seen, int serverCount) {
         double ratio = seen == 0 ? 0 : (double) failing / seen;
-        return ratio >= MIN_FAILING_SERVERS_RATIO && (failing >= MIN_FAILING_SERVERS_RATIO * Math.min(serverCount, Digest.SERVER_BUCKETS)
-                || seen * divergence(ratio, INDEPENDENT_SERVER_FAILURE_RATIO) >= -Math.log(SERVER_SAMPLE_FALSE_ALARM_PROBABILITY));
+        return ratio >= MIN_FAILING_SERVERS_RATIO
+                && (failing >= MIN_FAILING_SERVERS_RATIO * Math.min(serverCount, Digest.SERVER_BUCKETS)
+                || seen * divergence(ratio,
+                INDEPENDENT_SERVER_FAILURE_RATIO) >= -Math.log(SERVER_SAMPLE_FALSE_ALARM_PROBABILITY));
     }
 
     private static double divergence(double ratio, double expected) {
-        return (ratio == 0 ? 0 : ratio * Math.log(ratio / expected)) + (ratio == 1 ? 0 : (1 - ratio) * Math.log((1 - ratio) / (1 - expected)));
+        return (ratio == 0 ? 0 : ratio * Math.log(ratio / expected))
+                + (ratio == 1 ? 0 : (1 - ratio) * Math.log((1 - ratio) / (1 - expected)));
     }
 
     /** Returns whether the zone answers at least half of the attempts in time: possibly busy, but better than a failing one. */
@@ -108,6 +117,7 @@
     @Override
     public String toString() {
         return String.format(Locale.ROOT, "%s: %.0f tried, %.0f bad, %.0f late, by %d gateways, %d against; %d of %d hosts fail",
-                verdict.name().toLowerCase(Locale.ROOT), attempts, failures, lateOrFull, voters, failureVotes, serversFailing, serversSeen);
+                verdict.name().toLowerCase(Locale.ROOT), attempts, failures, lateOrFull, voters, failureVotes, serversFailing,
+                serversSeen);
     }
 }
--- a/src/main/java/cinderhollow/evacuation/ZoneDecision.java
+++ b/src/main/java/cinderhollow/evacuation/ZoneDecision.java
@@ -42,12 +42,14 @@
     }
 
     ZoneDecision transitionTo(Phase next, double weight, int nextFlaps) {
-        return new ZoneDecision(zone, vantage, next, (int) Math.round(weight * WEIGHT_SCALE), Math.min(MAX_FLAPS, nextFlaps), epoch, decider);
+        return new ZoneDecision(zone, vantage, next, (int) Math.round(weight * WEIGHT_SCALE), Math.min(MAX_FLAPS, nextFlaps),
+                epoch, decider);
     }
 
     /** Returns a copy with the decider and the next epoch, above that of the newest known version. */
     ZoneDecision withNextEpoch(long newestKnownVersion, long unixMillis, int decidingMember) {
-        return new ZoneDecision(zone, vantage, phase, scaledWeight, flaps, nextEpoch(Math.max(epoch, newestKnownVersion >> MEMBER_BITS), unixMillis), decidingMember);
+        return new ZoneDecision(zone, vantage, phase, scaledWeight, flaps,
+                nextEpoch(Math.max(epoch, newestKnownVersion >> MEMBER_BITS), unixMillis), decidingMember);
     }
 
     /** Returns the next epoch: above the previous one and not below the current time. */
@@ -77,7 +79,8 @@
         int parts = (int) from.readUnsigned(1);
         int flaps = (int) from.readUnsigned(1);
         if (zone >= zoneCount || vantage >= zoneCount || phase >= PHASES.length || parts > WEIGHT_SCALE) {
-            throw new IllegalArgumentException("invalid decision (zone, vantage, phase, weight): " + zone + ", " + vantage + ", " + phase + ", " + parts);
+            throw new IllegalArgumentException("invalid decision (zone, vantage, phase, weight): " + zone + ", " + vantage
+                    + ", " + phase + ", " + parts);
         }
         return new ZoneDecision(zone, vantage, PHASES[phase], parts, flaps, fact.version() >> MEMBER_BITS,
                 (int) (fact.version() & (1 << MEMBER_BITS) - 1));
--- a/src/main/java/cinderhollow/handover/Snapshot.java
+++ b/src/main/java/cinderhollow/handover/Snapshot.java
@@ -56,7 +56,8 @@
                 "calmest", c.minMeanLatencyNanos(), "served", c.servedCount())).toList());
         byte[] body = Json.text(fields).getBytes(StandardCharsets.UTF_8);
         if (body.length > MAX_BODY_BYTES) {
-            throw new IllegalArgumentException("snapshot too large: " + body.length + " bytes, limit " + MAX_BODY_BYTES + " bytes");
+            throw new IllegalArgumentException("snapshot too large: " + body.length + " bytes, limit " + MAX_BODY_BYTES
+                    + " bytes");
         }
         byte[] header = String.format(Locale.ROOT, "%s %d %d %08x%n", MAGIC, VERSION, body.length, computeCrc(body))
                 .getBytes(StandardCharsets.US_ASCII);
@@ -67,8 +68,10 @@
     }
 
     private static Map<String, Object> toJsonFields(EndpointEntry endpoint) {
-        return Map.of("name", endpoint.name(), "address", endpoint.address(), "zone", endpoint.zone(), "type", endpoint.type(), "group",
-                endpoint.group(), "draining", endpoint.draining(), "weight", endpoint.weight(), "since_ms", endpoint.sinceMillis());
+        return Map.of("name", endpoint.name(), "address", endpoint.address(), "zone", endpoint.zone(), "type", endpoint.type(),
+                "group",
+                endpoint.group(), "draining", endpoint.draining(), "weight", endpoint.weight(), "since_ms",
+                endpoint.sinceMillis());
     }
 
     private static long computeCrc(byte[] bytes) {
@@ -123,10 +126,12 @@
         List<EndpointEntry> endpoints = new ArrayList<>();
         for (Json h : json.required("hosts").entries()) {
             endpoints.add(new EndpointEntry(h.required("name").text(), h.required("address").text(), h.required("zone").text(),
-                    h.required("type").text(), (int) readLong(h, "group"), h.required("draining").isTrue(), readDouble(h, "weight"),
+                    h.required("type").text(), (int) readLong(h, "group"), h.required("draining").isTrue(),
+                    readDouble(h, "weight"),
                     readLong(h, "since_ms")));
         }
-        return new Snapshot(new LearnedState(readDouble(json, "pressure"), readDouble(json, "lateness"), readDouble(json, "warm_rate"), servers,
+        return new Snapshot(new LearnedState(readDouble(json, "pressure"), readDouble(json, "lateness"),
+                readDouble(json, "warm_rate"), servers,
                 classes), readLong(json, "index"), endpoints, json.required("standby").isTrue());
     }
 
--- a/src/main/java/cinderhollow/http1/DownstreamConnectionManager.java
+++ b/src/main/java/cinderhollow/http1/DownstreamConnectionManager.java
@@ -6,11 +6,12 @@
 import cinderhollow.core.RequestCounters;
 import cinderhollow.core.SocketReads;
 import cinderhollow.core.Transport;
-import cinderhollow.ledger.RequestEnd;
 import cinderhollow.ledger.LedgerCounters;
+import cinderhollow.ledger.RequestEnd;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
+import io.netty.channel.AdaptiveRecvByteBufAllocator;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelException;
 import io.netty.channel.ChannelFuture;
@@ -20,12 +21,11 @@
 import io.netty.channel.ChannelOption;
 import io.netty.channel.EventLoop;
 import io.netty.channel.SimpleChannelInboundHandler;
+import io.netty.channel.WriteBufferWaterMark;
 import io.netty.channel.socket.DuplexChannel;
 import io.netty.channel.socket.nio.NioChannelOption;
 import io.netty.channel.socket.nio.NioServerSocketChannel;
 import io.netty.channel.socket.nio.NioSocketChannel;
-import io.netty.channel.AdaptiveRecvByteBufAllocator;
-import io.netty.channel.WriteBufferWaterMark;
 import io.netty.handler.codec.http.DefaultFullHttpResponse;
 import io.netty.handler.codec.http.DefaultHttpContent;
 import io.netty.handler.codec.http.DefaultHttpResponse;
@@ -102,7 +102,8 @@
      * Bounds, in bytes, of pipelined requests: of one connection, and of all connections together. Each request counts with a
      * fixed overhead beside its body. A connection over its bound is not read.
      */
-    private static final int MAX_PIPELINED_BYTES = 128 * 1024, MAX_TOTAL_PIPELINED_BYTES = 4 * 1024 * 1024, PIPELINED_REQUEST_OVERHEAD_BYTES = 1024;
+    private static final int MAX_PIPELINED_BYTES = 128 * 1024, MAX_TOTAL_PIPELINED_BYTES = 4 * 1024 * 1024,
+            PIPELINED_REQUEST_OVERHEAD_BYTES = 1024;
     /**
      * Number of bytes that are still read and discarded from a connection whose input is invalid, in order to notice when the
      * client closes it.
@@ -208,7 +209,8 @@
      * @param listener handles the requests
      * @param sheet ledger counters for requests, or null
      */
-    public DownstreamConnectionManager(EventLoop loop, Transport transport, GatewayClock clock, EventLoopLag lag, int maxConnections,
+    public DownstreamConnectionManager(EventLoop loop, Transport transport, GatewayClock clock, EventLoopLag lag,
+            int maxConnections,
                         Listener listener, LedgerCounters ledgerCounters) {
         this.lag = lag;
         this.ledgerCounters = ledgerCounters;
@@ -219,7 +221,8 @@
         this.listener = listener;
         // The check runs after the next poll of the sockets: after a time in which the loop was busy, it must not close
         // connections whose request has been waiting unread.
-        loop.scheduleWithFixedDelay(() -> runAfterNextPoll(this::closeOverdueConnections), RequestReceiveTimeout.SWEEP_INTERVAL_MILLIS, RequestReceiveTimeout.SWEEP_INTERVAL_MILLIS,
+        loop.scheduleWithFixedDelay(() -> runAfterNextPoll(this::closeOverdueConnections),
+                RequestReceiveTimeout.SWEEP_INTERVAL_MILLIS, RequestReceiveTimeout.SWEEP_INTERVAL_MILLIS,
                 TimeUnit.MILLISECONDS);
     }
 
@@ -344,9 +347,11 @@
         runAfterNextPoll(() -> {
             List.copyOf(idleConnections).forEach(Connection::closeAndUnregister);
             long graceStart = clock.nanos() - FIRST_REQUEST_GRACE_NANOS;
-            List.copyOf(awaitingRequest).stream().filter(c -> !c.requestPartlyReceived && c.awaitingRequestSince <= graceStart).forEach(Connection::closeAndUnregister);
+            List.copyOf(awaitingRequest).stream().filter(c -> !c.requestPartlyReceived && c.awaitingRequestSince <= graceStart)
+                    .forEach(Connection::closeAndUnregister);
             enforceConnectionLimit();
-            boolean backlogMayHoldMore = acceptedCount != acceptedBefore || !roomAvailable || acceptPaused || !awaitingRequest.isEmpty() && awaitingRequest.iterator().next().awaitingRequestSince > graceStart;
+            boolean backlogMayHoldMore = acceptedCount != acceptedBefore || !roomAvailable || acceptPaused
+                    || !awaitingRequest.isEmpty() && awaitingRequest.iterator().next().awaitingRequestSince > graceStart;
             if (backlogMayHoldMore && pollsLeft > 0) {
                 closeListenerWhenBacklogEmpty(pollsLeft - 1);
                 return;
@@ -372,7 +377,9 @@
         long now = clock.nanos();
         if (standby && now - standbySince >= STANDBY_GRACE_NANOS) {
             List.copyOf(idleConnections).forEach(Connection::closeAndUnregister);
-            List.copyOf(awaitingRequest).stream().filter(c -> !c.requestPartlyReceived && now - c.awaitingRequestSince >= STANDBY_GRACE_NANOS).forEach(Connection::closeAndUnregister);
+            List.copyOf(awaitingRequest).stream()
+                    .filter(c -> !c.requestPartlyReceived && now - c.awaitingRequestSince >= STANDBY_GRACE_NANOS)
+                    .forEach(Connection::closeAndUnregister);
         }
     }
 
@@ -775,7 +782,8 @@
     private final class Connection extends SimpleChannelInboundHandler<RequestAssembler.AssembledRequest> {
         private final Channel channel;
         private final Decoder decoder = new Decoder();
-        private final RequestAssembler assembler = new RequestAssembler(this::hasNoPendingRequest, this::setUploadReading, this::onUploadBroken);
+        private final RequestAssembler assembler =
+                new RequestAssembler(this::hasNoPendingRequest, this::setUploadReading, this::onUploadBroken);
         /** Pipelined requests: received before the response to an earlier one was complete. */
         private final ArrayDeque<ReceivedRequest> pipelined = new ArrayDeque<>();
         /** Reply of the request that is open, or null. */
@@ -845,7 +853,8 @@
                 decoder.startDiscarding(MAX_DISCARDED_BYTES);
             }
             long now = clock.nanos();
-            ReceivedRequest received = new ReceivedRequest(request, incoming.upload(), hadRequest ? lag.earliestArrival(now) : earliestArrival(now));
+            ReceivedRequest received = new ReceivedRequest(request, incoming.upload(), hadRequest ? lag.earliestArrival(now)
+                    : earliestArrival(now));
             boolean noPendingRequest = hasNoPendingRequest();
             if (noPendingRequest && !mayBeStale(now)) {
                 handleRequest(received);
@@ -868,7 +877,8 @@
         }
 
         private long earliestArrival(long now) {
-            return earliestFirstByteAt < awaitingRequestSince && now - awaitingRequestSince <= EventLoopLag.TICK_INTERVAL_NANOS ? earliestFirstByteAt : lag.earliestArrival(now);
+            return earliestFirstByteAt < awaitingRequestSince && now - awaitingRequestSince <= EventLoopLag.TICK_INTERVAL_NANOS
+                    ? earliestFirstByteAt : lag.earliestArrival(now);
         }
 
         /**
@@ -894,7 +904,8 @@
         }
 
         private void updateAutoRead() {
-            boolean full = pipelinedBytes >= MAX_PIPELINED_BYTES || pipelinedBytes > 0 && DownstreamConnectionManager.this.totalPipelinedBytes >= MAX_TOTAL_PIPELINED_BYTES;
+            boolean full = pipelinedBytes >= MAX_PIPELINED_BYTES || pipelinedBytes > 0
+                    && DownstreamConnectionManager.this.totalPipelinedBytes >= MAX_TOTAL_PIPELINED_BYTES;
             channel.config().setAutoRead(uploadReading && !full && decoder.discardBudgetBytes != 0);
         }
 
@@ -1066,7 +1077,8 @@
                 boolean inputWasIgnored = inputIgnored;
                 inputIgnored = true;
                 closing = true;
-                int length = response instanceof FullHttpResponse full ? full.content().readableBytes() : MAX_UNSENT_STREAMED_BYTES;
+                int length = response instanceof FullHttpResponse full ? full.content().readableBytes()
+                        : MAX_UNSENT_STREAMED_BYTES;
                 ChannelFuture written = channel.writeAndFlush(response);
                 trackFlush(written);
                 if (uploadIncomplete) {
@@ -1135,7 +1147,8 @@
                 addOrRemove(lingeringConnections, connections.contains(this));
                 channel.config().setAutoRead(false);
                 duplex.shutdownOutput();
-                loop.schedule(() -> channel.close(), CLOSE_DELAY_MILLIS + length / MIN_CLIENT_BYTES_PER_MILLI, TimeUnit.MILLISECONDS);
+                loop.schedule(() -> channel.close(), CLOSE_DELAY_MILLIS + length / MIN_CLIENT_BYTES_PER_MILLI,
+                        TimeUnit.MILLISECONDS);
             });
         }
 
--- a/src/main/java/cinderhollow/http1/RequestAssembler.java
+++ b/src/main/java/cinderhollow/http1/RequestAssembler.java
@@ -101,7 +101,8 @@
             body = context.alloc().compositeBuffer();
             request.setUri(toOriginForm(request.uri()));
         }
-        String fault = part.decoderResult().isFailure() ? "malformed request" : part instanceof HttpRequest ? findFault(head) : null;
+        String fault = part.decoderResult().isFailure() ? "malformed request" : part instanceof HttpRequest ? findFault(head)
+                : null;
         if (fault != null) {
             fail(fault);
             return;
@@ -151,7 +152,8 @@
             if (finishedUpload.wasEverPaused()) {
                 // The client may have left while reading was paused. That shows only right behind the last byte, at the next poll
                 // of the socket; until then the end of the body is not forwarded.
-                context.executor().schedule(finishedUpload::end, DownstreamConnectionManager.SOCKET_POLL_MILLIS, TimeUnit.MILLISECONDS);
+                context.executor().schedule(finishedUpload::end, DownstreamConnectionManager.SOCKET_POLL_MILLIS,
+                        TimeUnit.MILLISECONDS);
             } else {
                 finishedUpload.end();
             }
@@ -177,7 +179,8 @@
         if (uploadActive) {
             uploadBrokenHandler.run();
         } else {
-            DefaultFullHttpRequest invalidRequest = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, method, "/", Unpooled.EMPTY_BUFFER);
+            DefaultFullHttpRequest invalidRequest =
+                    new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, method, "/", Unpooled.EMPTY_BUFFER);
             invalidRequest.setDecoderResult(DecoderResult.failure(new IllegalArgumentException(fault)));
             context.fireChannelRead(new AssembledRequest(invalidRequest, null));
         }
--- a/src/main/java/cinderhollow/http1/RequestReader.java
+++ b/src/main/java/cinderhollow/http1/RequestReader.java
@@ -28,7 +28,8 @@
  * Converts a client's request to the event that the decision module handles, and creates the request that is sent to a server.
  */
 public final class RequestReader {
-    private static final String REQUEST_ID_HEADER = "X-Request-ID", TIMEOUT_HEADER = "X-Timeout", IDEMPOTENCY_KEY_HEADER = "Idempotency-Key";
+    private static final String REQUEST_ID_HEADER = "X-Request-ID", TIMEOUT_HEADER = "X-Timeout", IDEMPOTENCY_KEY_HEADER =
+            "Idempotency-Key";
     /** Maximum number of digits of a number; longer timeouts are longer than any client waits. */
     private static final int MAX_DIGITS = 12;
     /** Headers that are not forwarded because they concern a single connection (hop-by-hop), or are set anew for the server. */
--- a/src/main/java/cinderhollow/http1/UpstreamPool.java
+++ b/src/main/java/cinderhollow/http1/UpstreamPool.java
@@ -9,8 +9,8 @@
 import cinderhollow.lifecycle.AttemptState;
 import cinderhollow.lifecycle.SendDecision;
 import cinderhollow.lifecycle.TransitionMonitor;
-import cinderhollow.membership.EndpointList.Endpoint;
 import cinderhollow.membership.EndpointList;
+import cinderhollow.membership.EndpointList.Endpoint;
 import cinderhollow.policy.Protocol.LoadReport;
 import cinderhollow.policy.Protocol.Outcome;
 import cinderhollow.policy.Protocol.Readiness;
@@ -99,7 +99,8 @@
      * seen for 60 s. The request waits for the delay rather than for a new connection: dialling takes as long and costs the
      * server work, and under load each connection would be discarded for the next request.
      */
-    private static final long REUSE_DELAY_NANOS = TimeUnit.MILLISECONDS.toNanos(8), REUSE_DELAY_ACTIVE_NANOS = TimeUnit.SECONDS.toNanos(60);
+    private static final long REUSE_DELAY_NANOS = TimeUnit.MILLISECONDS.toNanos(8), REUSE_DELAY_ACTIVE_NANOS =
+            TimeUnit.SECONDS.toNanos(60);
     private static final long SWEEP_INTERVAL_MILLIS = 500;
     /**
      * A connection with a large body on which the server neither sends nor accepts data for this long is closed; the server is
@@ -142,7 +143,8 @@
      * @param sheet ledger counters for attempts, or null
      * @param accounts number of ledger accounts
      */
-    public UpstreamPool(EventLoop loop, Transport transport, GatewayClock clock, long dialTimeoutNanos, long serverIdleTimeoutNanos,
+    public UpstreamPool(EventLoop loop, Transport transport, GatewayClock clock, long dialTimeoutNanos,
+            long serverIdleTimeoutNanos,
              int maxConnections, LedgerCounters ledgerCounters, int accounts) {
         this.ledgerCounters = ledgerCounters;
         openAttempts = new long[accounts];
@@ -154,7 +156,8 @@
                 .option(ChannelOption.WRITE_BUFFER_WATER_MARK, WATER_MARK)
                 .option(ChannelOption.RECVBUF_ALLOCATOR, new AdaptiveRecvByteBufAllocator(64, 2048, MAX_READ_BYTES));
         setTimeouts(dialTimeoutNanos, serverIdleTimeoutNanos);
-        loop.scheduleWithFixedDelay(this::closeIdleAndStalled, SWEEP_INTERVAL_MILLIS, SWEEP_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
+        loop.scheduleWithFixedDelay(this::closeIdleAndStalled, SWEEP_INTERVAL_MILLIS, SWEEP_INTERVAL_MILLIS,
+                TimeUnit.MILLISECONDS);
     }
 
     /**
@@ -224,7 +227,8 @@
         Connection idle = target == null ? null : target.takeIdle();
         if (idle != null) {
             idle.sendWhenReusable(attempt);
-        } else if (target != null && (connectionCount < (sharesConnectionLimit ? maxConnections / 2 : maxConnections) || closeOneIdle())) {
+        } else if (target != null && (connectionCount < (sharesConnectionLimit ? maxConnections / 2 : maxConnections)
+                || closeOneIdle())) {
             target.dial(attempt);
         } else {
             loop.execute(() -> attempt.end(Outcome.CONNECT_FAILED, null, null));
@@ -539,7 +543,8 @@
          * the client, and not the server, has to make progress does not count.
          */
         void closeIfStalled(long stalledSince) {
-            boolean waitsForServer = responseSink != null ? !readPaused : attempt != null && attempt.upload != null && !attempt.upload.isReading();
+            boolean waitsForServer = responseSink != null ? !readPaused : attempt != null && attempt.upload != null
+                    && !attempt.upload.isReading();
             if (!waitsForServer) {
                 lastProgressAt = clock.nanos();
             } else if (lastProgressAt <= stalledSince) {
--- a/src/main/java/cinderhollow/lab/Auditor.java
+++ b/src/main/java/cinderhollow/lab/Auditor.java
@@ -138,7 +138,8 @@
         /** Whether its gateway was killed during its shutdown without having answered it. */
         private boolean unansweredAtKill;
 
-        TrackedRequest(String id, int gateway, String requestClass, RequestSemantics semantics, long sentAtNanos, long deadlineNanos) {
+        TrackedRequest(String id, int gateway, String requestClass, RequestSemantics semantics, long sentAtNanos,
+                long deadlineNanos) {
             this.id = id;
             this.gateway = gateway;
             this.requestClass = requestClass;
@@ -178,7 +179,8 @@
             }
             recordBreach(Rule.ANSWERED_TWICE, s.id(), request, "the client received more than one answer to this request");
         } else if (observation instanceof Observation.ClientTimedOut s) {
-            recordOutcome(s.id(), s.atNanos(), RequestOutcome.TIMED_OUT, "the client closes: no answer has come long after its deadline");
+            recordOutcome(s.id(), s.atNanos(), RequestOutcome.TIMED_OUT,
+                    "the client closes: no answer has come long after its deadline");
         } else if (observation instanceof Observation.GatewayPauseChanged s) {
             onGatewayPauseChanged(s);
         } else if (observation instanceof Observation.ConnectionAborted s) {
@@ -217,7 +219,8 @@
             drainNotifiedAtNanos.keySet().removeIf(key -> key >> 32 == s.gateway());
             startNotifiedAtNanos.keySet().removeIf(key -> key >> 32 == s.gateway());
         } else if (observation instanceof Observation.GatewayExited s) {
-            recordBreach(Rule.GATEWAY_ENDED, LabNames.gatewayName(s.gateway()), null, "the gateway's process failed: " + s.reason());
+            recordBreach(Rule.GATEWAY_ENDED, LabNames.gatewayName(s.gateway()), null, "the gateway's process failed: "
+                    + s.reason());
         } else if (observation instanceof Observation.LabLate s) {
             recentLateness.add(s);
             while (recentLateness.peekFirst().atNanos() < s.atNanos() - LATENESS_RETENTION_NANOS) {
@@ -235,21 +238,25 @@
             unaudited++;
             return;
         }
-        TrackedRequest request = new TrackedRequest(s.id(), s.gateway(), s.requestClass(), semanticsByClass.get(s.requestClass()), s.atNanos(), s.atNanos() + s.timeoutNanos());
+        TrackedRequest request = new TrackedRequest(s.id(), s.gateway(), s.requestClass(),
+                semanticsByClass.get(s.requestClass()), s.atNanos(), s.atNanos() + s.timeoutNanos());
         trackedRequests.put(s.id(), request);
-        addTimelineEntry(request, s.atNanos(), "asked of " + LabNames.gatewayName(s.gateway()) + " as " + s.requestClass() + ", within "
+        addTimelineEntry(request, s.atNanos(), "asked of " + LabNames.gatewayName(s.gateway()) + " as " + s.requestClass()
+                + ", within "
                 + s.timeoutNanos() / 1_000_000 + "ms");
     }
 
     private void onAnswerReceived(Observation.AnswerReceived s) {
         RequestOutcome outcome = s.status() == OK ? RequestOutcome.SERVED
-                : s.status() == TOO_MANY_REQUESTS || s.status() == SERVICE_UNAVAILABLE ? RequestOutcome.REFUSED : RequestOutcome.FAILED;
+                : s.status() == TOO_MANY_REQUESTS || s.status() == SERVICE_UNAVAILABLE ? RequestOutcome.REFUSED
+                : RequestOutcome.FAILED;
         TrackedRequest request = trackedRequests.get(s.id());
         if (!recordOutcome(s.id(), s.atNanos(), outcome, "answered " + s.status()) || request == null) {
             return;
         }
         if (outcome == RequestOutcome.SERVED && !request.producedBodies.contains(s.body())) {
-            recordBreach(Rule.FOREIGN_ANSWER, s.id(), request, "no node produced this body for the request: '" + abbreviate(s.body()) + "'");
+            recordBreach(Rule.FOREIGN_ANSWER, s.id(), request, "no node produced this body for the request: '"
+                    + abbreviate(s.body()) + "'");
         }
         if (outcome == RequestOutcome.REFUSED && isRefusalForbidden(request)) {
             recordBreach(Rule.REFUSED_THOUGH_RAN, s.id(), request, "refused, which promises that a retry is harmless");
@@ -291,7 +298,8 @@
             if (unaudited == 0 || LabNames.sequenceOf(s.id()) < 0 || LabNames.sequenceOf(s.id()) > newestSequence) {
                 boolean sentEarlier = LabNames.sequenceOf(s.id()) >= 0 && LabNames.sequenceOf(s.id()) <= newestSequence;
                 recordBreach(sentEarlier ? Rule.SENT_AFTER_ANSWER : Rule.UNKNOWN_REQUEST, s.id(), null,
-                        LabNames.nodeName(s.node()) + (sentEarlier ? " got it long after its end" : " got a request that no client sent"));
+                        LabNames.nodeName(s.node()) + (sentEarlier ? " got it long after its end"
+                        : " got a request that no client sent"));
             }
             return;
         }
@@ -303,10 +311,12 @@
                     + LabNames.nodeName(first.node) + " may have run it");
         }
         if (first != null && request.semantics.effect() == Effect.KEYED && isOutsideDedup(request.semantics, first, s)) {
-            recordBreach(Rule.OUTSIDE_GROUP, s.id(), request, "resent to " + LabNames.nodeName(s.node()) + ", which drops no repeat of what "
+            recordBreach(Rule.OUTSIDE_GROUP, s.id(), request, "resent to " + LabNames.nodeName(s.node())
+                    + ", which drops no repeat of what "
                     + LabNames.nodeName(first.node) + " may have run");
         }
-        request.attempts.add(new Attempt(s.node(), s.atNanos(), drainNotifiedAtNanos.get(gatewayNodeKey(request.gateway, s.node()))));
+        request.attempts.add(new Attempt(s.node(), s.atNanos(),
+                drainNotifiedAtNanos.get(gatewayNodeKey(request.gateway, s.node()))));
         if (request.outcome == RequestOutcome.REFUSED && isRefusalForbidden(request)) {
             recordBreach(Rule.REFUSED_THOUGH_RAN, s.id(), request, "forwarded to a node after it had been refused");
         }
@@ -345,13 +355,17 @@
         for (Map.Entry<Integer, Double> gatewayWork : s.workByGateway().entrySet()) {
             totalWork += gatewayWork.getValue();
             Long notifiedAtNanos = startNotifiedAtNanos.get(gatewayNodeKey(gatewayWork.getKey(), s.node()));
-            informedWork += notifiedAtNanos != null && notifiedAtNanos >= nodeStartedAtNanos.getOrDefault(s.node(), Long.MAX_VALUE) ? gatewayWork.getValue() : 0;
+            informedWork += notifiedAtNanos != null
+                    && notifiedAtNanos >= nodeStartedAtNanos.getOrDefault(s.node(), Long.MAX_VALUE) ? gatewayWork.getValue() : 0;
         }
-        if (informedWork >= MIN_INFORMED_WORK_FRACTION * totalWork && latenessAllowanceNanos(s.atNanos() - OVERLOAD_LOOKBACK_NANOS, s.atNanos()) > LATENESS_FACTOR * MAX_LATENESS_AT_OVERLOAD_NANOS) {
+        if (informedWork >= MIN_INFORMED_WORK_FRACTION * totalWork
+                && latenessAllowanceNanos(s.atNanos() - OVERLOAD_LOOKBACK_NANOS,
+                s.atNanos()) > LATENESS_FACTOR * MAX_LATENESS_AT_OVERLOAD_NANOS) {
             unjudgedOverloadCrashes++;
         } else if (informedWork >= MIN_INFORMED_WORK_FRACTION * totalWork) {
             recordBreach(Rule.PUSHED_OVER, LabNames.nodeName(s.node()), null, "crashed from overload while cold, with "
-                    + Math.round(100 * informedWork / Math.max(1, totalWork)) + "% of the work from gateways notified of its start");
+                    + Math.round(100 * informedWork / Math.max(1, totalWork))
+                    + "% of the work from gateways notified of its start");
         }
     }
 
@@ -359,7 +373,8 @@
         if (s.paused()) {
             pauses.add(new Pause(s.gateway(), s.atNanos(), Long.MAX_VALUE));
         } else {
-            pauses.replaceAll(p -> p.gateway == s.gateway() && p.untilNanos == Long.MAX_VALUE ? new Pause(p.gateway, p.fromNanos, s.atNanos()) : p);
+            pauses.replaceAll(p -> p.gateway == s.gateway() && p.untilNanos == Long.MAX_VALUE
+                    ? new Pause(p.gateway, p.fromNanos, s.atNanos()) : p);
         }
     }
 
@@ -368,7 +383,8 @@
         long sum = 0;
         for (Pause p : pauses) {
             if (p.gateway == request.gateway && p.fromNanos < to && p.untilNanos + RESUME_GRACE_NANOS > from) {
-                sum += Math.min(to, p.untilNanos == Long.MAX_VALUE ? to : p.untilNanos + RESUME_GRACE_NANOS) - Math.max(from, p.fromNanos);
+                sum += Math.min(to, p.untilNanos == Long.MAX_VALUE ? to : p.untilNanos + RESUME_GRACE_NANOS) - Math.max(from,
+                        p.fromNanos);
             }
         }
         return sum;
@@ -376,18 +392,22 @@
 
     private void onGatewayKilled(Observation.GatewayKilled s) {
         killTimesByGateway.computeIfAbsent(s.gateway(), gateway -> new ArrayList<>()).add(s.atNanos());
-        trackedRequests.values().stream().filter(request -> request.gateway == s.gateway() && request.outcome == RequestOutcome.NONE)
+        trackedRequests.values().stream()
+                .filter(request -> request.gateway == s.gateway() && request.outcome == RequestOutcome.NONE)
                 .forEach(request -> addTimelineEntry(request, s.atNanos(), LabNames.gatewayName(s.gateway()) + " is killed"));
     }
 
     /** Nothing excuses requests that such a kill finds unanswered: the gateway got SIGTERM, and knows when the kill may come. */
     private void onGatewayKilledAtShutdown(Observation.GatewayKilledAtShutdown s) {
-        boolean wasPaused = pauses.stream().anyMatch(p -> p.gateway == s.gateway() && p.untilNanos > s.atNanos() - MAX_SHUTDOWN_NANOS);
+        boolean wasPaused = pauses.stream()
+                .anyMatch(p -> p.gateway == s.gateway() && p.untilNanos > s.atNanos() - MAX_SHUTDOWN_NANOS);
         if (!wasPaused && latenessAllowanceNanos(s.atNanos() - MAX_SHUTDOWN_NANOS, s.atNanos()) <= limits.answerSlackNanos()) {
-            recordBreach(Rule.GATEWAY_ENDED, LabNames.gatewayName(s.gateway()), null, "still running when the platform may kill it");
+            recordBreach(Rule.GATEWAY_ENDED, LabNames.gatewayName(s.gateway()), null,
+                    "still running when the platform may kill it");
         }
         for (TrackedRequest request : trackedRequests.values()) {
-            if (request.gateway == s.gateway() && request.outcome == RequestOutcome.NONE && request.sentAtNanos + limits.answerSlackNanos() < s.atNanos()) {
+            if (request.gateway == s.gateway() && request.outcome == RequestOutcome.NONE && request.sentAtNanos
+                    + limits.answerSlackNanos() < s.atNanos()) {
                 request.unansweredAtKill = true;
                 addTimelineEntry(request, s.atNanos(), LabNames.gatewayName(s.gateway()) + " is killed during its shutdown");
             }
@@ -399,8 +419,10 @@
         Iterator<TrackedRequest> oldest = trackedRequests.values().iterator();
         for (int i = 0; i < maxCount && oldest.hasNext(); i++) {
             TrackedRequest request = oldest.next();
-            long expiresAtNanos = Math.max(request.deadlineNanos, request.outcome == RequestOutcome.NONE ? 0 : request.endedAtNanos)
-                    + RETENTION_AFTER_END_NANOS + latenessAllowanceNanos(request.sentAtNanos, now) + pausedNanos(request, request.sentAtNanos, now);
+            long expiresAtNanos = Math.max(request.deadlineNanos, request.outcome == RequestOutcome.NONE ? 0
+                    : request.endedAtNanos)
+                    + RETENTION_AFTER_END_NANOS + latenessAllowanceNanos(request.sentAtNanos, now)
+                    + pausedNanos(request, request.sentAtNanos, now);
             if (now <= expiresAtNanos) {
                 return;
             }
@@ -415,11 +437,13 @@
      */
     private void closeRequest(TrackedRequest request) {
         checkTimes(request);
-        if (request.outcome != RequestOutcome.NONE && request.outcome != RequestOutcome.ABORTED && request.outcome != RequestOutcome.TIMED_OUT) {
+        if (request.outcome != RequestOutcome.NONE && request.outcome != RequestOutcome.ABORTED
+                && request.outcome != RequestOutcome.TIMED_OUT) {
             return;
         }
         if (request.unansweredAtKill) {
-            recordBreach(Rule.LOST, request.id, request, "its gateway had not answered it when it was killed during its shutdown");
+            recordBreach(Rule.LOST, request.id, request,
+                    "its gateway had not answered it when it was killed during its shutdown");
             return;
         }
         if (isExcusedByAKill(request)) {
@@ -430,13 +454,16 @@
             // An answer may have waited unread in the lab until its client closed; that is not the gateway's fault.
             if (pausedNanos(request, request.sentAtNanos, request.endedAtNanos) > 0) {
                 excused++;
-            } else if (request.endedAtNanos > request.deadlineNanos + limits.answerSlackNanos() + latenessAllowanceNanos(request.sentAtNanos, request.endedAtNanos)) {
-                recordBreach(Rule.LOST, request.id, request, "no answer until " + formatMillis(request.endedAtNanos - request.deadlineNanos) + " after its deadline");
+            } else if (request.endedAtNanos > request.deadlineNanos + limits.answerSlackNanos()
+                    + latenessAllowanceNanos(request.sentAtNanos, request.endedAtNanos)) {
+                recordBreach(Rule.LOST, request.id, request, "no answer until "
+                        + formatMillis(request.endedAtNanos - request.deadlineNanos) + " after its deadline");
             } else {
                 unaudited++;
             }
         } else if (!request.attempts.isEmpty()) {
-            recordBreach(Rule.LOST, request.id, request, "the gateway had accepted it and closed the connection without an answer");
+            recordBreach(Rule.LOST, request.id, request,
+                    "the gateway had accepted it and closed the connection without an answer");
         }
         // Otherwise the request was sent while its connection was being closed, and the gateway never accepted it.
     }
@@ -446,15 +473,18 @@
      * its end, and its gateway may have been killed again by then.
      */
     private boolean isExcusedByAKill(TrackedRequest request) {
-        return killTimesByGateway.getOrDefault(request.gateway, List.of()).stream().anyMatch(killedAtNanos -> killedAtNanos + KILL_EXCUSE_NANOS >= request.sentAtNanos
+        return killTimesByGateway.getOrDefault(request.gateway, List.of()).stream()
+                .anyMatch(killedAtNanos -> killedAtNanos + KILL_EXCUSE_NANOS >= request.sentAtNanos
                 && (request.outcome == RequestOutcome.NONE || request.endedAtNanos >= killedAtNanos));
     }
 
     /** Checks the rules that depend on time: late answers, and attempts after the end or after a drain. */
     private void checkTimes(TrackedRequest request) {
-        boolean answered = request.outcome == RequestOutcome.SERVED || request.outcome == RequestOutcome.REFUSED || request.outcome == RequestOutcome.FAILED;
+        boolean answered = request.outcome == RequestOutcome.SERVED || request.outcome == RequestOutcome.REFUSED
+                || request.outcome == RequestOutcome.FAILED;
         answeredLate += answered && request.endedAtNanos > request.deadlineNanos + limits.answerSlackNanos() ? 1 : 0;
-        if (answered && request.endedAtNanos > request.deadlineNanos + LOST_ANSWER_DELAY_NANOS + latenessAllowanceNanos(request.sentAtNanos, request.endedAtNanos)
+        if (answered && request.endedAtNanos > request.deadlineNanos + LOST_ANSWER_DELAY_NANOS
+                + latenessAllowanceNanos(request.sentAtNanos, request.endedAtNanos)
                 + pausedNanos(request, request.sentAtNanos, request.endedAtNanos)) {
             recordBreach(Rule.LOST, request.id, request, "answered " + formatMillis(request.endedAtNanos - request.deadlineNanos)
                     + " after the client's deadline");
@@ -463,7 +493,8 @@
             long slackNanos = limits.answerSlackNanos() + latenessAllowanceNanos(request.sentAtNanos, attempt.atNanos)
                     + pausedNanos(request, request.sentAtNanos - limits.drainGraceNanos(), attempt.atNanos);
             boolean clientGone = request.outcome == RequestOutcome.ABANDONED || request.outcome == RequestOutcome.TIMED_OUT;
-            if (clientGone && attempt.atNanos > request.endedAtNanos + ABANDONMENT_GRACE_NANOS + latenessAllowanceNanos(request.sentAtNanos, attempt.atNanos)) {
+            if (clientGone && attempt.atNanos > request.endedAtNanos + ABANDONMENT_GRACE_NANOS
+                    + latenessAllowanceNanos(request.sentAtNanos, attempt.atNanos)) {
                 recordBreach(Rule.SENT_AFTER_LEAVING, request.id, request, "reaches " + LabNames.nodeName(attempt.node) + " "
                         + formatMillis(attempt.atNanos - request.endedAtNanos) + " after its client left");
             }
@@ -474,7 +505,8 @@
             if (attempt.drainNotifiedAtNanos != null
                     && attempt.atNanos > attempt.drainNotifiedAtNanos + limits.drainGraceNanos() + slackNanos) {
                 recordBreach(Rule.SENT_AFTER_DRAIN, request.id, request, LabNames.nodeName(attempt.node)
-                        + " had been known to be draining or gone for " + formatMillis(attempt.atNanos - attempt.drainNotifiedAtNanos));
+                        + " had been known to be draining or gone for "
+                        + formatMillis(attempt.atNanos - attempt.drainNotifiedAtNanos));
             }
         }
     }
@@ -506,7 +538,8 @@
         if (breaches.size() < MAX_RECORDED_BREACHES) {
             List<TimelineEntry> timeline = request == null ? List.of() : request.timeline;
             breaches.add(new Breach(rule, subject, description, timeline.stream().map(entry ->
-                    String.format(Locale.ROOT, "%9.1fms %s", (entry.atNanos - timelineOriginNanos) / NANOS_PER_MILLI, entry.text)).toList()));
+                    String.format(Locale.ROOT, "%9.1fms %s", (entry.atNanos - timelineOriginNanos) / NANOS_PER_MILLI,
+                            entry.text)).toList()));
         }
     }
 
--- a/src/main/java/cinderhollow/lab/Clients.java
+++ b/src/main/java/cinderhollow/lab/Clients.java
@@ -39,7 +39,8 @@
  * abandon their request early. One event loop owns all state.
  */
 final class Clients {
-    private static final int MAX_BODY_BYTES = 64 * 1024, OK = 200, SERVICE_UNAVAILABLE = 503, TOO_MANY_REQUESTS = 429, CONNECT_TIMEOUT_MILLIS = 1_000;
+    private static final int MAX_BODY_BYTES = 64 * 1024, OK = 200, SERVICE_UNAVAILABLE = 503, TOO_MANY_REQUESTS = 429,
+            CONNECT_TIMEOUT_MILLIS = 1_000;
     /** Interval of the readiness probes of a gateway that refused a connection. */
     private static final long READINESS_CHECK_INTERVAL_MILLIS = 100;
     /** Bounds of the time after SIGTERM during which clients still open connections to the gateway. */
@@ -50,7 +51,8 @@
      * Clients wait this long past their deadline, so that late answers are distinguished from missing ones. If the timer itself
      * was late by more than the second value, the timeout is postponed.
      */
-    private static final long TIMEOUT_GRACE_NANOS = TimeUnit.SECONDS.toNanos(1), LATE_THRESHOLD_NANOS = TimeUnit.MILLISECONDS.toNanos(20);
+    private static final long TIMEOUT_GRACE_NANOS = TimeUnit.SECONDS.toNanos(1), LATE_THRESHOLD_NANOS =
+            TimeUnit.MILLISECONDS.toNanos(20);
     private static final byte[] REQUEST_BODY = ("q".repeat(200)).getBytes(StandardCharsets.US_ASCII);
 
     private final EventLoop loop;
@@ -90,7 +92,8 @@
         /** Returns whether a client may be sent there. During its shutdown, idle connections are still used. */
         boolean isAvailable() {
             dropClosed();
-            return newConnectionsUntilNanos == Long.MAX_VALUE ? up : !idleConnections.isEmpty() || up && System.nanoTime() < newConnectionsUntilNanos;
+            return newConnectionsUntilNanos == Long.MAX_VALUE ? up : !idleConnections.isEmpty() || up
+                    && System.nanoTime() < newConnectionsUntilNanos;
         }
 
         private void dropClosed() {
@@ -220,14 +223,16 @@
     void addKeepAliveConnections(int gateway, int count) {
         for (int i = 0; i < count; i++) {
             RequestClass requestClass = fleetConfig.classes().get(random.nextInt(fleetConfig.classes().size()));
-            new ClientRequest(new Arrival(0, requestClass, 0, random.nextDouble())).sendOnNewConnection(gatewayStates.get(gateway));
+            new ClientRequest(new Arrival(0, requestClass, 0, random.nextDouble()))
+                    .sendOnNewConnection(gatewayStates.get(gateway));
         }
     }
 
     /** Notes that the gateway gets SIGTERM: clients still connect for a short time, and go on using open connections. */
     void markTerminating(int gateway) {
         GatewayState gatewayState = gatewayStates.get(gateway);
-        gatewayState.newConnectionsUntilNanos = System.nanoTime() + random.nextLong(MIN_SHUTDOWN_CONNECT_NANOS, MAX_SHUTDOWN_CONNECT_NANOS);
+        gatewayState.newConnectionsUntilNanos = System.nanoTime()
+                + random.nextLong(MIN_SHUTDOWN_CONNECT_NANOS, MAX_SHUTDOWN_CONNECT_NANOS);
         loop.schedule(gatewayState::markDown, MAX_SHUTDOWN_CONNECT_NANOS, TimeUnit.NANOSECONDS);
     }
 
@@ -316,7 +321,8 @@
 
         void finishServed() {
             long elapsedNanos = System.nanoTime() - startedAtNanos;
-            finish(stats -> stats.recordServed(elapsedNanos, elapsedNanos <= TimeUnit.MILLISECONDS.toNanos(requestClass.aimMillis())));
+            finish(stats -> stats.recordServed(elapsedNanos,
+                    elapsedNanos <= TimeUnit.MILLISECONDS.toNanos(requestClass.aimMillis())));
         }
     }
 
@@ -376,7 +382,8 @@
                 request.headers().set("Idempotency-Key", requestId);
             }
             gatewayState.statsOf(nextRequest.requestClass).requests++;
-            observer.accept(new Observation.RequestSent(sentAtNanos, requestId, gatewayState.number, nextRequest.requestClass.name(), timeoutNanos));
+            observer.accept(new Observation.RequestSent(sentAtNanos, requestId, gatewayState.number,
+                    nextRequest.requestClass.name(), timeoutNanos));
             timesOutAtNanos = sentAtNanos + timeoutNanos + TIMEOUT_GRACE_NANOS;
             timeoutTimer = loop.schedule(this::onTimeout, timeoutNanos + TIMEOUT_GRACE_NANOS, TimeUnit.NANOSECONDS);
             if (nextRequest.abandonsAfterNanos > 0 && nextRequest.tries == 1) {
@@ -423,7 +430,8 @@
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse answer) {
             String body = answer.content().toString(StandardCharsets.UTF_8);
             if (clientRequest == null || previousRequestId != null && body.startsWith("made for " + previousRequestId + " ")) {
-                observer.accept(new Observation.SurplusAnswer(System.nanoTime(), clientRequest == null ? requestId : previousRequestId));
+                observer.accept(new Observation.SurplusAnswer(System.nanoTime(), clientRequest == null ? requestId
+                        : previousRequestId));
                 return;
             }
             int status = answer.status().code();
@@ -461,13 +469,15 @@
         public void channelInactive(ChannelHandlerContext ctx) {
             gatewayState.idleConnections.remove(this);
             if (clientRequest != null) {
-                observer.accept(timedOut ? new Observation.ClientTimedOut(System.nanoTime(), requestId) : new Observation.ConnectionAborted(System.nanoTime(), requestId));
+                observer.accept(timedOut ? new Observation.ClientTimedOut(System.nanoTime(), requestId)
+                        : new Observation.ConnectionAborted(System.nanoTime(), requestId));
                 ClientRequest interruptedRequest = clientRequest;
                 gatewayState.statsOf(interruptedRequest.requestClass).unanswered++;
                 boolean wasReused = previousRequestId != null;
                 clearRequest();
                 // The gateway may have closed a reused connection before it read the request.
-                interruptedRequest.retryOrFinish(interruptedRequest.isSafe() || wasReused && interruptedRequest.tries == 1, 0, stats -> stats.unanswered++);
+                interruptedRequest.retryOrFinish(interruptedRequest.isSafe() || wasReused && interruptedRequest.tries == 1, 0,
+                        stats -> stats.unanswered++);
             }
         }
 
--- a/src/main/java/cinderhollow/lab/EvacuationTracker.java
+++ b/src/main/java/cinderhollow/lab/EvacuationTracker.java
@@ -56,7 +56,8 @@
 
     /** Evaluates a log line, if it says that a zone is left. */
     private void parseLine(int gateway, String line) {
-        boolean isLeave = line.contains("phase=leaving") || line.contains("phase=out") || line.contains("avoided by this gateway");
+        boolean isLeave = line.contains("phase=leaving") || line.contains("phase=out")
+                || line.contains("avoided by this gateway");
         if (!isLeave || !line.contains("zone=")) {
             return;
         }
--- a/src/main/java/cinderhollow/lab/Fault.java
+++ b/src/main/java/cinderhollow/lab/Fault.java
@@ -96,7 +96,8 @@
 
     Fault {
         if (atMillis < 0 || durationMillis <= 0) {
-            throw new IllegalArgumentException("invalid times of a fault: " + atMillis + "ms and duration " + durationMillis + "ms");
+            throw new IllegalArgumentException("invalid times of a fault: " + atMillis + "ms and duration " + durationMillis
+                    + "ms");
         }
         if (!(size >= 0 && size <= 1e6)) {
             throw new IllegalArgumentException("invalid size of a fault, must be 0 to 1000000: " + size);
--- a/src/main/java/cinderhollow/lab/FaultPlan.java
+++ b/src/main/java/cinderhollow/lab/FaultPlan.java
@@ -36,7 +36,8 @@
             Kind.SPOILT, Kind.SURPLUS, Kind.RESET_BEFORE, Kind.RESET_AFTER);
     private static final List<Kind> SIGNAL_KINDS = List.of(Kind.HANG_UP_GATEWAY, Kind.STOP_AGAIN, Kind.PAUSE_GATEWAY);
     private static final long CROWD_SEED_MASK = 0x63726f7764L;
-    private static final int WORDS_PER_LINE = 8, START_INDEX = 1, KIND_INDEX = 2, TARGET_INDEX = 3, DURATION_INDEX = 5, SIZE_INDEX = 7;
+    private static final int WORDS_PER_LINE = 8, START_INDEX = 1, KIND_INDEX = 2, TARGET_INDEX = 3, DURATION_INDEX = 5,
+            SIZE_INDEX = 7;
 
     /** Creates a plan; the faults are sorted by time. */
     public FaultPlan {
@@ -80,7 +81,8 @@
             throw new IllegalArgumentException("expected the form 'at 3000ms crash node-2 for 4000ms size 1'");
         }
         Kind kind = parseKind(words[KIND_INDEX]);
-        return new Fault(parseMillis(words[START_INDEX]), kind, targetIndex(words[TARGET_INDEX], kind, nodes, gateways), parseMillis(words[DURATION_INDEX]),
+        return new Fault(parseMillis(words[START_INDEX]), kind, targetIndex(words[TARGET_INDEX], kind, nodes, gateways),
+                parseMillis(words[DURATION_INDEX]),
                 parseNumber(words[SIZE_INDEX]));
     }
 
@@ -102,7 +104,8 @@
         }
         if (kind.target() == Target.ZONE) {
             if (!FleetConfig.ZONES.contains(word)) {
-                throw new IllegalArgumentException(kind.keyword() + " applies to one of " + FleetConfig.ZONES + ", not to '" + word + "'");
+                throw new IllegalArgumentException(kind.keyword() + " applies to one of " + FleetConfig.ZONES + ", not to '"
+                        + word + "'");
             }
             return FleetConfig.ZONES.indexOf(word);
         }
@@ -144,7 +147,8 @@
         List<Integer> targets = shuffled(random, nodes);
         long totalMillis = seconds * 1000;
         List<Fault> faults = new ArrayList<>();
-        faults.add(new Fault(drawFraction(random, totalMillis, 0.10, 0.15), Kind.CRASH, targets.get(0), drawFraction(random, totalMillis, 0.20, 0.25), 1));
+        faults.add(new Fault(drawFraction(random, totalMillis, 0.10, 0.15), Kind.CRASH, targets.get(0),
+                drawFraction(random, totalMillis, 0.20, 0.25), 1));
         faults.add(new Fault(drawFraction(random, totalMillis, 0.20, 0.25), Kind.DRAIN, targets.get(1 % nodes),
                 drawFraction(random, totalMillis, 0.20, 0.30), 1));
         faults.add(new Fault(drawFraction(random, totalMillis, 0.50, 0.60), Kind.ERRORS, targets.get(2 % nodes),
@@ -158,9 +162,11 @@
      *
      * @throws IllegalArgumentException if there are fewer gateways than are to be killed and paused, or the kind is unknown
      */
-    public static FaultPlan zoneFault(long seed, String keyword, long seconds, double size, int gateways, int killedGateways, int pausedGateways) {
+    public static FaultPlan zoneFault(long seed, String keyword, long seconds, double size, int gateways, int killedGateways,
+            int pausedGateways) {
         if (killedGateways < 0 || pausedGateways < 0 || killedGateways + pausedGateways > gateways) {
-            throw new IllegalArgumentException("of " + gateways + " gateways, " + killedGateways + " can't be killed and " + pausedGateways
+            throw new IllegalArgumentException("of " + gateways + " gateways, " + killedGateways + " can't be killed and "
+                    + pausedGateways
                     + " paused");
         }
         SplittableRandom random = new SplittableRandom(seed);
@@ -169,10 +175,12 @@
         faults.add(new Fault(startMillis, parseKind(keyword), random.nextInt(FleetConfig.ZONES.size()), seconds * 1000, size));
         List<Integer> targets = shuffled(random, gateways);
         for (int i = 0; i < killedGateways; i++) {
-            faults.add(new Fault(startMillis + MID_DECISION_MILLIS + random.nextLong(MID_DECISION_MILLIS), Kind.KILL_GATEWAY, targets.get(i), KILL_DURATION_MILLIS, 1));
+            faults.add(new Fault(startMillis + MID_DECISION_MILLIS + random.nextLong(MID_DECISION_MILLIS), Kind.KILL_GATEWAY,
+                    targets.get(i), KILL_DURATION_MILLIS, 1));
         }
         for (int i = killedGateways; i < killedGateways + pausedGateways; i++) {
-            faults.add(new Fault(startMillis - MID_DECISION_MILLIS, Kind.PAUSE_GATEWAY, targets.get(i), PAUSE_DURATION_MILLIS, 1));
+            faults.add(new Fault(startMillis - MID_DECISION_MILLIS, Kind.PAUSE_GATEWAY, targets.get(i), PAUSE_DURATION_MILLIS,
+                    1));
         }
         return new FaultPlan(faults);
     }
@@ -227,11 +235,13 @@
             for (long at = random.nextLong(500, 4_000); at < endMillis - 1_500; at += random.nextLong(800, 4_000)) {
                 Kind kind = NODE_KINDS.get(random.nextInt(NODE_KINDS.size()));
                 long durationMillis = random.nextLong(500, 4_000);
-                faults.add(new Fault(at, kind, i + random.nextInt(Math.min(2, nodes - i)), durationMillis, drawSize(random, kind)));
+                faults.add(new Fault(at, kind, i + random.nextInt(Math.min(2, nodes - i)), durationMillis,
+                        drawSize(random, kind)));
                 at += durationMillis + RESTART_MILLIS;
             }
         }
-        faults.add(new Fault(random.nextLong(1_000, endMillis / 2), Kind.DISCOVERY_DOWN, Fault.NO_TARGET, random.nextLong(500, 3_000), 1));
+        faults.add(new Fault(random.nextLong(1_000, endMillis / 2), Kind.DISCOVERY_DOWN, Fault.NO_TARGET,
+                random.nextLong(500, 3_000), 1));
         faults.add(new Fault(random.nextLong(endMillis / 2, endMillis - 1_000), Kind.DISCOVERY_MOVE, Fault.NO_TARGET, 1, 1));
         for (long at = random.nextLong(500, 2_000); at < endMillis - 4_000; at += random.nextLong(500, 3_000)) {
             faults.add(new Fault(at, Kind.RUDE, random.nextInt(gateways), 500, drawSize(random, Kind.RUDE)));
@@ -244,7 +254,8 @@
         for (int remaining = random.nextInt(MAX_SIGNALS + 1); remaining > 0; remaining--) {
             long at = Math.max(0, stopAtMillis + random.nextLong(-SIGNALS_LEAD_MILLIS, KILL_AFTER_SIGTERM_MILLIS));
             Kind kind = SIGNAL_KINDS.get(random.nextInt(SIGNAL_KINDS.size()));
-            faults.add(new Fault(at, kind, gateway, kind == Kind.PAUSE_GATEWAY ? random.nextLong(20, MAX_SHUTDOWN_PAUSE_MILLIS) : 1, 1));
+            faults.add(new Fault(at, kind, gateway, kind == Kind.PAUSE_GATEWAY ? random.nextLong(20, MAX_SHUTDOWN_PAUSE_MILLIS)
+                    : 1, 1));
         }
     }
 
--- a/src/main/java/cinderhollow/lab/FaultSoak.java
+++ b/src/main/java/cinderhollow/lab/FaultSoak.java
@@ -23,7 +23,8 @@
      */
     private static final int CROWDED_MAX_DESCRIPTORS = 256;
     private static final int MAX_CROWD_SIZE = 150;
-    private static final RequestClass SLOW_KEYED_CLASS = new RequestClass("archive", "keyed", "zone", 2_000, 1_000, 3_000, 15, 0.2, 2);
+    private static final RequestClass SLOW_KEYED_CLASS =
+            new RequestClass("archive", "keyed", "zone", 2_000, 1_000, 3_000, 15, 0.2, 2);
 
     /** Returns whether this seed has crowds of silent clients. */
     public static boolean hasCrowds(long seed) {
@@ -34,7 +35,8 @@
     public FleetConfig fleetConfig(long seed) {
         List<RequestClass> classes = new ArrayList<>(FleetConfig.defaultClasses());
         classes.add(SLOW_KEYED_CLASS);
-        FleetConfig config = FleetConfig.withDefaults(nodes, gateways, rate, seconds, seed).withAbandonFraction(abandonFraction).withClasses(classes);
+        FleetConfig config = FleetConfig.withDefaults(nodes, gateways, rate, seconds, seed).withAbandonFraction(abandonFraction)
+                .withClasses(classes);
         return hasCrowds(seed) ? config.withMaxDescriptors(CROWDED_MAX_DESCRIPTORS) : config;
     }
 
--- a/src/main/java/cinderhollow/lab/FleetConfig.java
+++ b/src/main/java/cinderhollow/lab/FleetConfig.java
@@ -29,7 +29,8 @@
  * @param operatorFile the operator's file of the gateways, or null
  */
 public record FleetConfig(int nodes, int gateways, double rate, long seconds, long seed, List<RequestClass> classes,
-                   double abandonFraction, int maxRetries, int maxDescriptors, NodeParameters nodeParameters, OperatorFile operatorFile) {
+                   double abandonFraction, int maxRetries, int maxDescriptors, NodeParameters nodeParameters,
+                   OperatorFile operatorFile) {
     static final List<String> ZONES = List.of("ostim", "sincan", "golbasi");
     private static final int NODES_PER_CELL = 3;
     private static final double SLOW_MACHINE_FRACTION = 0.34;
@@ -98,27 +99,32 @@
 
     /** Returns a fleet with the default classes and node parameters. */
     public static FleetConfig withDefaults(int nodes, int gateways, double rate, long seconds, long seed) {
-        return new FleetConfig(nodes, gateways, rate, seconds, seed, defaultClasses(), 0.01, 2, 1024, DEFAULT_NODE_PARAMETERS, null);
+        return new FleetConfig(nodes, gateways, rate, seconds, seed, defaultClasses(), 0.01, 2, 1024, DEFAULT_NODE_PARAMETERS,
+                null);
     }
 
     /** Returns a copy with another fraction of clients that leave before their answer. */
     public FleetConfig withAbandonFraction(double fraction) {
-        return new FleetConfig(nodes, gateways, rate, seconds, seed, classes, fraction, maxRetries, maxDescriptors, nodeParameters, operatorFile);
+        return new FleetConfig(nodes, gateways, rate, seconds, seed, classes, fraction, maxRetries, maxDescriptors,
+                nodeParameters, operatorFile);
     }
 
     /** Returns a copy with other classes. */
     public FleetConfig withClasses(List<RequestClass> others) {
-        return new FleetConfig(nodes, gateways, rate, seconds, seed, others, abandonFraction, maxRetries, maxDescriptors, nodeParameters, operatorFile);
+        return new FleetConfig(nodes, gateways, rate, seconds, seed, others, abandonFraction, maxRetries, maxDescriptors,
+                nodeParameters, operatorFile);
     }
 
     /** Returns a copy with another limit of file descriptors for each gateway. */
     public FleetConfig withMaxDescriptors(int limit) {
-        return new FleetConfig(nodes, gateways, rate, seconds, seed, classes, abandonFraction, maxRetries, limit, nodeParameters, operatorFile);
+        return new FleetConfig(nodes, gateways, rate, seconds, seed, classes, abandonFraction, maxRetries, limit,
+                nodeParameters, operatorFile);
     }
 
     /** Returns a copy with an operator's file. */
     public FleetConfig withOperatorFile(OperatorFile file) {
-        return new FleetConfig(nodes, gateways, rate, seconds, seed, classes, abandonFraction, maxRetries, maxDescriptors, nodeParameters, file);
+        return new FleetConfig(nodes, gateways, rate, seconds, seed, classes, abandonFraction, maxRetries, maxDescriptors,
+                nodeParameters, file);
     }
 
     /** Returns the path of this gateway's operator file, or null if it has none. */
@@ -131,7 +137,8 @@
         Map<String, RequestSemantics> semantics = new HashMap<>();
         for (RequestClass c : classes) {
             semantics.put(c.name(), new RequestSemantics(Effect.valueOf(c.effect().toUpperCase(Locale.ROOT)),
-                    Scope.valueOf(c.dedupScope().toUpperCase(Locale.ROOT)), TimeUnit.MILLISECONDS.toNanos(c.dedupWindowMillis())));
+                    Scope.valueOf(c.dedupScope().toUpperCase(Locale.ROOT)),
+                    TimeUnit.MILLISECONDS.toNanos(c.dedupWindowMillis())));
         }
         return semantics;
     }
@@ -157,7 +164,8 @@
         SplittableRandom random = new SplittableRandom(seed);
         List<Machine> machines = new ArrayList<>();
         for (int i = 0; i < nodes; i++) {
-            double speed = random.nextDouble() < SLOW_MACHINE_FRACTION ? random.nextDouble(0.64, 0.86) : random.nextDouble(0.85, 1.1);
+            double speed = random.nextDouble() < SLOW_MACHINE_FRACTION ? random.nextDouble(0.64, 0.86)
+                    : random.nextDouble(0.85, 1.1);
             machines.add(new Machine(1, speed, 400, nodeParameters.coldCapacityFraction(),
                     TimeUnit.MILLISECONDS.toNanos(nodeParameters.warmUpMillis()), nodeParameters.overloadFactor(),
                     TimeUnit.MILLISECONDS.toNanos(nodeParameters.overloadWindowMillis())));
@@ -175,7 +183,8 @@
         Map<String, Double> meanWorkNanos = new HashMap<>();
         classes.forEach(c -> meanWorkNanos.put(c.name(), c.meanWorkMillis() * TimeUnit.MILLISECONDS.toNanos(1)));
         return new StandInNode.Profile(160, TimeUnit.MILLISECONDS.toNanos(IDLE_TIMEOUT_MILLIS),
-                nodeParameters.instantAnswers() ? 0 : TimeUnit.MILLISECONDS.toNanos(3), meanWorkNanos, nodeParameters.instantAnswers());
+                nodeParameters.instantAnswers() ? 0 : TimeUnit.MILLISECONDS.toNanos(3), meanWorkNanos,
+                nodeParameters.instantAnswers());
     }
 
     /** Returns the longest deadline of the classes. */
