--- a/src/main/java/cinderhollow/lab/Lab.java
+++ b/src/main/java/cinderhollow/lab/Lab.java
@@ -43,9 +43,11 @@
 public final class Lab implements AutoCloseable {
     private static final Duration READY_TIMEOUT = Duration.ofSeconds(30), SHUTDOWN_TIMEOUT = Duration.ofSeconds(6);
     private static final long NANOS_PER_SECOND = TimeUnit.SECONDS.toNanos(1);
-    private static final int MAX_CONCURRENT_STARTS = 8, MAX_PORT_TRIES = 5, NODES_PER_LOOP = 60, MAX_NODE_LOOPS = 3, RESERVED_DESCRIPTORS = 200;
+    private static final int MAX_CONCURRENT_STARTS = 8, MAX_PORT_TRIES = 5, NODES_PER_LOOP = 60, MAX_NODE_LOOPS = 3,
+            RESERVED_DESCRIPTORS = 200;
     /** Bounds of the delay until discovery learns of a change, and that delay for a machine that is cut off, in milliseconds. */
-    private static final long MIN_DISCOVERY_DELAY_MILLIS = 300, MAX_DISCOVERY_DELAY_MILLIS = 1_200, VANISHED_DISCOVERY_DELAY_MILLIS = 1_500;
+    private static final long MIN_DISCOVERY_DELAY_MILLIS = 300, MAX_DISCOVERY_DELAY_MILLIS = 1_200,
+            VANISHED_DISCOVERY_DELAY_MILLIS = 1_500;
     private static final long FINAL_ANSWER_GRACE_MILLIS = 3_000;
     /** From SIGTERM until the kill: the longest deadline of the classes, capped at the first value, plus the second. */
     private static final long MAX_SHUTDOWN_DEADLINE_MILLIS = 3_000, KILL_GRACE_MILLIS = 700;
@@ -113,12 +115,14 @@
     }
 
     /** Creates a fleet without starting it. While it runs, the listener gets a summary each second. */
-    public Lab(FleetConfig fleetConfig, FaultPlan plan, GatewayLauncher launcher, Consumer<Report.Progress> progressListener) throws IOException {
+    public Lab(FleetConfig fleetConfig, FaultPlan plan, GatewayLauncher launcher, Consumer<Report.Progress> progressListener)
+            throws IOException {
         this(fleetConfig, plan, launcher, progressListener, null);
     }
 
     /** Creates a fleet with a network between its zones, or without one if the options are null. */
-    public Lab(FleetConfig fleetConfig, FaultPlan plan, GatewayLauncher launcher, Consumer<Report.Progress> progressListener, ZoneNetworkOptions zoneNetworkOptions) throws IOException {
+    public Lab(FleetConfig fleetConfig, FaultPlan plan, GatewayLauncher launcher, Consumer<Report.Progress> progressListener,
+            ZoneNetworkOptions zoneNetworkOptions) throws IOException {
         InternalLoggerFactory.setDefaultFactory(JdkLoggerFactory.INSTANCE);
         checkDescriptors(fleetConfig);
         this.fleetConfig = fleetConfig;
@@ -136,7 +140,8 @@
         }
         clientLoop = loops.next();
         this.zoneNetworkOptions = zoneNetworkOptions;
-        zoneNetwork = zoneNetworkOptions == null ? null : new ZoneNetwork(loops.next(), FleetConfig.ZONES.size(), fleetConfig.seed());
+        zoneNetwork = zoneNetworkOptions == null ? null
+                : new ZoneNetwork(loops.next(), FleetConfig.ZONES.size(), fleetConfig.seed());
         evacuationTracker = zoneNetworkOptions == null ? null : new EvacuationTracker(folder, fleetConfig.gateways());
         gateways = new ManagedGateway[fleetConfig.gateways()];
         discoveryDelayRandom = new SplittableRandom(fleetConfig.seed() ^ 0x6e657773L);
@@ -145,7 +150,8 @@
     /** Throws if the descriptor limit is too low for this run, which would otherwise fail in the middle. */
     private static void checkDescriptors(FleetConfig fleetConfig) {
         if (ManagementFactory.getOperatingSystemMXBean() instanceof UnixOperatingSystemMXBean system) {
-            long required = fleetConfig.nodes() * (1 + 2L * fleetConfig.gateways()) + 200L * fleetConfig.gateways() + RESERVED_DESCRIPTORS;
+            long required = fleetConfig.nodes() * (1 + 2L * fleetConfig.gateways()) + 200L * fleetConfig.gateways()
+                    + RESERVED_DESCRIPTORS;
             long available = system.getMaxFileDescriptorCount();
             if (available < required) {
                 throw new IllegalArgumentException("too few file descriptors: this run may need " + required
@@ -187,7 +193,8 @@
         ended = true;
         double cpuSeconds = 0;
         for (int i = 0; i < gateways.length; i++) {
-            cpuSeconds += gateways[i].process.cpuTime().plus(gateways[i].earlierCpuTime).minus(initialCpuTimes[i]).toNanos() / 1e9;
+            cpuSeconds += gateways[i].process.cpuTime().plus(gateways[i].earlierCpuTime).minus(initialCpuTimes[i])
+                    .toNanos() / 1e9;
         }
         double totalCpuSeconds = cpuSeconds;
         stopGateways();
@@ -199,8 +206,10 @@
             auditor.finish();
             return null;
         });
-        return callOn(auditLoop, () -> new Report(fleetConfig, plan, clients.totals(), clients.statsByClass(), clients.statsByGateway(),
-                clients.misbehavingClients().openMalformedConnections(), auditor.counts(), auditor.attemptCounts(), auditor.breaches(), auditor.breachCount(),
+        return callOn(auditLoop, () -> new Report(fleetConfig, plan, clients.totals(), clients.statsByClass(),
+                clients.statsByGateway(),
+                clients.misbehavingClients().openMalformedConnections(), auditor.counts(), auditor.attemptCounts(),
+                auditor.breaches(), auditor.breachCount(),
                 auditor.answeredLate(), worstLatenessNanos.get(), totalCpuSeconds));
     }
 
@@ -210,7 +219,8 @@
         StandInNode.Profile profile = fleetConfig.nodeProfile();
         for (int i = 0; i < fleetConfig.nodes(); i++) {
             long reportPeriodNanos = TimeUnit.MILLISECONDS.toNanos(50 + 400L * i / fleetConfig.nodes());
-            StandInNode node = new StandInNode(i, nodeLoops.get(i % nodeLoops.size()), machines.get(i), reportPeriodNanos, profile,
+            StandInNode node = new StandInNode(i, nodeLoops.get(i % nodeLoops.size()), machines.get(i), reportPeriodNanos,
+                    profile,
                     fleetConfig.seed() + i, observer);
             InetSocketAddress nodeAddress = node.listen(Ports.allocate());
             List<InetSocketAddress> addressesByZone = new ArrayList<>();
@@ -230,16 +240,19 @@
             listenAddresses.add(new InetSocketAddress("127.0.0.1", Ports.allocate()));
             zoneOf[i] = FleetConfig.zoneOf(i);
         }
-        List<List<InetSocketAddress>> peerAddresses = zoneNetworkOptions.peersEnabled() ? zoneNetwork.openDatagramRelays(listenAddresses, zoneOf) : List.of();
+        List<List<InetSocketAddress>> peerAddresses = zoneNetworkOptions.peersEnabled()
+                ? zoneNetwork.openDatagramRelays(listenAddresses, zoneOf) : List.of();
         for (int i = 0; i < fleetConfig.gateways(); i++) {
             if (!zoneNetworkOptions.peersEnabled()) {
                 // Without peers they get a file too: parsing one takes time at the start, which must not affect the comparison.
                 Files.writeString(operatorFile(i), "[gateway]\nloops = 1\n");
                 continue;
             }
-            String members = peerAddresses.get(i).stream().map(a -> "\"127.0.0.1:" + a.getPort() + "\"").collect(Collectors.joining(", "));
+            String members = peerAddresses.get(i).stream().map(a -> "\"127.0.0.1:" + a.getPort() + "\"")
+                    .collect(Collectors.joining(", "));
             String names = FleetConfig.ZONES.stream().map(z -> "\"" + z + "\"").collect(Collectors.joining(", "));
-            Files.writeString(operatorFile(i), "[peers]\nfleet = \"lab\"\nlisten = \"127.0.0.1:" + listenAddresses.get(i).getPort()
+            Files.writeString(operatorFile(i), "[peers]\nfleet = \"lab\"\nlisten = \"127.0.0.1:" + listenAddresses.get(i)
+                    .getPort()
                     + "\"\nmembers = [" + members + "]\nnumber = " + i + "\n[zones]\nnames = [" + names + "]\n");
         }
     }
@@ -255,7 +268,8 @@
 
     /** Returns the number of requests since a zone's fault began that missed their aim; call it after {@link #run}. */
     public long missedAimSinceFault() throws InterruptedException, ExecutionException {
-        return callOn(clientLoop, () -> clients.totals().requests - requestsBeforeFault - (clients.totals().inAim - inAimBeforeFault));
+        return callOn(clientLoop, () ->
+                clients.totals().requests - requestsBeforeFault - (clients.totals().inAim - inAimBeforeFault));
     }
 
     private void startGateways() throws IOException, InterruptedException {
@@ -305,7 +319,8 @@
         if (closing) {
             return;
         }
-        Map<String, String> environment = new HashMap<>(Map.of("LB_NAME", LabNames.gatewayName(gateway.number), "LB_LISTEN", gateway.listenAddress,
+        Map<String, String> environment =
+                new HashMap<>(Map.of("LB_NAME", LabNames.gatewayName(gateway.number), "LB_LISTEN", gateway.listenAddress,
                 "LB_DISCOVERY", discoveryAddresses.get(gateway.number),
                 "LB_CONFIG", folder.resolve("config-" + gateway.number + ".json").toString()));
         if (fleetConfig.operatorFileOf(gateway.number) != null) {
@@ -342,7 +357,8 @@
     /** Returns whether the gateway at this address answers {@code /ready} with 200. */
     static boolean isReady(String listenAddress) {
         try {
-            HttpURLConnection connection = (HttpURLConnection) URI.create("http://" + listenAddress + "/ready").toURL().openConnection();
+            HttpURLConnection connection = (HttpURLConnection) URI.create("http://" + listenAddress + "/ready").toURL()
+                    .openConnection();
             connection.setConnectTimeout(1000);
             connection.setReadTimeout(1000);
             try {
@@ -382,7 +398,8 @@
 
     private void startZoneFault(Fault fault) {
         if (zoneNetwork == null) {
-            throw new IllegalArgumentException(fault.kind().keyword() + " needs a network between zones; use the command lab zones");
+            throw new IllegalArgumentException(fault.kind().keyword()
+                    + " needs a network between zones; use the command lab zones");
         }
         evacuationTracker.onZoneFault(FleetConfig.ZONES.get(fault.targetIndex()));
         clientLoop.execute(() -> {
@@ -430,7 +447,8 @@
                 scheduleStatusUpdate(number, StandInDiscovery.Status.REMOVED, 0, drawDiscoveryDelayMillis());
                 schedule(fault.durationMillis(), () -> {
                     runOnNodeLoop(number, node::restart);
-                    scheduleStatusUpdate(number, StandInDiscovery.Status.UP, System.currentTimeMillis(), drawDiscoveryDelayMillis());
+                    scheduleStatusUpdate(number, StandInDiscovery.Status.UP, System.currentTimeMillis(),
+                            drawDiscoveryDelayMillis());
                 });
             }
             case DRAIN -> {
@@ -470,14 +488,16 @@
     private void startGatewayFault(Fault fault) {
         ManagedGateway gateway = gateways[fault.targetIndex()];
         switch (fault.kind()) {
-            case CROWD -> clientLoop.execute(() -> clients.misbehavingClients().startSilentClients(fault.targetIndex(), (int) Math.max(1, fault.size()), fault.durationMillis()));
+            case CROWD -> clientLoop.execute(() -> clients.misbehavingClients()
+                    .startSilentClients(fault.targetIndex(), (int) Math.max(1, fault.size()), fault.durationMillis()));
             case HANG_UP_GATEWAY -> reloadGateway(gateway, gateway.process);
             case STOP_AGAIN -> {
                 if (gateway.terminatingProcess != null && gateway.terminatingProcess.isAlive()) {
                     gateway.terminatingProcess.terminate();
                 }
             }
-            case RUDE -> clientLoop.execute(() -> clients.misbehavingClients().sendMalformed(fault.targetIndex(), (int) Math.max(1, fault.size())));
+            case RUDE -> clientLoop.execute(() -> clients.misbehavingClients()
+                    .sendMalformed(fault.targetIndex(), (int) Math.max(1, fault.size())));
             case PAUSE_GATEWAY -> {
                 observer.accept(new Observation.GatewayPauseChanged(System.nanoTime(), gateway.number, true));
                 gateway.process.setPaused(true);
@@ -541,12 +561,14 @@
             } else if (System.nanoTime() - sinceNanos < SHUTDOWN_TIMEOUT.toNanos()) {
                 schedule(50, () -> restartGateway(gateway, sinceNanos));
             } else {
-                observer.accept(new Observation.GatewayExited(System.nanoTime(), gateway.number, "did not exit in time after SIGTERM, killed"));
+                observer.accept(new Observation.GatewayExited(System.nanoTime(), gateway.number,
+                        "did not exit in time after SIGTERM, killed"));
                 gateway.process.kill();
                 schedule(50, () -> restartGateway(gateway, System.nanoTime()));
             }
         } catch (IOException e) {
-            observer.accept(new Observation.GatewayExited(System.nanoTime(), gateway.number, "could not be started: " + e.getMessage()));
+            observer.accept(new Observation.GatewayExited(System.nanoTime(), gateway.number, "could not be started: "
+                    + e.getMessage()));
         }
     }
 
@@ -589,7 +611,8 @@
         return callOn(clientLoop, () -> {
             RequestStats stats = clients.currentSecond();
             Report.Progress progress = new Report.Progress(second, stats.served, stats.refused, stats.failed + stats.unanswered,
-                    stats.retries, stats.latencyMillis(50), stats.latencyMillis(99), nodesUp, nodes.size(), List.copyOf(activeFaults));
+                    stats.retries, stats.latencyMillis(50), stats.latencyMillis(99), nodesUp, nodes.size(),
+                    List.copyOf(activeFaults));
             stats.reset();
             return progress;
         });
@@ -597,7 +620,8 @@
 
     /** Waits until all requests have ended, for the longest deadline and a grace at most. */
     private void awaitAnswers() throws InterruptedException, ExecutionException {
-        long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(fleetConfig.maxDeadlineMillis() + FINAL_ANSWER_GRACE_MILLIS);
+        long deadlineNanos = System.nanoTime()
+                + TimeUnit.MILLISECONDS.toNanos(fleetConfig.maxDeadlineMillis() + FINAL_ANSWER_GRACE_MILLIS);
         while (System.nanoTime() < deadlineNanos && callOn(clientLoop, clients::openRequests) > 0) {
             TimeUnit.MILLISECONDS.sleep(20);
         }
--- a/src/main/java/cinderhollow/lab/LoadBenchmark.java
+++ b/src/main/java/cinderhollow/lab/LoadBenchmark.java
@@ -92,7 +92,8 @@
      *
      * @throws IllegalArgumentException if the number of nodes or connections is out of range
      */
-    public LoadBenchmark(int nodes, int connections, Target target, int changesPerSecond, String cpuList, String operatorFile, List<String> jvmFlags)
+    public LoadBenchmark(int nodes, int connections, Target target, int changesPerSecond, String cpuList, String operatorFile,
+            List<String> jvmFlags)
             throws IOException {
         if (nodes < 1 || nodes > 100_000 || connections < 1 || connections > 5_000) {
             throw new IllegalArgumentException("the number of nodes must be 1 to 100000, and that of connections 1 to 5000");
@@ -148,7 +149,8 @@
         }
         return String.format(Locale.ROOT, "%s, %d nodes, %d connections: %.0f a second, p50 %.2f ms, p99 %.2f ms, "
                 + "most %.2f ms, CPU %.1f us a request, %d of %d not served", target, nodes, connections,
-                (served + notServed) / elapsedSeconds, latencies.getValueAtPercentile(50) / 1e3, latencies.getValueAtPercentile(99) / 1e3, latencies.getMaxValue() / 1e3,
+                (served + notServed) / elapsedSeconds, latencies.getValueAtPercentile(50) / 1e3,
+                latencies.getValueAtPercentile(99) / 1e3, latencies.getMaxValue() / 1e3,
                 cpuTime.toNanos() / 1e3 / Math.max(1, served + notServed), notServed, served + notServed);
     }
 
@@ -171,7 +173,8 @@
             Path config = folder.resolve("config.json");
             Files.writeString(config, StandInDiscovery.toJson(buildConfig(listeners)));
             // Without changes no discovery is needed, since the configuration has the whole list: nothing listens on this port.
-            String discovery = changesPerSecond == 0 ? "127.0.0.1:1" : StandInDiscovery.formatAddress(startChangingDiscovery(listeners));
+            String discovery = changesPerSecond == 0 ? "127.0.0.1:1"
+                    : StandInDiscovery.formatAddress(startChangingDiscovery(listeners));
             builder.environment().putAll(Map.of("LB_LISTEN", "127.0.0.1:" + port, "LB_DISCOVERY", discovery,
                     "LB_CONFIG", config.toString()));
             if (operatorFile != null) {
@@ -331,7 +334,8 @@
         private void sendRequest(ChannelHandlerContext ctx) {
             boolean safe = requestsSent++ % 2 == 0;
             String head = (safe ? "GET /status/7" : "POST /submit") + " HTTP/1.1\r\nHost: x\r\nX-Request-ID: " + number
-                    + "." + requestsSent + "\r\nX-Timeout: 20000m\r\n" + (safe ? "\r\n" : "Content-Length: " + REQUEST_BODY.length()
+                    + "." + requestsSent + "\r\nX-Timeout: 20000m\r\n"
+                    + (safe ? "\r\n" : "Content-Length: " + REQUEST_BODY.length()
                     + "\r\n\r\n" + REQUEST_BODY);
             sentAtNanos = System.nanoTime();
             ctx.writeAndFlush(Unpooled.copiedBuffer(head, StandardCharsets.US_ASCII));
@@ -340,7 +344,8 @@
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse answer) {
             if (recording) {
-                latencyMicros.recordValue(Math.min(MAX_LATENCY_MICROS, TimeUnit.NANOSECONDS.toMicros(System.nanoTime() - sentAtNanos)));
+                latencyMicros.recordValue(Math.min(MAX_LATENCY_MICROS,
+                        TimeUnit.NANOSECONDS.toMicros(System.nanoTime() - sentAtNanos)));
                 boolean ok = answer.status().code() == 200;
                 served += ok ? 1 : 0;
                 notServed += ok ? 0 : 1;
--- a/src/main/java/cinderhollow/lab/MisbehavingClients.java
+++ b/src/main/java/cinderhollow/lab/MisbehavingClients.java
@@ -47,7 +47,8 @@
         for (int i = 0; i < count; i++) {
             String text = MALFORMED_REQUESTS.get(i % MALFORMED_REQUESTS.size());
             malformedConnections++;
-            Channel channel = bootstrap.clone().handler(new SendOnceHandler(text)).connect(gatewayAddresses.get(gateway)).channel();
+            Channel channel = bootstrap.clone().handler(new SendOnceHandler(text)).connect(gatewayAddresses.get(gateway))
+                    .channel();
             channel.closeFuture().addListener(closed -> closedMalformedConnections++);
         }
     }
--- a/src/main/java/cinderhollow/lab/NodeModel.java
+++ b/src/main/java/cinderhollow/lab/NodeModel.java
@@ -25,7 +25,8 @@
      * @param overloadFactor a cold node crashes when it receives more work than this many times its current capacity
      * @param overloadWindowNanos time over which the overload factor counts
      */
-    record Machine(int slots, double relativeSpeed, int maxQueued, double coldCapacityFraction, long warmUpNanos, double overloadFactor,
+    record Machine(int slots, double relativeSpeed, int maxQueued, double coldCapacityFraction, long warmUpNanos,
+            double overloadFactor,
                    long overloadWindowNanos) { }
 
     /** A request that runs or waits in the node. */
@@ -76,7 +77,8 @@
     private LoadReport loadReport = new LoadReport(0, 0, 0);
 
     /** Creates a node that is warm. The listener is notified whenever a slot begins a request. */
-    NodeModel(Machine machine, long reportPeriodNanos, double reportNoiseFraction, long seed, long now, Consumer<Job> startListener) {
+    NodeModel(Machine machine, long reportPeriodNanos, double reportNoiseFraction, long seed, long now,
+            Consumer<Job> startListener) {
         this.machine = machine;
         this.startListener = startListener;
         this.reportPeriodNanos = reportPeriodNanos;
@@ -112,7 +114,8 @@
             return 1;
         }
         double timeFraction = (double) (now - startedAtNanos) / Math.max(1, machine.warmUpNanos());
-        double warmUpWorkNanos = machine.slots() * machine.relativeSpeed() * machine.warmUpNanos() * (1 + machine.coldCapacityFraction()) / 2;
+        double warmUpWorkNanos = machine.slots() * machine.relativeSpeed() * machine.warmUpNanos() * (1
+                + machine.coldCapacityFraction()) / 2;
         double warmFraction = Math.max(timeFraction, completedWorkNanos / Math.max(1, warmUpWorkNanos * WARM_UP_WORK_FRACTION));
         if (warmFraction >= 1) {
             cold = false;
@@ -167,7 +170,8 @@
     /** Returns the work within the overload window, in nanoseconds, above which a cold node crashes. */
     private double overloadBudgetNanos(long now) {
         double currentCapacity = machine.slots() * machine.relativeSpeed() * capacityFraction(now);
-        return machine.overloadFactor() * currentCapacity * machine.overloadWindowNanos() + OVERLOAD_SLACK_REQUESTS * receivedWorkNanos / receivedJobs;
+        return machine.overloadFactor() * currentCapacity * machine.overloadWindowNanos()
+                + OVERLOAD_SLACK_REQUESTS * receivedWorkNanos / receivedJobs;
     }
 
     /** Returns the work from each gateway within the overload window, in nanoseconds. */
@@ -236,7 +240,8 @@
         long elapsedNanos = now - periodStartNanos;
         if (elapsedNanos >= reportPeriodNanos) {
             double seconds = elapsedNanos / NANOS_PER_SECOND;
-            loadReport = new LoadReport(addNoise(finishedInPeriod / seconds), Math.min(1, addNoise(busyNanos / (elapsedNanos * (double) machine.slots()))),
+            loadReport = new LoadReport(addNoise(finishedInPeriod / seconds),
+                    Math.min(1, addNoise(busyNanos / (elapsedNanos * (double) machine.slots()))),
                     addNoise(errorsInPeriod / seconds));
             finishedInPeriod = 0;
             errorsInPeriod = 0;
--- a/src/main/java/cinderhollow/lab/Ports.java
+++ b/src/main/java/cinderhollow/lab/Ports.java
@@ -12,7 +12,8 @@
 final class Ports {
     private static final int FIRST_PORT = 12_000, PORT_COUNT = 18_000, PID_STRIDE = 977;
     /** Shared by all labs in this process. It starts at an offset that depends on the process id, to avoid other labs' ports. */
-    private static final AtomicInteger NEXT_OFFSET = new AtomicInteger((int) (ProcessHandle.current().pid() * PID_STRIDE % PORT_COUNT));
+    private static final AtomicInteger NEXT_OFFSET =
+            new AtomicInteger((int) (ProcessHandle.current().pid() * PID_STRIDE % PORT_COUNT));
 
     private Ports() { }
 
--- a/src/main/java/cinderhollow/lab/Report.java
+++ b/src/main/java/cinderhollow/lab/Report.java
@@ -49,8 +49,10 @@
     private final double worstLatenessMillis;
     private final double gatewayCpuSeconds;
 
-    Report(FleetConfig fleetConfig, FaultPlan plan, RequestStats totals, Map<String, RequestStats> byClass, Map<String, RequestStats> byGateway, long openMalformedConnections,
-           Auditor.Counts auditCounts, Map<String, Long> attemptCounts, List<Breach> breaches, long breachCount, long answeredLate, long worstLatenessNanos,
+    Report(FleetConfig fleetConfig, FaultPlan plan, RequestStats totals, Map<String, RequestStats> byClass, Map<String,
+            RequestStats> byGateway, long openMalformedConnections,
+           Auditor.Counts auditCounts, Map<String, Long> attemptCounts, List<Breach> breaches, long breachCount,
+           long answeredLate, long worstLatenessNanos,
            double gatewayCpuSeconds) {
         this.answeredLate = answeredLate;
         this.fleetConfig = fleetConfig;
@@ -184,8 +186,10 @@
             lines.add(answeredLate + " answers came after their client's time");
         }
         breaches.forEach(breach -> lines.add(breach.toString()));
-        String auditSummary = auditCounts.requests() + " tries, " + auditCounts.excused() + " excused by kills, " + auditCounts.unaudited()
-                + " not looked at" + (auditCounts.unjudgedOverloadCrashes() > 0 ? ", " + auditCounts.unjudgedOverloadCrashes() + " falls not judged" : "");
+        String auditSummary = auditCounts.requests() + " tries, " + auditCounts.excused() + " excused by kills, "
+                + auditCounts.unaudited()
+                + " not looked at" + (auditCounts.unjudgedOverloadCrashes() > 0 ? ", " + auditCounts.unjudgedOverloadCrashes()
+                + " falls not judged" : "");
         lines.add(isClean() ? "auditor: clean (" + auditSummary + ")"
                 : "auditor: " + breachCount + " breaches of the rules (" + auditSummary + ")");
         return String.join("\n", lines);
--- a/src/main/java/cinderhollow/lab/StandInDiscovery.java
+++ b/src/main/java/cinderhollow/lab/StandInDiscovery.java
@@ -103,7 +103,8 @@
         oldAcceptors.forEach(Channel::close);
         loop.execute(() -> {
             List<Watch> oldWatches = List.copyOf(watches);
-            loop.schedule(() -> oldWatches.forEach(watch -> watch.channel.close()), OLD_WATCH_GRACE_MILLIS, TimeUnit.MILLISECONDS);
+            loop.schedule(() -> oldWatches.forEach(watch -> watch.channel.close()), OLD_WATCH_GRACE_MILLIS,
+                    TimeUnit.MILLISECONDS);
         });
         List<String> addresses = new ArrayList<>();
         for (int i = 0; i < gateways; i++) {
@@ -281,7 +282,8 @@
         void sendChanges(long sinceIndex) {
             boolean snapshot = sinceIndex == 0;
             List<NodeUpdate> updates = nodeUpdates(snapshot, sinceIndex);
-            writeChunk(toJson(buildMessage(gateway, snapshot, sinceIndex)) + "\n").addListener((ChannelFutureListener) written -> {
+            writeChunk(toJson(buildMessage(gateway, snapshot, sinceIndex)) + "\n")
+                    .addListener((ChannelFutureListener) written -> {
                 if (written.isSuccess()) {
                     recordNotified(gateway, updates);
                 }
--- a/src/main/java/cinderhollow/lab/StandInNode.java
+++ b/src/main/java/cinderhollow/lab/StandInNode.java
@@ -290,7 +290,8 @@
         }
 
         private void offerToModel(String id, String requestClass, long now) {
-            double meanWorkNanos = profile.meanWorkNanos().getOrDefault(requestClass, profile.meanWorkNanos().getOrDefault("", 0.0));
+            double meanWorkNanos = profile.meanWorkNanos()
+                    .getOrDefault(requestClass, profile.meanWorkNanos().getOrDefault("", 0.0));
             double workNanos = profile.instantAnswers() ? 1 : meanWorkNanos * -Math.log(1 - random.nextDouble());
             if (isNew) {
                 workNanos += profile.handshakeWorkNanos();
--- a/src/main/java/cinderhollow/lab/StartupBenchmark.java
+++ b/src/main/java/cinderhollow/lab/StartupBenchmark.java
@@ -38,7 +38,8 @@
             }
         }
         String summary = "CPU to /ready: " + formatSpread(firstSeconds) + " s";
-        return other == null ? summary : summary + ", the other: " + formatSpread(otherSeconds) + " s, ratio pair by pair: " + formatSpread(ratios);
+        return other == null ? summary : summary + ", the other: " + formatSpread(otherSeconds) + " s, ratio pair by pair: "
+                + formatSpread(ratios);
     }
 
     private static String formatSpread(List<Double> values) {
--- a/src/main/java/cinderhollow/lab/ZoneNetwork.java
+++ b/src/main/java/cinderhollow/lab/ZoneNetwork.java
@@ -74,7 +74,8 @@
      * Opens relays for datagrams. Row i of the result has the addresses at which gateway i reaches each other gateway, and from
      * which it receives that gateway's datagrams; at index i is its own address.
      */
-    List<List<InetSocketAddress>> openDatagramRelays(List<InetSocketAddress> gatewayAddresses, int[] zoneOf) throws InterruptedException {
+    List<List<InetSocketAddress>> openDatagramRelays(List<InetSocketAddress> gatewayAddresses, int[] zoneOf)
+            throws InterruptedException {
         int n = gatewayAddresses.size();
         datagramChannels = new Channel[n][n];
         List<List<InetSocketAddress>> rows = new ArrayList<>();
@@ -106,7 +107,8 @@
     }
 
     /** Forwards a datagram from gateway i to gateway j, out of the socket that represents i at j; it may be delayed or lost. */
-    private void forwardDatagram(int sender, int receiver, int[] zoneOf, List<InetSocketAddress> gatewayAddresses, DatagramPacket packet) {
+    private void forwardDatagram(int sender, int receiver, int[] zoneOf, List<InetSocketAddress> gatewayAddresses,
+            DatagramPacket packet) {
         Link link = links[zoneOf[sender]][zoneOf[receiver]];
         if (!link.datagramsEnabled || random.nextDouble() < link.lossFraction) {
             return;
--- a/src/main/java/cinderhollow/ledger/JournalFrame.java
+++ b/src/main/java/cinderhollow/ledger/JournalFrame.java
@@ -12,7 +12,8 @@
 public final class JournalFrame {
     static final int VERSION = 1;
     static final String MAGIC = "kestrelpier ledger";
-    static final byte HEADER = 1, CHECKPOINT = 2, ACCOUNT = 3, ACCOUNT_TOTALS = 4, EARLIER_TOTALS = 5, OPEN_REQUEST = 6, OPENED = 7, ENDED = 8, LOST_ENTRIES = 9,
+    static final byte HEADER = 1, CHECKPOINT = 2, ACCOUNT = 3, ACCOUNT_TOTALS = 4, EARLIER_TOTALS = 5, OPEN_REQUEST = 6,
+            OPENED = 7, ENDED = 8, LOST_ENTRIES = 9,
             CLEAN_END = 10;
     private static final int LEB128_BITS_PER_BYTE = 7, LEB128_CONTINUATION_BIT = 0x80, MAX_LEB128_BYTES = 10;
 
--- a/src/main/java/cinderhollow/ledger/JournalRecovery.java
+++ b/src/main/java/cinderhollow/ledger/JournalRecovery.java
@@ -21,7 +21,8 @@
     /** A request that is open according to the entries read so far. */
     private record OpenRequest(int account, String id) { }
 
-    private static final int LEB128_BITS_PER_BYTE = 7, LEB128_CONTINUATION_BIT = 0x80, MAX_LEB128_SHIFT = 63, MAX_ACCOUNTS = 20_000;
+    private static final int LEB128_BITS_PER_BYTE = 7, LEB128_CONTINUATION_BIT = 0x80, MAX_LEB128_SHIFT = 63, MAX_ACCOUNTS =
+            20_000;
     private static final int END_COUNT = RequestEnd.values().length;
 
     private final Map<Long, OpenRequest> openRequests = new LinkedHashMap<>();
@@ -84,7 +85,8 @@
             case JournalFrame.ENDED -> {
                 OpenRequest endedRequest = openRequests.remove(readNumber());
                 long endNumber = readNumber();
-                require(endedRequest != null && endNumber >= 0 && endNumber < END_COUNT, "journal entry ends an unknown request or has an unknown end");
+                require(endedRequest != null && endNumber >= 0 && endNumber < END_COUNT,
+                        "journal entry ends an unknown request or has an unknown end");
                 totalsOf(endedRequest.account)[1 + (int) endNumber]++;
             }
             case JournalFrame.LOST_ENTRIES -> lostEntries += readNumber();
@@ -108,7 +110,8 @@
         long request = readNumber();
         int account = readAccount(MAX_ACCOUNTS);
         long[] totals = totalsOf(account);
-        require(openRequests.put(request, new OpenRequest(account, readText())) == null, "journal entry opens a request that is already open");
+        require(openRequests.put(request, new OpenRequest(account, readText())) == null,
+                "journal entry opens a request that is already open");
         totals[0] += newlyOpened ? 1 : 0;
     }
 
@@ -199,7 +202,8 @@
             }
             long orphaned = openRequests.values().stream().filter(o -> o.account == account).count();
             if (totals[0] != 0) {
-                merged.merge(accountNames.get(account), new EarlierRunTotals(accountNames.get(account), totals[0], ended, orphaned), EarlierRunTotals::plus);
+                merged.merge(accountNames.get(account),
+                        new EarlierRunTotals(accountNames.get(account), totals[0], ended, orphaned), EarlierRunTotals::plus);
             }
         });
         return List.copyOf(merged.values());
--- a/src/main/java/cinderhollow/ledger/Ledger.java
+++ b/src/main/java/cinderhollow/ledger/Ledger.java
@@ -73,7 +73,8 @@
             for (LedgerPlace place : LedgerPlace.values()) {
                 LedgerCounters placeCounters = counters(place);
                 if (placeCounters.openedCount(account) != 0 || placeCounters.endedCount(account) != 0) {
-                    placeCounts.add(new LedgerMetrics.PlaceCounts(accounts.get(account), place, placeCounters.openedCount(account),
+                    placeCounts.add(new LedgerMetrics.PlaceCounts(accounts.get(account), place,
+                            placeCounters.openedCount(account),
                             placeCounters.endedCountsOf(account), openCounter.countOpen(place, account)));
                 }
             }
@@ -126,7 +127,8 @@
         for (int account = 0; account < accounts.size(); account++) {
             LedgerCounters coreCounters = counters(LedgerPlace.CORE);
             if (coreCounters.openedCount(account) != 0) {
-                StringBuilder line = new StringBuilder("ledger, " + accounts.get(account) + ": taken " + coreCounters.openedCount(account) + " =");
+                StringBuilder line = new StringBuilder("ledger, " + accounts.get(account) + ": taken "
+                        + coreCounters.openedCount(account) + " =");
                 for (RequestEnd end : RequestEnd.values()) {
                     line.append(' ').append(LedgerPlace.CORE.endNames().get(end.ordinal())).append(' ')
                             .append(coreCounters.endedCount(account, end.ordinal())).append(" +");
@@ -137,15 +139,19 @@
         return lines;
     }
 
-    private void comparePlaces(int account, LedgerPlace firstPlace, LedgerPlace secondPlace, List<Breach> newBreaches, Set<String> brokenKeys) {
-        comparePlaces(account, "opened", firstPlace, secondPlace, counters -> counters.openedCount(account), newBreaches, brokenKeys);
+    private void comparePlaces(int account, LedgerPlace firstPlace, LedgerPlace secondPlace, List<Breach> newBreaches,
+            Set<String> brokenKeys) {
+        comparePlaces(account, "opened", firstPlace, secondPlace, counters -> counters.openedCount(account), newBreaches,
+                brokenKeys);
         for (int end = 0; end < firstPlace.endNames().size(); end++) {
             int endNumber = end;
-            comparePlaces(account, firstPlace.endNames().get(end), firstPlace, secondPlace, counters -> counters.endedCount(account, endNumber), newBreaches, brokenKeys);
+            comparePlaces(account, firstPlace.endNames().get(end), firstPlace, secondPlace,
+                    counters -> counters.endedCount(account, endNumber), newBreaches, brokenKeys);
         }
     }
 
-    private void comparePlaces(int account, String countName, LedgerPlace firstPlace, LedgerPlace secondPlace, ToLongFunction<LedgerCounters> count,
+    private void comparePlaces(int account, String countName, LedgerPlace firstPlace, LedgerPlace secondPlace,
+            ToLongFunction<LedgerCounters> count,
                          List<Breach> newBreaches, Set<String> brokenKeys) {
         long firstCount = count.applyAsLong(counters(firstPlace));
         long secondCount = count.applyAsLong(counters(secondPlace));
--- a/src/main/java/cinderhollow/ledger/LedgerMetrics.java
+++ b/src/main/java/cinderhollow/ledger/LedgerMetrics.java
@@ -12,7 +12,8 @@
  * @param earlierTotals totals of earlier runs of the process, by account
  * @param lostEntries number of journal entries that never reached the disk
  */
-public record LedgerMetrics(List<PlaceCounts> placeCounts, List<AccountLatency> latencies, long breachCount, List<EarlierRunTotals> earlierTotals, long lostEntries) {
+public record LedgerMetrics(List<PlaceCounts> placeCounts, List<AccountLatency> latencies, long breachCount,
+        List<EarlierRunTotals> earlierTotals, long lostEntries) {
     /**
      * Counts of one account at one place.
      *
--- a/src/main/java/cinderhollow/ledger/LedgerTotals.java
+++ b/src/main/java/cinderhollow/ledger/LedgerTotals.java
@@ -1,7 +1,7 @@
 package cinderhollow.ledger;
 
-import java.util.Arrays;
 import java.util.ArrayList;
+import java.util.Arrays;
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
@@ -31,7 +31,8 @@
         }
 
         boolean hasSameCounts(PlaceTotals other) {
-            return openedCount == other.openedCount && openCount == other.openCount && Arrays.equals(endedCounts, other.endedCounts);
+            return openedCount == other.openedCount && openCount == other.openCount
+                    && Arrays.equals(endedCounts, other.endedCounts);
         }
     }
 
@@ -124,8 +125,10 @@
         totalsByAccount.forEach((account, accountTotals) -> {
             PlaceTotals coreTotals = accountTotals[LedgerPlace.CORE.ordinal()];
             text.append(String.format(Locale.ROOT, "%-36s %10d %10d %9d %9d %9d %7d %10d%n", account, coreTotals.openedCount,
-                    coreTotals.endedCounts[RequestEnd.SERVED.ordinal()], coreTotals.endedCounts[RequestEnd.REFUSED.ordinal()], coreTotals.endedCounts[RequestEnd.FAILED.ordinal()],
-                    coreTotals.endedCounts[RequestEnd.ABANDONED.ordinal()], coreTotals.openCount, accountTotals[LedgerPlace.ATTEMPTS.ordinal()].openedCount));
+                    coreTotals.endedCounts[RequestEnd.SERVED.ordinal()], coreTotals.endedCounts[RequestEnd.REFUSED.ordinal()],
+                    coreTotals.endedCounts[RequestEnd.FAILED.ordinal()],
+                    coreTotals.endedCounts[RequestEnd.ABANDONED.ordinal()], coreTotals.openCount,
+                    accountTotals[LedgerPlace.ATTEMPTS.ordinal()].openedCount));
         });
         findImbalances().forEach(imbalance -> text.append(imbalance).append('\n'));
         if (orphanedCount > 0) {
--- a/src/main/java/cinderhollow/ledger/OpenMetrics.java
+++ b/src/main/java/cinderhollow/ledger/OpenMetrics.java
@@ -12,9 +12,11 @@
 public final class OpenMetrics {
     /** Media type of the text, for the Content-Type header. */
     public static final String CONTENT_TYPE = "application/openmetrics-text; version=1.0.0; charset=utf-8";
-    private static final List<Double> LATENCY_BOUNDS_SECONDS = List.of(0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5,
+    private static final List<Double> LATENCY_BOUNDS_SECONDS =
+            List.of(0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5,
             5.0, 10.0);
-    private static final Predicate<LedgerPlace> COUNTS_REQUESTS = place -> place == LedgerPlace.CLIENTS || place == LedgerPlace.CORE;
+    private static final Predicate<LedgerPlace> COUNTS_REQUESTS = place -> place == LedgerPlace.CLIENTS
+            || place == LedgerPlace.CORE;
 
     private final StringBuilder text = new StringBuilder();
     private final List<LedgerMetrics> loopMetrics;
@@ -72,7 +74,8 @@
         for (int loop = 0; loop < loopMetrics.size(); loop++) {
             for (LedgerMetrics.PlaceCounts counts : loopMetrics.get(loop).placeCounts()) {
                 if (places.test(counts.place())) {
-                    writeSample(name, "account", counts.account(), "place", toLabelValue(counts.place()), "loop", String.valueOf(loop),
+                    writeSample(name, "account", counts.account(), "place", toLabelValue(counts.place()), "loop",
+                            String.valueOf(loop),
                             Long.toUnsignedString(value.applyAsLong(counts)));
                 }
             }
@@ -88,7 +91,8 @@
         forEachEarlierTotals((totals, loop) -> {
             for (RequestEnd end : RequestEnd.values()) {
                 writeSample(name + "_ended", "account", totals.account(), "loop", loop, "end",
-                        LedgerPlace.CORE.endNames().get(end.ordinal()), Long.toUnsignedString(totals.endedCounts().get(end.ordinal())));
+                        LedgerPlace.CORE.endNames().get(end.ordinal()),
+                        Long.toUnsignedString(totals.endedCounts().get(end.ordinal())));
             }
             writeSample(name + "_ended", "account", totals.account(), "loop", loop, "end", "orphaned",
                     Long.toUnsignedString(totals.orphaned()));
@@ -117,7 +121,8 @@
                 Histogram micros = accountLatency.latencyMicros();
                 String loopLabel = String.valueOf(loop);
                 for (double bound : LATENCY_BOUNDS_SECONDS) {
-                    writeSample(name + "_bucket", "account", accountLatency.account(), "loop", loopLabel, "le", String.valueOf(bound),
+                    writeSample(name + "_bucket", "account", accountLatency.account(), "loop", loopLabel, "le",
+                            String.valueOf(bound),
                             String.valueOf(micros.getCountBetweenValues(0, Math.round(bound * TimeUnit.SECONDS.toMicros(1)))));
                 }
                 String count = String.valueOf(micros.getTotalCount());
@@ -138,7 +143,8 @@
     private void writeSample(String name, String... labelsAndValue) {
         text.append(name).append('{');
         for (int i = 0; i + 1 < labelsAndValue.length; i += 2) {
-            text.append(i == 0 ? "" : ",").append(labelsAndValue[i]).append("=\"").append(escape(labelsAndValue[i + 1])).append('"');
+            text.append(i == 0 ? "" : ",").append(labelsAndValue[i]).append("=\"").append(escape(labelsAndValue[i + 1]))
+                    .append('"');
         }
         text.append("} ").append(labelsAndValue[labelsAndValue.length - 1]).append('\n');
     }
--- a/src/main/java/cinderhollow/ledger/RecentEntries.java
+++ b/src/main/java/cinderhollow/ledger/RecentEntries.java
@@ -35,7 +35,9 @@
         List<String> descriptions = new ArrayList<>();
         for (long i = Math.max(0, addedCounts[account] - ENTRIES_PER_ACCOUNT); i < addedCounts[account]; i++) {
             int slot = account * ENTRIES_PER_ACCOUNT + (int) (i & ENTRIES_PER_ACCOUNT - 1);
-            descriptions.add(ids[slot] + " " + (endNumbers[slot] == OPENED ? "opened" : places[slot].endNames().get(endNumbers[slot])) + " (" + places[slot] + ")");
+            descriptions.add(ids[slot] + " "
+                    + (endNumbers[slot] == OPENED ? "opened" : places[slot].endNames().get(endNumbers[slot])) + " ("
+                    + places[slot] + ")");
         }
         return descriptions;
     }
--- a/src/main/java/cinderhollow/membership/Discovery.java
+++ b/src/main/java/cinderhollow/membership/Discovery.java
@@ -159,7 +159,8 @@
     private void ended(ChannelFuture connectFuture) {
         if (connectFuture.channel() == watch) {
             watch = null;
-            logEnd(connectFuture.cause() != null ? "can't connect: " + connectFuture.cause() : endReason != null ? endReason : "closed by discovery");
+            logEnd(connectFuture.cause() != null ? "can't connect: " + connectFuture.cause() : endReason != null ? endReason
+                    : "closed by discovery");
             listener.watchEnded();
         }
     }
--- a/src/main/java/cinderhollow/membership/EndpointListDiffer.java
+++ b/src/main/java/cinderhollow/membership/EndpointListDiffer.java
@@ -176,7 +176,8 @@
 
     private static Endpoint asGone(Endpoint endpoint) {
         ServerInfo info = endpoint.info();
-        return new Endpoint(new ServerInfo(info.id(), info.zone(), info.machineType(), info.cell(), Readiness.GONE, info.capacityHint(),
+        return new Endpoint(new ServerInfo(info.id(), info.zone(), info.machineType(), info.cell(), Readiness.GONE,
+                info.capacityHint(),
                 info.startedAtNanos()), null);
     }
 
@@ -186,7 +187,8 @@
      */
     private void enqueuePortions(long index, List<Endpoint> endpoints) {
         for (int i = 0; i < endpoints.size(); i += MAX_PORTION_ENDPOINTS) {
-            readyPortions.add(new EndpointList(index, false, endpoints.subList(i, Math.min(endpoints.size(), i + MAX_PORTION_ENDPOINTS))));
+            readyPortions.add(new EndpointList(index, false,
+                    endpoints.subList(i, Math.min(endpoints.size(), i + MAX_PORTION_ENDPOINTS))));
         }
     }
 }
--- a/src/main/java/cinderhollow/membership/StartTimes.java
+++ b/src/main/java/cinderhollow/membership/StartTimes.java
@@ -42,7 +42,8 @@
             ServerInfo info = endpoint.info();
             long gatewayNanos = toGatewayTime(info.id(), info.startedAtNanos(), now);
             changed |= gatewayNanos != info.startedAtNanos();
-            endpoints.add(gatewayNanos == info.startedAtNanos() ? endpoint : new Endpoint(new ServerInfo(info.id(), info.zone(), info.machineType(),
+            endpoints.add(gatewayNanos == info.startedAtNanos() ? endpoint
+                    : new Endpoint(new ServerInfo(info.id(), info.zone(), info.machineType(),
                     info.cell(), info.readiness(), info.capacityHint(), gatewayNanos), endpoint.address()));
         }
         hasLiveList = true;
--- a/src/main/java/cinderhollow/membership/Subset.java
+++ b/src/main/java/cinderhollow/membership/Subset.java
@@ -160,15 +160,18 @@
         boolean bad = failed >= MIN_FAILED_ATTEMPTS && failed > succeeded;
         if (bad && selectedCount < servers.size()) {
             // If the subset had been narrowed, that was too early: waits longer the next time.
-            narrowDelayNanos = width == 1 && healthySince > 0 ? Math.min(MAX_NARROW_DELAY_NANOS, 2 * narrowDelayNanos) : narrowDelayNanos;
+            narrowDelayNanos = width == 1 && healthySince > 0 ? Math.min(MAX_NARROW_DELAY_NANOS, 2 * narrowDelayNanos)
+                    : narrowDelayNanos;
             width *= WIDTH_STEP_RATIO;
             reselectAll(changes);
-        } else if (!bad && width > 1 && failed <= MAX_HEALTHY_FAILED_FRACTION * (failed + succeeded) && now - healthySince >= narrowDelayNanos) {
+        } else if (!bad && width > 1 && failed <= MAX_HEALTHY_FAILED_FRACTION * (failed + succeeded)
+                && now - healthySince >= narrowDelayNanos) {
             width = Math.max(1, width / WIDTH_STEP_RATIO);
             healthySince = now;
             reselectAll(changes);
         }
-        healthySince = bad || healthySince == 0 || failed > MAX_HEALTHY_FAILED_FRACTION * (failed + succeeded) ? now : healthySince;
+        healthySince = bad || healthySince == 0 || failed > MAX_HEALTHY_FAILED_FRACTION * (failed + succeeded) ? now
+                : healthySince;
         failed = 0;
         succeeded = 0;
         windowEndsAt = now + WINDOW_NANOS;
@@ -237,7 +240,8 @@
 
     private Map<String, PickRange> pickRanges() {
         Map<String, PickRange> ranges = new HashMap<>();
-        serverCountByZone.forEach((zone, zoneServers) -> ranges.put(zone, pickRanges(zone, zoneServers, servers.size(), meanPicksPerServer())));
+        serverCountByZone.forEach((zone, zoneServers) ->
+                ranges.put(zone, pickRanges(zone, zoneServers, servers.size(), meanPicksPerServer())));
         return ranges;
     }
 
@@ -264,7 +268,8 @@
         } else if (zoneGateways > 0) {
             // If the zone has few gateways for its servers, each of them would otherwise get too many servers.
             double relativeDensity = (double) zoneGateways / zoneServers * allServers / totalGateways;
-            double ownZoneFraction = relativeDensity * CROWDING_TOLERANCE_RATIO >= 1 ? OWN_ZONE_FRACTION : OWN_ZONE_FRACTION * roundToStep(relativeDensity);
+            double ownZoneFraction = relativeDensity * CROWDING_TOLERANCE_RATIO >= 1 ? OWN_ZONE_FRACTION
+                    : OWN_ZONE_FRACTION * roundToStep(relativeDensity);
             ownZonePicks = Math.min(zoneGateways, picksPerServer * ownZoneFraction);
         }
         double picksPerRemoteGateway = (picksPerServer - ownZonePicks) / Math.max(1, totalGateways - zoneGateways);
@@ -291,7 +296,8 @@
     private void reselect(String id, Server server, List<Change> changes) {
         PickRange range = pickRanges.get(server.zone);
         int ownZonePicks = range.countPicks(server.roundingOffset);
-        boolean select = server.rank < (width == 1 ? ownZonePicks : Math.max(ownZonePicks, Math.ceil(width * (range.end - range.start))));
+        boolean select = server.rank < (width == 1 ? ownZonePicks
+                : Math.max(ownZonePicks, Math.ceil(width * (range.end - range.start))));
         if (select != server.selected) {
             server.selected = select;
             selectedCount += select ? 1 : -1;
--- a/src/main/java/cinderhollow/operator/OperatorFile.java
+++ b/src/main/java/cinderhollow/operator/OperatorFile.java
@@ -1,14 +1,14 @@
 package cinderhollow.operator;
 
-import cinderhollow.policy.Protocol.Effect;
 import cinderhollow.policy.Protocol.DedupGroup;
+import cinderhollow.policy.Protocol.Effect;
 import cinderhollow.policy.Protocol.Outcome;
 import cinderhollow.policy.Protocol.RequestClass;
 import cinderhollow.routes.PathPattern;
 import cinderhollow.routes.Route;
+import cinderhollow.routes.RouteSettings;
 import cinderhollow.routes.RouteSettings.BudgetSettings;
 import cinderhollow.routes.RouteSettings.HedgeSettings;
-import cinderhollow.routes.RouteSettings;
 import java.io.IOException;
 import java.nio.ByteBuffer;
 import java.nio.charset.CharacterCodingException;
@@ -38,8 +38,10 @@
 public final class OperatorFile {
     private static final int MAX_FILE_BYTES = 1 << 20, MAX_ROUTES = 10_000;
     private static final char BYTE_ORDER_MARK = '\uFEFF';
-    private static final BudgetSettings DEFAULT_RETRY_BUDGET = new BudgetSettings(0.1, 1), DEFAULT_HEDGE_BUDGET = new BudgetSettings(0.05, 0);
-    private static final int DEFAULT_MAX_ATTEMPTS = 3, DEFAULT_HEDGE_SAMPLES = 200, MAX_HEDGE_SAMPLES = 10_000, MIN_SAMPLES_BEYOND_PERCENTILE = 5;
+    private static final BudgetSettings DEFAULT_RETRY_BUDGET = new BudgetSettings(0.1, 1), DEFAULT_HEDGE_BUDGET =
+            new BudgetSettings(0.05, 0);
+    private static final int DEFAULT_MAX_ATTEMPTS = 3, DEFAULT_HEDGE_SAMPLES = 200, MAX_HEDGE_SAMPLES = 10_000,
+            MIN_SAMPLES_BEYOND_PERCENTILE = 5;
     private static final Set<Outcome> NEVER_RAN_OUTCOMES = EnumSet.of(Outcome.CONNECT_FAILED, Outcome.FULL);
     private static final Set<Outcome> RETRYABLE_OUTCOMES = EnumSet.of(Outcome.CONNECT_FAILED, Outcome.FULL, Outcome.ERROR,
             Outcome.RESET, Outcome.TIMED_OUT);
@@ -55,7 +57,8 @@
     private static final long DEFAULT_SYNC_INTERVAL_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
     private static final Pattern PEER_ADDRESS_PATTERN = Pattern.compile("[0-9]{1,3}(\\.[0-9]{1,3}){3}:[0-9]{1,5}");
     private static final int MAX_ZONES = 16;
-    private static final long DEFAULT_HOLD_NANOS = TimeUnit.SECONDS.toNanos(1), DEFAULT_MAX_HOLD_NANOS = TimeUnit.SECONDS.toNanos(60);
+    private static final long DEFAULT_HOLD_NANOS = TimeUnit.SECONDS.toNanos(1), DEFAULT_MAX_HOLD_NANOS =
+            TimeUnit.SECONDS.toNanos(60);
     private static final int MAX_LOOPS = 64, MAX_FLEET_SIZE = 100_000;
 
     private final PlatformConstraints platform;
@@ -152,7 +155,8 @@
             if (!adminTable.has("listen")) {
                 root.addFinding("admin", Rule.ADMIN_ADDRESS, "listen is missing");
             } else if (adminAddress != null && !(ADMIN_ADDRESS_PATTERN.matcher(adminAddress).matches()
-                    && (adminAddress.startsWith("unix:") || Integer.parseInt(adminAddress.replaceFirst(".*:", "")) <= MAX_PORT))) {
+                    && (adminAddress.startsWith("unix:")
+                    || Integer.parseInt(adminAddress.replaceFirst(".*:", "")) <= MAX_PORT))) {
                 adminTable.addFinding("listen", Rule.ADMIN_ADDRESS, "'" + adminAddress + "'");
             }
         }
@@ -173,7 +177,8 @@
     private void readPeers(TomlTableReader root, TomlTableReader peersTable, TomlTableReader zonesTable) {
         if (peersTable == null || zonesTable == null) {
             if (peersTable != null || zonesTable != null) {
-                root.addFinding(peersTable == null ? "zones" : "peers", Rule.ZONES_PLACE, "[peers] and [zones] must be given together");
+                root.addFinding(peersTable == null ? "zones" : "peers", Rule.ZONES_PLACE,
+                        "[peers] and [zones] must be given together");
             }
             return;
         }
@@ -190,17 +195,20 @@
         if (members != null && peersTable.has("members")) {
             List<String> malformed = members.stream().filter(m -> !PEER_ADDRESS_PATTERN.matcher(m).matches()).toList();
             if (!malformed.isEmpty() || members.stream().distinct().count() < members.size() || members.size() < 2) {
-                peersTable.addFinding("members", Rule.PEERS_PLACE, malformed.isEmpty() ? members.size() + " members" : "'" + malformed.get(0) + "'");
+                peersTable.addFinding("members", Rule.PEERS_PLACE, malformed.isEmpty() ? members.size() + " members" : "'"
+                        + malformed.get(0) + "'");
             }
             if (memberNumber == null || memberNumber >= members.size()) {
-                peersTable.addFinding(peersTable.has("number") ? "number" : "members", Rule.PEERS_PLACE, "there is no member " + memberNumber);
+                peersTable.addFinding(peersTable.has("number") ? "number" : "members", Rule.PEERS_PLACE, "there is no member "
+                        + memberNumber);
             }
         }
         if (peersTable.has("listen") && listenAddress != null && !PEER_ADDRESS_PATTERN.matcher(listenAddress).matches()) {
             peersTable.addFinding("listen", Rule.PEERS_PLACE, "'" + listenAddress + "'");
         }
         if (peersTable.has("members") != peersTable.has("listen") || peersTable.has("members") != peersTable.has("number")) {
-            root.addFinding("peers", Rule.PEERS_PLACE, "members, listen and number must be given together; without all three the deployment's settings apply");
+            root.addFinding("peers", Rule.PEERS_PLACE,
+                    "members, listen and number must be given together; without all three the deployment's settings apply");
         }
         String secretFile = peersTable.text("secret");
         if (secretFile != null && !Files.isRegularFile(Path.of(secretFile))) {
@@ -211,7 +219,8 @@
                 memberNumber == null ? -1 : memberNumber, secretFile == null ? null : Path.of(secretFile));
     }
 
-    private PeersConfig readZones(TomlTableReader zonesTable, String fleet, String listenAddress, List<String> members, int memberNumber, Path secretFile) {
+    private PeersConfig readZones(TomlTableReader zonesTable, String fleet, String listenAddress, List<String> members,
+            int memberNumber, Path secretFile) {
         zonesTable.rejectUnknownKeys(List.of("names", "gateways", "regions", "most_out", "hold", "hold_max"));
         List<String> zoneNames = zonesTable.texts("names");
         zoneNames = zoneNames == null ? List.of() : zoneNames;
@@ -234,11 +243,13 @@
         long holdNanos = durationOrDefault(zonesTable, "hold", DEFAULT_HOLD_NANOS);
         long maxHoldNanos = durationOrDefault(zonesTable, "hold_max", Math.max(holdNanos, DEFAULT_MAX_HOLD_NANOS));
         if (holdNanos > maxHoldNanos) {
-            zonesTable.addFinding("hold", Rule.ZONES_HOLD, formatNanos(holdNanos) + " is longer than hold_max, " + formatNanos(maxHoldNanos));
+            zonesTable.addFinding("hold", Rule.ZONES_HOLD, formatNanos(holdNanos) + " is longer than hold_max, "
+                    + formatNanos(maxHoldNanos));
         }
         return new PeersConfig(fleet, listenAddress, members, memberNumber, secretFile, zoneNames,
                 zoneNames.stream().map(zone -> gatewaysByZone.getOrDefault(zone, 0)).toList(),
-                regionByZone, maxRegionsOut == null ? Math.max(1, (regionCount - 1) / 2) : maxRegionsOut, holdNanos, maxHoldNanos);
+                regionByZone, maxRegionsOut == null ? Math.max(1, (regionCount - 1) / 2) : maxRegionsOut, holdNanos,
+                maxHoldNanos);
     }
 
     /** Returns the number of each zone's region, from 0. Without configured regions each zone is a region of its own. */
@@ -250,15 +261,18 @@
             List<String> regionZones = regionsTable.texts(region);
             for (String zone : regionZones == null ? List.<String>of() : regionZones) {
                 if (!zoneNames.contains(zone) || regionByZone.putIfAbsent(zone, regionNumber) != null) {
-                    regionsTable.addFinding(region, Rule.ZONES_REGIONS, "'" + zone + "' is not one of " + zoneNames + ", or is listed more than once");
+                    regionsTable.addFinding(region, Rule.ZONES_REGIONS, "'" + zone + "' is not one of " + zoneNames
+                            + ", or is listed more than once");
                 }
             }
             regionNumber++;
         }
         if (regionsTable != null && (regionNumber < 2 || regionByZone.size() < zoneNames.size())) {
-            zonesTable.addFinding("regions", Rule.ZONES_REGIONS, regionNumber + " regions with " + regionByZone.size() + " of " + zoneNames.size() + " zones");
+            zonesTable.addFinding("regions", Rule.ZONES_REGIONS, regionNumber + " regions with " + regionByZone.size() + " of "
+                    + zoneNames.size() + " zones");
         }
-        return IntStream.range(0, zoneNames.size()).mapToObj(i -> regionsTable == null ? i : regionByZone.getOrDefault(zoneNames.get(i), 0)).toList();
+        return IntStream.range(0, zoneNames.size())
+                .mapToObj(i -> regionsTable == null ? i : regionByZone.getOrDefault(zoneNames.get(i), 0)).toList();
     }
 
     private static long durationOrDefault(TomlTableReader table, String key, long defaultNanos) {
@@ -279,7 +293,8 @@
             if (ledgerTable.has("sync") && !ledgerTable.has("directory")) {
                 ledgerTable.addFinding("sync", Rule.NO_DIRECTORY, "sync needs a directory");
             }
-            ledgerConfig = new LedgerConfig(durationOrDefault(ledgerTable, "log", 0), directory == null ? null : Path.of(directory),
+            ledgerConfig = new LedgerConfig(durationOrDefault(ledgerTable, "log", 0), directory == null ? null
+                    : Path.of(directory),
                     durationOrDefault(ledgerTable, "sync", DEFAULT_SYNC_INTERVAL_NANOS));
         }
     }
@@ -319,7 +334,8 @@
                 }
             }
         }
-        return new ScalingConfig(loopCount == null ? 1 : loopCount, "each".equals(listeners), subsetSize, gatewaysByZone, platform.zone(), numberInZone);
+        return new ScalingConfig(loopCount == null ? 1 : loopCount, "each".equals(listeners), subsetSize, gatewaysByZone,
+                platform.zone(), numberInZone);
     }
 
     private static Map<String, Integer> readCountsByZone(TomlTableReader table) {
@@ -399,7 +415,8 @@
         routeTables.forEach(table -> readRoute(table, classTables));
         for (RequestClass requestClass : platform.classes()) {
             TomlTableReader classTable = classTables.get(requestClass.name());
-            resolve(requestClass, null, null, classTable == null ? List.of() : List.of(classTable), classTable == null ? 0 : firstLine(classTable));
+            resolve(requestClass, null, null, classTable == null ? List.of() : List.of(classTable), classTable == null ? 0
+                    : firstLine(classTable));
         }
         checkOverlaps();
     }
@@ -450,7 +467,8 @@
         }
         if (requestClass != null) {
             TomlTableReader classTable = classTables.get(className);
-            resolve(requestClass, method, pattern, classTable == null ? List.of(table) : List.of(table, classTable), firstLine(table));
+            resolve(requestClass, method, pattern, classTable == null ? List.of(table) : List.of(table, classTable),
+                    firstLine(table));
         }
     }
 
@@ -512,7 +530,8 @@
             if (table != null) {
                 table.addFinding(key, rule, problem);
             } else {
-                findings.add(new Finding(tables.isEmpty() ? 0 : firstLine(tables.get(0)), "class " + requestClass.name() + ", " + key,
+                findings.add(new Finding(tables.isEmpty() ? 0 : firstLine(tables.get(0)), "class " + requestClass.name() + ", "
+                        + key,
                         rule, problem));
             }
         }
@@ -538,25 +557,31 @@
             boolean hasAttemptTimeout = OperatorFile.findTableWith(tables, "attempt_timeout") != null;
             long attemptTimeoutNanos = resolveDuration("attempt_timeout", totalNanos, MILLISECOND_NANOS);
             if (attemptTimeoutNanos > totalNanos) {
-                addFinding("attempt_timeout", Rule.ATTEMPT_BEYOND_TOTAL, formatNanos(attemptTimeoutNanos) + " is longer than the total time of " + formatNanos(totalNanos));
+                addFinding("attempt_timeout", Rule.ATTEMPT_BEYOND_TOTAL, formatNanos(attemptTimeoutNanos)
+                        + " is longer than the total time of " + formatNanos(totalNanos));
             }
             Set<Outcome> retryOn = resolveRetryOn();
             BudgetSettings retryBudget = resolveBudget("retry_budget", DEFAULT_RETRY_BUDGET);
             HedgeSettings hedge = resolveHedge(attemptTimeoutNanos, totalNanos, maxAttempts);
             boolean retriesOnTimeout = retryOn.contains(Outcome.TIMED_OUT);
             long totalBackoffNanos = sumBackoffs(maxAttempts, backoffNanos, maxBackoffNanos);
-            if (hasAttemptTimeout && attemptTimeoutNanos <= totalNanos && maxAttempts * attemptTimeoutNanos + totalBackoffNanos > totalNanos) {
-                addFinding("attempt_timeout", Rule.LONGER_THAN_TOTAL, maxAttempts + " x " + formatNanos(attemptTimeoutNanos) + " and "
-                        + formatNanos(totalBackoffNanos) + " of backoff are longer than the total time of " + formatNanos(totalNanos));
+            if (hasAttemptTimeout && attemptTimeoutNanos <= totalNanos && maxAttempts * attemptTimeoutNanos
+                    + totalBackoffNanos > totalNanos) {
+                addFinding("attempt_timeout", Rule.LONGER_THAN_TOTAL, maxAttempts + " x " + formatNanos(attemptTimeoutNanos)
+                        + " and "
+                        + formatNanos(totalBackoffNanos) + " of backoff are longer than the total time of "
+                        + formatNanos(totalNanos));
             } else if (!hasAttemptTimeout && retriesOnTimeout && maxAttempts > 1) {
                 addFinding("retry_on", Rule.LONGER_THAN_TOTAL, "after a timeout nothing is left of the total time; set "
                         + "attempt_timeout");
             } else if (!hasAttemptTimeout && totalBackoffNanos >= totalNanos) {
-                addFinding("backoff", Rule.LONGER_THAN_TOTAL, formatNanos(totalBackoffNanos) + " of backoff leave nothing of the total time of "
+                addFinding("backoff", Rule.LONGER_THAN_TOTAL, formatNanos(totalBackoffNanos)
+                        + " of backoff leave nothing of the total time of "
                         + formatNanos(totalNanos));
             }
             checkKeyed(totalNanos, maxAttempts, hedge);
-            return new RouteSettings(totalNanos, Math.min(attemptTimeoutNanos, totalNanos), maxAttempts, retryOn, backoffNanos, maxBackoffNanos, retryBudget, hedge,
+            return new RouteSettings(totalNanos, Math.min(attemptTimeoutNanos, totalNanos), maxAttempts, retryOn, backoffNanos,
+                    maxBackoffNanos, retryBudget, hedge,
                     resolveRetryAfter());
         }
 
@@ -583,7 +608,8 @@
             List<String> texts = table == null ? null : table.texts("retry_on");
             boolean unsafe = requestClass.effect() == Effect.UNSAFE;
             if (texts == null) {
-                return unsafe ? NEVER_RAN_OUTCOMES : EnumSet.of(Outcome.CONNECT_FAILED, Outcome.FULL, Outcome.ERROR, Outcome.RESET);
+                return unsafe ? NEVER_RAN_OUTCOMES
+                        : EnumSet.of(Outcome.CONNECT_FAILED, Outcome.FULL, Outcome.ERROR, Outcome.RESET);
             }
             Set<Outcome> outcomes = EnumSet.noneOf(Outcome.class);
             for (String text : texts) {
@@ -627,24 +653,28 @@
                 addFinding("second_copy", Rule.COPY_NOT_ALLOWED, "the deployment allows one attempt at a time");
             }
             if (hedgeTable.has("after") == hedgeTable.has("at_percentile")) {
-                addFinding("second_copy", Rule.COPY_TIME, hedgeTable.has("after") ? "both after and at_percentile are set" : "neither after nor at_percentile is set");
+                addFinding("second_copy", Rule.COPY_TIME, hedgeTable.has("after") ? "both after and at_percentile are set"
+                        : "neither after nor at_percentile is set");
             }
             if (maxAttempts < 2) {
                 addFinding("second_copy", Rule.COPY_ALONE, "attempts is 1");
             }
             Long afterNanos = hedgeTable.duration("after");
             if (afterNanos != null && afterNanos < MILLISECOND_NANOS) {
-                hedgeTable.addFinding("after", Rule.TIME_TOO_SHORT, "the second copy would be sent at the same time as the first attempt");
+                hedgeTable.addFinding("after", Rule.TIME_TOO_SHORT,
+                        "the second copy would be sent at the same time as the first attempt");
             }
             if (afterNanos != null && afterNanos >= Math.min(attemptTimeoutNanos, totalNanos)) {
-                hedgeTable.addFinding("after", Rule.COPY_TOO_LATE, formatNanos(afterNanos) + ", but the first attempt times out after "
+                hedgeTable.addFinding("after", Rule.COPY_TOO_LATE, formatNanos(afterNanos)
+                        + ", but the first attempt times out after "
                         + formatNanos(Math.min(attemptTimeoutNanos, totalNanos)));
             }
             Double percentile = hedgeTable.number("at_percentile", 1, 99.99, Rule.NUMBER_RANGE);
             Integer samples = hedgeTable.integer("samples", 1, MAX_HEDGE_SAMPLES);
             int sampleCount = samples == null ? DEFAULT_HEDGE_SAMPLES : samples;
             if (percentile != null && sampleCount * (1 - percentile / 100) < MIN_SAMPLES_BEYOND_PERCENTILE - 1e-9) {
-                hedgeTable.addFinding("at_percentile", Rule.PERCENTILE_UNKNOWABLE, "of " + sampleCount + " samples, fewer than " + MIN_SAMPLES_BEYOND_PERCENTILE
+                hedgeTable.addFinding("at_percentile", Rule.PERCENTILE_UNKNOWABLE, "of " + sampleCount + " samples, fewer than "
+                        + MIN_SAMPLES_BEYOND_PERCENTILE
                         + " lie beyond " + percentile);
             }
             TomlTableReader budgetTable = hedgeTable.table("budget");
@@ -672,7 +702,8 @@
             // A class that the file does not mention is not checked: there the decision module itself keeps to the dedup window.
             boolean mayResend = !tables.isEmpty() && (maxAttempts > 1 || hedge != null);
             if (requestClass.effect() == Effect.KEYED && mayResend && totalNanos > requestClass.dedupWindowNanos()) {
-                addFinding("total", Rule.KEYED_PAST_WINDOW, formatNanos(totalNanos) + " is longer than the time for which repeats are dropped, "
+                addFinding("total", Rule.KEYED_PAST_WINDOW, formatNanos(totalNanos)
+                        + " is longer than the time for which repeats are dropped, "
                         + formatNanos(requestClass.dedupWindowNanos()));
             }
         }
@@ -719,13 +750,18 @@
         List<String> output = new ArrayList<>(scalingConfig.describe());
         if (ledgerConfig != null) {
             output.add("ledger of requests and attempts"
-                    + (ledgerConfig.logIntervalNanos() == 0 ? "" : ", logged every " + formatNanos(ledgerConfig.logIntervalNanos()))
-                    + (ledgerConfig.directory() == null ? "" : ", with a journal in " + ledgerConfig.directory() + ", synced within "
+                    + (ledgerConfig.logIntervalNanos() == 0 ? "" : ", logged every "
+                    + formatNanos(ledgerConfig.logIntervalNanos()))
+                    + (ledgerConfig.directory() == null ? "" : ", with a journal in " + ledgerConfig.directory()
+                    + ", synced within "
                     + formatNanos(ledgerConfig.syncIntervalNanos())));
         }
         if (peersConfig != null) {
-            output.add("exchanges datagrams with " + (peersConfig.members().isEmpty() ? "the peers in the deployment's settings" : (peersConfig.members().size() - 1) + " others")
-                    + (peersConfig.secretFile() == null ? ", without a secret" : "") + "; evacuates up to " + peersConfig.maxRegionsOut() + " of zones "
+            output.add("exchanges datagrams with "
+                    + (peersConfig.members().isEmpty() ? "the peers in the deployment's settings"
+                    : (peersConfig.members().size() - 1) + " others")
+                    + (peersConfig.secretFile() == null ? ", without a secret" : "") + "; evacuates up to "
+                    + peersConfig.maxRegionsOut() + " of zones "
                     + String.join(", ", peersConfig.zones()) + ", for " + formatNanos(peersConfig.holdNanos()) + " to "
                     + formatNanos(peersConfig.maxHoldNanos()));
         }
@@ -742,13 +778,15 @@
             appendRow(output, "attempts", String.valueOf(terms.maxAttempts()), sourceByKey);
             appendRow(output, "retry_on", String.join(", ", terms.retryOn().stream().sorted().map(OperatorFile::label).toList()),
                     sourceByKey);
-            appendRow(output, "backoff", formatNanos(terms.baseBackoffNanos()) + ", up to " + formatNanos(terms.maxBackoffNanos()), sourceByKey);
+            appendRow(output, "backoff", formatNanos(terms.baseBackoffNanos()) + ", up to "
+                    + formatNanos(terms.maxBackoffNanos()), sourceByKey);
             appendRow(output, "retry_budget", formatBudget(terms.retryBudget()), sourceByKey);
             HedgeSettings hedge = terms.hedge();
             appendRow(output, "second_copy", hedge == null ? "none" : (hedge.percentile() > 0 ? "at percentile "
                     + hedge.percentile() + " of " + hedge.sampleCount() : "after " + formatNanos(hedge.delayNanos())) + ", "
                     + formatBudget(hedge.budget()), sourceByKey);
-            appendRow(output, "retry_after", terms.retryAfterNanos() == 0 ? "none" : formatNanos(terms.retryAfterNanos()), sourceByKey);
+            appendRow(output, "retry_after", terms.retryAfterNanos() == 0 ? "none" : formatNanos(terms.retryAfterNanos()),
+                    sourceByKey);
         }
         return String.join("\n", output);
     }
--- a/src/main/java/cinderhollow/operator/PeersConfig.java
+++ b/src/main/java/cinderhollow/operator/PeersConfig.java
@@ -18,8 +18,10 @@
  * @param holdNanos the minimum time that a zone stays evacuated, in nanoseconds; doubled each time the zone fails again
  * @param maxHoldNanos the upper bound of that doubled time, in nanoseconds
  */
-public record PeersConfig(String fleet, String listenAddress, List<String> members, int memberNumber, Path secretFile, List<String> zones,
-                      List<Integer> gatewaysByZone, List<Integer> regionByZone, int maxRegionsOut, long holdNanos, long maxHoldNanos) {
+public record PeersConfig(String fleet, String listenAddress, List<String> members, int memberNumber, Path secretFile,
+        List<String> zones,
+                      List<Integer> gatewaysByZone, List<Integer> regionByZone, int maxRegionsOut, long holdNanos,
+                      long maxHoldNanos) {
     /** Copies the lists. */
     public PeersConfig {
         members = List.copyOf(members);
--- a/src/main/java/cinderhollow/operator/PlatformConstraints.java
+++ b/src/main/java/cinderhollow/operator/PlatformConstraints.java
@@ -15,7 +15,8 @@
  * @param zone the zone of this gateway, or empty
  * @param peersAllowed whether gateways may send each other datagrams
  */
-public record PlatformConstraints(List<RequestClass> classes, int maxAttempts, boolean hedgingAllowed, long maxRetryAfterNanos, int gatewayCount,
+public record PlatformConstraints(List<RequestClass> classes, int maxAttempts, boolean hedgingAllowed, long maxRetryAfterNanos,
+        int gatewayCount,
                        int gatewayNumber, String zone, boolean peersAllowed) {
     /** Creates the constraints of a deployment with a single gateway, without a zone. */
     public PlatformConstraints(List<RequestClass> classes, int maxAttempts, boolean hedgingAllowed, long maxRetryAfterNanos) {
--- a/src/main/java/cinderhollow/operator/ScalingConfig.java
+++ b/src/main/java/cinderhollow/operator/ScalingConfig.java
@@ -14,7 +14,8 @@
  * @param zone the zone of this gateway
  * @param numberInZone the number of this gateway within its zone, from 0
  */
-public record ScalingConfig(int loopCount, boolean listenerPerLoop, int subsetSize, Map<String, Integer> gatewaysByZone, String zone, int numberInZone) {
+public record ScalingConfig(int loopCount, boolean listenerPerLoop, int subsetSize, Map<String, Integer> gatewaysByZone,
+        String zone, int numberInZone) {
     /** Copies the map. */
     public ScalingConfig {
         gatewaysByZone = Map.copyOf(gatewaysByZone);
@@ -27,7 +28,8 @@
             lines.add(loopCount + " event loops, " + (listenerPerLoop ? "each with a listener of its own" : "one listener"));
         }
         if (subsetSize > 0) {
-            lines.add("uses a subset of about " + subsetSize + " nodes, as gateway " + numberInZone + " of zone '" + zone + "' among "
+            lines.add("uses a subset of about " + subsetSize + " nodes, as gateway " + numberInZone + " of zone '" + zone
+                    + "' among "
                     + gatewaysByZone);
         }
         return lines;
--- a/src/main/java/cinderhollow/ops/GatewayStats.java
+++ b/src/main/java/cinderhollow/ops/GatewayStats.java
@@ -15,7 +15,8 @@
  * @param reloadsAccepted number of configuration files applied at SIGHUP
  * @param reloadsRejected number of configuration files rejected at SIGHUP
  */
-public record GatewayStats(Map<String, Counts> countsByClass, long openRequests, long endpoints, long outOfRotation, long reloadsAccepted, long reloadsRejected) {
+public record GatewayStats(Map<String, Counts> countsByClass, long openRequests, long endpoints, long outOfRotation,
+        long reloadsAccepted, long reloadsRejected) {
     /**
      * Returns the figures of two event loops of one process together. Requests are added up; for endpoints and configuration
      * files the maximum is taken, since both loops have the same ones.
@@ -23,7 +24,8 @@
     public GatewayStats plus(GatewayStats other) {
         Map<String, Counts> mergedCounts = new TreeMap<>(countsByClass);
         other.countsByClass.forEach((name, counts) -> mergedCounts.merge(name, counts, Counts::plus));
-        return new GatewayStats(mergedCounts, openRequests + other.openRequests, Math.max(endpoints, other.endpoints), Math.max(outOfRotation, other.outOfRotation),
+        return new GatewayStats(mergedCounts, openRequests + other.openRequests, Math.max(endpoints, other.endpoints),
+                Math.max(outOfRotation, other.outOfRotation),
                 Math.max(reloadsAccepted, other.reloadsAccepted), Math.max(reloadsRejected, other.reloadsRejected));
     }
 
@@ -34,7 +36,8 @@
                 + e.getValue().faulted() + ",\"relayed\":" + e.getValue().relayed() + "}").collect(Collectors.joining(","));
         return "{\"operations\":{" + classes + "},\"relayed\":"
                 + countsByClass.values().stream().mapToLong(Counts::relayed).sum() + ",\"open_requests\":" + openRequests
-                + ",\"registry_entries\":" + endpoints + ",\"out_of_rotation\":" + outOfRotation + ",\"cfg_accepted\":" + reloadsAccepted
+                + ",\"registry_entries\":" + endpoints + ",\"out_of_rotation\":" + outOfRotation + ",\"cfg_accepted\":"
+                + reloadsAccepted
                 + ",\"cfg_invalid\":" + reloadsRejected + "}";
     }
 
--- a/src/main/java/cinderhollow/ops/OpsSocket.java
+++ b/src/main/java/cinderhollow/ops/OpsSocket.java
@@ -52,7 +52,8 @@
                 .handler(new AcceptErrorHandler()).childHandler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
-                        channel.pipeline().addLast(new LineBasedFrameDecoder(MAX_LINE_BYTES, true, true), new CommandHandler(channel));
+                        channel.pipeline().addLast(new LineBasedFrameDecoder(MAX_LINE_BYTES, true, true),
+                                new CommandHandler(channel));
                     }
                 }).bind(address);
         listener = bound.channel();
--- a/src/main/java/cinderhollow/peers/Fact.java
+++ b/src/main/java/cinderhollow/peers/Fact.java
@@ -21,7 +21,8 @@
     public Fact {
         if (kind < 0 || kind > 255 || subject < 0 || subject > 65_535 || version < 0 || version > MAX_VERSION
                 || value.length > MAX_VALUE_BYTES) {
-            throw new IllegalArgumentException("fact out of bounds (kind, subject, version, size): " + kind + ", " + subject + ", " + version + ", " + value.length
+            throw new IllegalArgumentException("fact out of bounds (kind, subject, version, size): " + kind + ", " + subject
+                    + ", " + version + ", " + value.length
                     + " bytes");
         }
     }
--- a/src/main/java/cinderhollow/peers/GossipSettings.java
+++ b/src/main/java/cinderhollow/peers/GossipSettings.java
@@ -12,7 +12,9 @@
  * @param suspicionTimeout number of probe intervals that a suspect has at least to refute, for each factor of ten in members
  * @param maxSuspicionFactor factor by which that time is longer while nobody else confirms the suspicion
  */
-public record GossipSettings(long probeIntervalNanos, long pingTimeoutNanos, long gossipIntervalNanos, long fastGossipIntervalNanos, int fanout, long syncIntervalNanos, double suspicionTimeoutProbes, double maxSuspicionFactor) {
+public record GossipSettings(long probeIntervalNanos, long pingTimeoutNanos, long gossipIntervalNanos,
+        long fastGossipIntervalNanos, int fanout, long syncIntervalNanos, double suspicionTimeoutProbes,
+        double maxSuspicionFactor) {
     private static final long MS = 1_000_000L;
     /** Defaults, for latencies between machines from a few to some tens of milliseconds. */
     public static final GossipSettings DEFAULT = new GossipSettings(250 * MS, 100 * MS, 100 * MS, 25 * MS, 3, 1_000 * MS, 4, 3);
--- a/src/main/java/cinderhollow/peers/Peers.java
+++ b/src/main/java/cinderhollow/peers/Peers.java
@@ -33,13 +33,15 @@
 
     /** Maximum size of a datagram in bytes, as set by the deployment's documentation. */
     public static final int MAX_DATAGRAM_BYTES = 256;
-    private static final int PROTOCOL_VERSION = 1, HEADER_BYTES = 18, MIN_DATAGRAM_BYTES = HEADER_BYTES + DatagramAuthenticator.TAG_BYTES;
+    private static final int PROTOCOL_VERSION = 1, HEADER_BYTES = 18, MIN_DATAGRAM_BYTES = HEADER_BYTES
+            + DatagramAuthenticator.TAG_BYTES;
     private static final int PING = 1, ACK = 2, PING_REQ = 3, NACK = 4, GOSSIP = 5, SUMS = 6, VERSIONS = 7, RELAYED_ACK = 8;
     /** Clocks further ahead than this are considered wrong. */
     private static final long MAX_CLOCK_AHEAD_MILLIS = 300_000;
     /** States of a member; within one incarnation a later state overrides an earlier one. */
     private static final int ALIVE = 0, SUSPECT = 1, DEAD = 2, LEFT = 3, STATE_COUNT = 4;
-    private static final int MAX_HEALTH_SCORE = 8, UNREACHABLE_CONTACT_ONE_IN = 4, MAX_BRANCHES_PER_SYNC = 2, VERSION_ENTRY_BYTES = 3 + Fact.VERSION_BYTES;
+    private static final int MAX_HEALTH_SCORE = 8, UNREACHABLE_CONTACT_ONE_IN = 4, MAX_BRANCHES_PER_SYNC = 2,
+            VERSION_ENTRY_BYTES = 3 + Fact.VERSION_BYTES;
     /** Part of the ping timeout after which a relay reports that the target has not answered. */
     private static final double NACK_TIMEOUT_FRACTION = 0.8;
     private static final long NEVER = Long.MAX_VALUE;
@@ -94,7 +96,8 @@
      * Creates a member that knows no others yet. Its start time in Unix milliseconds is its generation, by which its datagrams
      * are told apart from those of earlier starts.
      */
-    public Peers(Roster roster, GossipSettings settings, Collection<FactKind> kinds, long seed, long generationMillis, Callbacks callbacks) {
+    public Peers(Roster roster, GossipSettings settings, Collection<FactKind> kinds, long seed, long generationMillis,
+            Callbacks callbacks) {
         this.roster = roster;
         this.settings = settings;
         this.callbacks = callbacks;
@@ -148,7 +151,8 @@
     }
 
     private void announceSelf() {
-        facts.putIfNewer(new Fact(FactKind.MEMBER.number(), roster.self(), incarnation * STATE_COUNT + (hasLeft ? LEFT : ALIVE), new byte[0]));
+        facts.putIfNewer(new Fact(FactKind.MEMBER.number(), roster.self(), incarnation * STATE_COUNT + (hasLeft ? LEFT : ALIVE),
+                new byte[0]));
     }
 
     /** Announces that this member leaves, so that the others need not detect its end. */
@@ -210,7 +214,8 @@
     }
 
     /** Counters since the start. */
-    public record Counters(long sentDatagrams, long sentBytes, long receivedDatagrams, long receivedBytes, Map<DropReason, Long> dropCounts) { }
+    public record Counters(long sentDatagrams, long sentBytes, long receivedDatagrams, long receivedBytes, Map<DropReason,
+            Long> dropCounts) { }
 
     // ---- probing
 
@@ -316,7 +321,8 @@
     private void suspect(int member, int accuser) {
         long known = memberVersion(member);
         if (state(known) == ALIVE) {
-            applyMemberState(new Fact(FactKind.MEMBER.number(), member, known + SUSPECT - ALIVE, ByteCursor.allocate(2).put(accuser, 2).toByteArray()));
+            applyMemberState(new Fact(FactKind.MEMBER.number(), member, known + SUSPECT - ALIVE, ByteCursor.allocate(2)
+                    .put(accuser, 2).toByteArray()));
         } else if (state(known) == SUSPECT) {
             confirm(new Fact(FactKind.MEMBER.number(), member, known, ByteCursor.allocate(2).put(accuser, 2).toByteArray()));
         }
@@ -361,7 +367,8 @@
         }
         suspicions.remove(member);
         if (state == SUSPECT) {
-            suspicions.put(member, new Suspicion(now, fact.value().length == 2 ? (int) ByteCursor.wrap(fact.value()).readUnsigned(2) : member));
+            suspicions.put(member, new Suspicion(now, fact.value().length == 2 ? (int) ByteCursor.wrap(fact.value())
+                    .readUnsigned(2) : member));
         }
         boolean nowAlive = state == ALIVE || state == SUSPECT;
         if (nowAlive != alive[member]) {
@@ -501,7 +508,8 @@
     private long send(int member, int type, ByteCursor body) {
         ByteCursor datagram = startDatagram(member, type).put(body.toByteArray());
         Fact receiverState = facts.get(FactKind.MEMBER.number(), member);
-        if (receiverState != null && state(receiverState.version()) != ALIVE && datagram.remaining() >= receiverState.encodedSize()) {
+        if (receiverState != null && state(receiverState.version()) != ALIVE
+                && datagram.remaining() >= receiverState.encodedSize()) {
             // Lifeguard's buddy system: a suspect gets the suspicion with the next datagram sent to it.
             receiverState.write(datagram);
         }
@@ -511,7 +519,8 @@
     }
 
     private ByteCursor startDatagram(int member, int type) {
-        return ByteCursor.allocate(MAX_DATAGRAM_BYTES - DatagramAuthenticator.TAG_BYTES).put(PROTOCOL_VERSION, 1).put(type, 1).put(fleetTag, 4).put(roster.self(), 2).put(generation, 6)
+        return ByteCursor.allocate(MAX_DATAGRAM_BYTES - DatagramAuthenticator.TAG_BYTES).put(PROTOCOL_VERSION, 1).put(type, 1)
+                .put(fleetTag, 4).put(roster.self(), 2).put(generation, 6)
                 .put(++sequenceNumbers[member], 4);
     }
 
@@ -564,7 +573,8 @@
             if (replayReason == DropReason.OLD_LIFE) {
                 // Tells a sender whose clock was set back of its later generation, so that it takes a still later one.
                 ByteCursor notice = startDatagram(sender, GOSSIP);
-                new Fact(FactKind.MEMBER.number(), sender, replayWindows[sender].generation() * STATE_COUNT + DEAD, new byte[0]).write(notice);
+                new Fact(FactKind.MEMBER.number(), sender, replayWindows[sender].generation() * STATE_COUNT + DEAD, new byte[0])
+                        .write(notice);
                 transmit(sender, notice);
             }
             return replayReason;
@@ -606,7 +616,9 @@
                     throw new IllegalArgumentException("indirect probe of an unknown member " + target);
                 }
                 long pingSequence = ping(target);
-                relayedPings.put((long) target << 32 | pingSequence, new RelayedPing(sender, requesterSequence, now + (long) (settings.pingTimeoutNanos() * NACK_TIMEOUT_FRACTION)));
+                relayedPings.put((long) target << 32 | pingSequence,
+                        new RelayedPing(sender, requesterSequence, now
+                        + (long) (settings.pingTimeoutNanos() * NACK_TIMEOUT_FRACTION)));
             }
             case NACK -> {
                 if (probeTarget >= 0 && in.readUnsigned(4) == probeSequence) {
--- a/src/main/java/cinderhollow/policy/LearnedState.java
+++ b/src/main/java/cinderhollow/policy/LearnedState.java
@@ -10,7 +10,8 @@
  * @param latencyToBudgetRatio the ratio of latencies to their classes' latency budgets, over the fleet
  * @param requestRatePerServer requests per second and server that arrived at this gateway
  */
-public record LearnedState(double pressure, double latencyToBudgetRatio, double requestRatePerServer, List<ServerEntry> servers, List<ClassEntry> classes) {
+public record LearnedState(double pressure, double latencyToBudgetRatio, double requestRatePerServer, List<ServerEntry> servers,
+        List<ClassEntry> classes) {
     private static final double MAX_PLAUSIBLE = 1e6;
 
     /** Copies the lists. */
@@ -23,11 +24,13 @@
      * What was learned of a server since its last start: its share, in-flight limit, recent latency as a multiple of the usual
      * one, failure rate (0 to 1), and whether it was silent.
      */
-    public record ServerEntry(String id, long startedAtNanos, double share, double inFlightLimit, double recentRelativeLatency, double failureRate,
+    public record ServerEntry(String id, long startedAtNanos, double share, double inFlightLimit, double recentRelativeLatency,
+            double failureRate,
                            boolean silent) {
         /** Returns whether the values are in their possible ranges. */
         public boolean isValid() {
-            return share > 0 && share <= 1 && inFlightLimit > 0 && inFlightLimit <= MAX_PLAUSIBLE && recentRelativeLatency > 0 && recentRelativeLatency <= MAX_PLAUSIBLE && failureRate >= 0
+            return share > 0 && share <= 1 && inFlightLimit > 0 && inFlightLimit <= MAX_PLAUSIBLE && recentRelativeLatency > 0
+                    && recentRelativeLatency <= MAX_PLAUSIBLE && failureRate >= 0
                     && failureRate <= 1;
         }
     }
@@ -36,13 +39,15 @@
     public record ClassEntry(String name, double meanLatencyNanos, double minMeanLatencyNanos, long servedCount) {
         /** Returns whether the values are possible for a class with this deadline. */
         public boolean isValid(long deadlineNanos) {
-            return meanLatencyNanos > 0 && meanLatencyNanos <= deadlineNanos && minMeanLatencyNanos >= 0 && minMeanLatencyNanos <= deadlineNanos
+            return meanLatencyNanos > 0 && meanLatencyNanos <= deadlineNanos && minMeanLatencyNanos >= 0
+                    && minMeanLatencyNanos <= deadlineNanos
                     && servedCount > 0;
         }
     }
 
     /** Returns whether the values of the whole gateway are in their possible ranges. */
     public boolean isValid() {
-        return pressure >= 0 && pressure <= MAX_PLAUSIBLE && latencyToBudgetRatio >= 0 && latencyToBudgetRatio <= MAX_PLAUSIBLE && requestRatePerServer >= 0 && requestRatePerServer <= MAX_PLAUSIBLE;
+        return pressure >= 0 && pressure <= MAX_PLAUSIBLE && latencyToBudgetRatio >= 0 && latencyToBudgetRatio <= MAX_PLAUSIBLE
+                && requestRatePerServer >= 0 && requestRatePerServer <= MAX_PLAUSIBLE;
     }
 }
--- a/src/main/java/cinderhollow/policy/LoadBalancer.java
+++ b/src/main/java/cinderhollow/policy/LoadBalancer.java
@@ -113,7 +113,8 @@
     /** Requests without a server, by descending priority; among equals, the one that was held last comes first. */
     private final TreeSet<Request> heldRequests = new TreeSet<>(LoadBalancer::comparePriority);
     private Map<String, Double> zoneWeights = Map.of();
-    private double limitSum = 1, reportedWarmServerRate, observedWarmServerRate, latencyToBudgetRatio, requestRatePerServer, retryTokens = MAX_RETRY_TOKENS, pressure, minPressure, maxPriority;
+    private double limitSum = 1, reportedWarmServerRate, observedWarmServerRate, latencyToBudgetRatio, requestRatePerServer, retryTokens =
+            MAX_RETRY_TOKENS, pressure, minPressure, maxPriority;
     /** Numbers of gateways that share each server and of this gateway's overlapping processes, sharing quotas and budgets. */
     private int gatewaysPerServer, processes = 1;
     private int inFlight, suspectCount, arrivals, refusals, servedByWarm, failedListCalls;
@@ -262,9 +263,11 @@
 
     /** Returns what the module has learned, for another process of this same gateway. */
     public LearnedState learnedState() {
-        return new LearnedState(pressure, latencyToBudgetRatio, requestRatePerServer(), readyServers.stream().map(s -> new LearnedState.ServerEntry(s.info.id(),
+        return new LearnedState(pressure, latencyToBudgetRatio, requestRatePerServer(), readyServers.stream()
+                .map(s -> new LearnedState.ServerEntry(s.info.id(),
                 s.info.startedAtNanos(), s.share, s.inFlightLimit, recentRelativeLatency(s), failureRate(s), s.silent)).toList(),
-                classStates.values().stream().map(k -> new LearnedState.ClassEntry(k.requestClass.name(), k.meanLatencyNanos, k.minMeanLatencyNanos, k.servedCount)).toList());
+                classStates.values().stream().map(k -> new LearnedState.ClassEntry(k.requestClass.name(), k.meanLatencyNanos,
+                k.minMeanLatencyNanos, k.servedCount)).toList());
     }
 
     /** Takes over what another process learned, but nothing invalid or of a restarted server: it would misdirect traffic. */
@@ -318,7 +321,8 @@
         // A client's retry whose aim passed in its first try is not to be served before fresh requests. It arrives with the rest
         // of its deadline as its timeout, while first tries share one timeout: the difference is the first try's time.
         long firstAskedAt = now - classState.estimateElapsedNanos(e.expiresInNanos());
-        Request r = new Request(e.id(), classState, exceedsQuota(e.tenant()), e.routePolicy(), firstAskedAt, deadline, maxAttempts(e.routePolicy()));
+        Request r = new Request(e.id(), classState, exceedsQuota(e.tenant()), e.routePolicy(), firstAskedAt, deadline,
+                maxAttempts(e.routePolicy()));
         if (receivingBody) {
             r.receivingBody = true;
             r.deadline = NO_DEADLINE_NANOS;
@@ -453,7 +457,8 @@
         for (int i = 0; i < Math.max(MIN_PICKS, readyServers.size() / PICKS_FLEET_DIVISOR) && freedServers == null; i++) {
             boolean fromReusable = reusableFraction > 0 && random.nextDouble() < reusableFraction;
             Server s = shares.pick(random, fromReusable, otherZoneGate);
-            if (s != null && s.ready && random.nextDouble() < gateProduct(r, s, fromReusable && !hasReusableConnection(s) ? newConnectionGate : 1, coldGate(s))
+            if (s != null && s.ready && random.nextDouble() < gateProduct(r, s, fromReusable && !hasReusableConnection(s)
+                    ? newConnectionGate : 1, coldGate(s))
                     && maySend(r, s)) {
                 return s;
             }
@@ -493,7 +498,8 @@
         for (Server s : candidates) {
             double coldGate = coldGate(s);
             scannedLimitSum += s.inFlightLimit * coldGate * s.zoneWeight;
-            double gateProduct = gateProduct(r, s, zoneGate(s), coldGate) * (newConnectionGate < 1 && !hasReusableConnection(s) ? newConnectionGate : 1);
+            double gateProduct = gateProduct(r, s, zoneGate(s), coldGate) * (newConnectionGate < 1 && !hasReusableConnection(s)
+                    ? newConnectionGate : 1);
             double weight = gateProduct > 0 && maySend(r, s) ? s.share * gateProduct : 0;
             sum += weight;
             drawn = weight > 0 && random.nextDouble() * sum < weight ? s : drawn;
@@ -503,7 +509,8 @@
 
     private double gateProduct(Request r, Server s, double zoneGate, double coldGate) {
         examinedServers++;
-        return s.zoneWeight * Math.max(0, roomGate(s, coldGate)) * queueGate(s) * healthGate(s) * classGate(r.classState, s) * zoneGate * coldGate
+        return s.zoneWeight * Math.max(0, roomGate(s, coldGate)) * queueGate(s) * healthGate(s) * classGate(r.classState,
+                s) * zoneGate * coldGate
                 * RetryRules.triedGate(r, s);
     }
 
@@ -515,11 +522,13 @@
      * slow, failing or gone. It could do harm where gateways are few and unlike: each would crowd its own servers.
      */
     private double newConnectionGate() {
-        return Math.max(MIN_GATE, Math.min(1, Math.pow(requestRatePerServer() * TICK_NANOS / NANOS_PER_SECOND, NEW_CONNECTION_GATE_EXPONENT)));
+        return Math.max(MIN_GATE, Math.min(1, Math.pow(requestRatePerServer() * TICK_NANOS / NANOS_PER_SECOND,
+                NEW_CONNECTION_GATE_EXPONENT)));
     }
 
     private boolean hasReusableConnection(Server s) {
-        return s.inFlight == 0 && s.lastAnswerAt > 0 && now - s.lastAnswerAt < settings.upstreamOptions().idleTimeoutNanos() * REUSABLE_IDLE_FRACTION;
+        return s.inFlight == 0 && s.lastAnswerAt > 0 && now - s.lastAnswerAt < settings.upstreamOptions()
+                .idleTimeoutNanos() * REUSABLE_IDLE_FRACTION;
     }
 
     /** Returns if attempts in flight reach the limit sum plus a margin for chance: one gateway's part varies relatively more. */
@@ -603,7 +612,8 @@
     /** Returns whether a server fails this class but not all of them; {@link #healthGate} covers one that fails all. */
     private boolean failsClass(Server s, ClassState classState) {
         ClassHealth h = s.healthByClass.get(classState);
-        return h != null && errorRate(h) >= FAILING_CLASS_ERROR_RATE && s.healthByClass.values().stream().anyMatch(o -> errorRate(o) < SUSPECT_FAILURE_RATE);
+        return h != null && errorRate(h) >= FAILING_CLASS_ERROR_RATE && s.healthByClass.values().stream()
+                .anyMatch(o -> errorRate(o) < SUSPECT_FAILURE_RATE);
     }
 
     /** Returns how many servers are in use now. Ready servers that it does not count are avoided as suspect. */
@@ -643,7 +653,8 @@
         if (coldGate >= 1) {
             return 1;
         }
-        double warmServerRate = reportedWarmServerRate > 0 ? reportedWarmServerRate : observedWarmServerRate > 0 ? observedWarmServerRate : requestRatePerServer();
+        double warmServerRate = reportedWarmServerRate > 0 ? reportedWarmServerRate : observedWarmServerRate > 0 ? observedWarmServerRate
+                : requestRatePerServer();
         double perNano = COLD_SAFETY_FACTOR * rules.overloadFactor() * coldGate * warmServerRate / NANOS_PER_SECOND / processes;
         return s.coldBucket.refill(now, perNano, Math.max(1, perNano * rules.overloadWindowNanos() / 2));
     }
@@ -918,7 +929,8 @@
         heldRequests.clear();
         for (Request r : oldestFirst) {
             r.priority = priorityOf(r);
-            if (expiresBeforeSweep(r) || willMissAim(r) && r.classState.requestClass.lateWorth() == 0 || RetryRules.isExhausted(r, readyServers, now)) {
+            if (expiresBeforeSweep(r) || willMissAim(r) && r.classState.requestClass.lateWorth() == 0
+                    || RetryRules.isExhausted(r, readyServers, now)) {
                 refuseOrFail(r);
             } else {
                 heldRequests.add(r);
@@ -991,7 +1003,8 @@
             s.sampled = s.sampledThisTick || tooFewSamples && s.similarSamples.sampleCount > 0;
             s.sampledThisTick = false;
             if (s.sampled) {
-                s.relativeLatency = s.latencySamples.shrunkMean(s.similarSamples.shrunkMean(fleetSamples.mean(), PRIOR_SAMPLES), PRIOR_SAMPLES);
+                s.relativeLatency = s.latencySamples.shrunkMean(s.similarSamples.shrunkMean(fleetSamples.mean(), PRIOR_SAMPLES),
+                        PRIOR_SAMPLES);
                 meanLatency += s.relativeLatency;
                 sampledServers++;
             }
--- a/src/main/java/cinderhollow/policy/Protocol.java
+++ b/src/main/java/cinderhollow/policy/Protocol.java
@@ -99,7 +99,8 @@
          */
         public double capacityFraction(long startedAtNanos, long now) {
             long age = now - startedAtNanos;
-            return startedAtNanos == 0 || age >= warmUpNanos ? 1 : coldCapacityFraction + (1 - coldCapacityFraction) * Math.max(0, age) / warmUpNanos;
+            return startedAtNanos == 0 || age >= warmUpNanos ? 1 : coldCapacityFraction
+                    + (1 - coldCapacityFraction) * Math.max(0, age) / warmUpNanos;
         }
     }
 
@@ -129,7 +130,8 @@
             }
             require(timerResolutionNanos > 0, "resolutionNanos", timerResolutionNanos);
             require(upstreamOptions.maxAttempts() >= 1, "maxAttempts", upstreamOptions.maxAttempts());
-            require(rules.coldCapacityFraction() > 0 && rules.coldCapacityFraction() <= 1, "coldFrom", rules.coldCapacityFraction());
+            require(rules.coldCapacityFraction() > 0 && rules.coldCapacityFraction() <= 1, "coldFrom",
+                    rules.coldCapacityFraction());
             require(rules.warmUpNanos() >= 0, "warmUpNanos", rules.warmUpNanos());
             require(rules.drainGraceNanos() >= 0, "drainGraceNanos", rules.drainGraceNanos());
             require(rules.overloadFactor() > 0, "overloadFactor", rules.overloadFactor());
--- a/src/main/java/cinderhollow/policy/RetryRules.java
+++ b/src/main/java/cinderhollow/policy/RetryRules.java
@@ -1,7 +1,7 @@
 package cinderhollow.policy;
 
-import cinderhollow.policy.Protocol.Effect;
 import cinderhollow.policy.Protocol.DedupGroup;
+import cinderhollow.policy.Protocol.Effect;
 import cinderhollow.policy.Protocol.RequestClass;
 import cinderhollow.policy.State.Attempt;
 import cinderhollow.policy.State.Request;
--- a/src/main/java/cinderhollow/policy/SettingsReader.java
+++ b/src/main/java/cinderhollow/policy/SettingsReader.java
@@ -1,12 +1,12 @@
 package cinderhollow.policy;
 
-import cinderhollow.policy.Protocol.UpstreamOptions;
-import cinderhollow.policy.Protocol.Effect;
 import cinderhollow.policy.Protocol.DedupGroup;
+import cinderhollow.policy.Protocol.Effect;
 import cinderhollow.policy.Protocol.RequestClass;
 import cinderhollow.policy.Protocol.Rules;
 import cinderhollow.policy.Protocol.Settings;
 import cinderhollow.policy.Protocol.Tenant;
+import cinderhollow.policy.Protocol.UpstreamOptions;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -88,8 +88,10 @@
     }
 
     private UpstreamOptions upstreamOptions() {
-        UpstreamOptions defaults = new UpstreamOptions((int) number("allowed.max_attempts", 1), flag("allowed.may_cancel", false));
-        return new UpstreamOptions(defaults.maxAttempts(), defaults.mayCancel(), number("allowed.conn_idle_ns", defaults.idleTimeoutNanos()));
+        UpstreamOptions defaults = new UpstreamOptions((int) number("allowed.max_attempts", 1), flag("allowed.may_cancel",
+                false));
+        return new UpstreamOptions(defaults.maxAttempts(), defaults.mayCancel(),
+                number("allowed.conn_idle_ns", defaults.idleTimeoutNanos()));
     }
 
     private Rules rules() {
--- a/src/main/java/cinderhollow/policy/State.java
+++ b/src/main/java/cinderhollow/policy/State.java
@@ -1,8 +1,8 @@
 package cinderhollow.policy;
 
-import cinderhollow.policy.Protocol.RoutePolicy;
 import cinderhollow.policy.Protocol.Effect;
 import cinderhollow.policy.Protocol.RequestClass;
+import cinderhollow.policy.Protocol.RoutePolicy;
 import cinderhollow.policy.Protocol.ServerInfo;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -123,7 +123,8 @@
          * {@code timeConstantNanos}.
          */
         double valueAt(long now, double timeConstantNanos) {
-            return value == restValue ? restValue : restValue + (value - restValue) * Math.exp((updatedAt - now) / timeConstantNanos);
+            return value == restValue ? restValue : restValue
+                    + (value - restValue) * Math.exp((updatedAt - now) / timeConstantNanos);
         }
 
         /** Adds a sample with this weight and returns the new average. */
--- a/src/main/java/cinderhollow/routes/BudgetedRoutePolicy.java
+++ b/src/main/java/cinderhollow/routes/BudgetedRoutePolicy.java
@@ -1,7 +1,7 @@
 package cinderhollow.routes;
 
-import cinderhollow.policy.Protocol.RoutePolicy;
 import cinderhollow.policy.Protocol.Outcome;
+import cinderhollow.policy.Protocol.RoutePolicy;
 import cinderhollow.routes.RouteSettings.HedgeSettings;
 
 /**
--- a/src/main/java/cinderhollow/routes/RetryBudget.java
+++ b/src/main/java/cinderhollow/routes/RetryBudget.java
@@ -44,7 +44,8 @@
 
     private void refill(long now) {
         if (refilledBefore) {
-            tokens = Math.min(maxTokens, tokens + Math.max(0, now - lastRefillNanos) / NANOS_PER_SECOND * settings.minPerSecond());
+            tokens = Math.min(maxTokens, tokens
+                    + Math.max(0, now - lastRefillNanos) / NANOS_PER_SECOND * settings.minPerSecond());
         }
         refilledBefore = true;
         lastRefillNanos = now;
--- a/src/main/java/cinderhollow/routes/RouteSettings.java
+++ b/src/main/java/cinderhollow/routes/RouteSettings.java
@@ -16,7 +16,8 @@
  * @param hedge when a hedge is sent while the first attempt is still in flight, or null for never
  * @param retryAfterNanos value of {@code Retry-After} in a refusal, or 0 to send none
  */
-public record RouteSettings(long totalTimeoutNanos, long attemptTimeoutNanos, int maxAttempts, Set<Outcome> retryOn, long baseBackoffNanos,
+public record RouteSettings(long totalTimeoutNanos, long attemptTimeoutNanos, int maxAttempts, Set<Outcome> retryOn,
+        long baseBackoffNanos,
                     long maxBackoffNanos, BudgetSettings retryBudget, HedgeSettings hedge, long retryAfterNanos) {
     /** Copies the set. */
     public RouteSettings {
--- a/src/main/java/cinderhollow/routes/Routing.java
+++ b/src/main/java/cinderhollow/routes/Routing.java
@@ -17,7 +17,8 @@
     public Routing(List<Route> routes) {
         Map<String, Route> routesByClass = new HashMap<>();
         for (Route route : routes) {
-            matchesByRoute.put(route, new Match(route.requestClass(), new BudgetedRoutePolicy(matchesByRoute.size(), route.settings())));
+            matchesByRoute.put(route, new Match(route.requestClass(), new BudgetedRoutePolicy(matchesByRoute.size(),
+                    route.settings())));
             if (route.pattern() == null) {
                 routesByClass.put(route.requestClass(), route);
             }
--- a/src/test/java/cinderhollow/ArchitectureTest.java
+++ b/src/test/java/cinderhollow/ArchitectureTest.java
@@ -54,7 +54,8 @@
                 .whereLayer("ops").mayOnlyAccessLayers("core")
                 .whereLayer("handover").mayOnlyAccessLayers("core", "policy")
                 .whereLayer("http1").mayOnlyAccessLayers("membership", "core", "ledger", "routes", "lifecycle", "policy")
-                .whereLayer("daemon").mayOnlyAccessLayers("http1", "membership", "core", "ledger", "lifecycle", "operator", "ops", "handover",
+                .whereLayer("daemon").mayOnlyAccessLayers("http1", "membership", "core", "ledger", "lifecycle", "operator",
+                "ops", "handover",
                         "evacuation", "peers", "routes", "policy")
                 .whereLayer("lab").mayNotAccessAnyLayer()
                 .whereLayer("peers").mayNotAccessAnyLayer()
@@ -72,7 +73,8 @@
     /** The decision module is tested in simulated time, so it must use no clock, sockets or files. */
     @Test
     void decisionsDoNoInputOrOutput() {
-        noClasses().that().resideInAnyPackage("cinderhollow.policy..", "cinderhollow.routes..", "cinderhollow.ledger..", "cinderhollow.lifecycle..",
+        noClasses().that().resideInAnyPackage("cinderhollow.policy..", "cinderhollow.routes..", "cinderhollow.ledger..",
+                "cinderhollow.lifecycle..",
                         "cinderhollow.handover..", "cinderhollow.emulator..", "cinderhollow.peers..", "cinderhollow.evacuation..")
                 .or().haveFullyQualifiedName("cinderhollow.membership.Subset")
                 .or().haveFullyQualifiedName("cinderhollow.lab.Auditor")
--- a/src/test/java/cinderhollow/bench/DecisionBenchmark.java
+++ b/src/test/java/cinderhollow/bench/DecisionBenchmark.java
@@ -2,10 +2,9 @@
 
 import cinderhollow.policy.LoadBalancer;
 import cinderhollow.policy.Protocol.Actions;
-import cinderhollow.policy.Protocol.UpstreamOptions;
 import cinderhollow.policy.Protocol.AttemptEnded;
-import cinderhollow.policy.Protocol.Effect;
 import cinderhollow.policy.Protocol.DedupGroup;
+import cinderhollow.policy.Protocol.Effect;
 import cinderhollow.policy.Protocol.ListKind;
 import cinderhollow.policy.Protocol.ListReceived;
 import cinderhollow.policy.Protocol.Outcome;
@@ -16,6 +15,7 @@
 import cinderhollow.policy.Protocol.ServerInfo;
 import cinderhollow.policy.Protocol.Settings;
 import cinderhollow.policy.Protocol.TimerFired;
+import cinderhollow.policy.Protocol.UpstreamOptions;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.List;
@@ -45,8 +45,10 @@
 @Measurement(iterations = 5, time = 1)
 @Fork(1)
 public class DecisionBenchmark {
-    private static final long MILLISECOND_NANOS = 1_000_000L, REQUEST_INTERVAL_NANOS = 100_000L, RESPONSE_LATENCY_NANOS = 8 * REQUEST_INTERVAL_NANOS;
-    private static final RequestClass READ_CLASS = new RequestClass("read", Effect.SAFE, DedupGroup.ALL, 0, 500 * MILLISECOND_NANOS, 2_000 * MILLISECOND_NANOS, 1,
+    private static final long MILLISECOND_NANOS = 1_000_000L, REQUEST_INTERVAL_NANOS = 100_000L, RESPONSE_LATENCY_NANOS =
+            8 * REQUEST_INTERVAL_NANOS;
+    private static final RequestClass READ_CLASS =
+            new RequestClass("read", Effect.SAFE, DedupGroup.ALL, 0, 500 * MILLISECOND_NANOS, 2_000 * MILLISECOND_NANOS, 1,
             0.5, false);
 
     /** Number of servers in the list. */
@@ -63,8 +65,10 @@
     /** Creates a fleet in two zones in which no server is cold. */
     @Setup
     public void start() {
-        Settings settings = new Settings(1, 0, "a", false, 5 * MILLISECOND_NANOS, List.of(READ_CLASS), List.of(), 0.1, new UpstreamOptions(4, true),
-                new Rules(20 * MILLISECOND_NANOS, 250 * MILLISECOND_NANOS, 10_000 * MILLISECOND_NANOS, 0.2, 20_000 * MILLISECOND_NANOS, 2.5, 1_500 * MILLISECOND_NANOS));
+        Settings settings = new Settings(1, 0, "a", false, 5 * MILLISECOND_NANOS, List.of(READ_CLASS), List.of(), 0.1,
+                new UpstreamOptions(4, true),
+                new Rules(20 * MILLISECOND_NANOS, 250 * MILLISECOND_NANOS, 10_000 * MILLISECOND_NANOS, 0.2,
+                20_000 * MILLISECOND_NANOS, 2.5, 1_500 * MILLISECOND_NANOS));
         balancer = new LoadBalancer(settings, 7, new BenchmarkActions());
         List<ServerInfo> list = new ArrayList<>();
         for (int i = 0; i < nodes; i++) {
@@ -84,10 +88,12 @@
         while (!timers.isEmpty() && timers.peek()[0] <= nowNanos) {
             balancer.handle(nowNanos, new TimerFired(timers.poll()[1]));
         }
-        balancer.handle(nowNanos, new RequestArrived("r" + requestCount++, "read", null, null, 2_000 * MILLISECOND_NANOS, 0, false));
+        balancer.handle(nowNanos, new RequestArrived("r" + requestCount++, "read", null, null, 2_000 * MILLISECOND_NANOS, 0,
+                false));
         if (inFlight.size() > 8) {
             String[] first = inFlight.poll();
-            balancer.handle(nowNanos, new AttemptEnded(first[0], 0, first[1], Outcome.SERVED, RESPONSE_LATENCY_NANOS, true, null));
+            balancer.handle(nowNanos, new AttemptEnded(first[0], 0, first[1], Outcome.SERVED, RESPONSE_LATENCY_NANOS, true,
+                    null));
         }
     }
 
--- a/src/test/java/cinderhollow/bench/FleetSimulation.java
+++ b/src/test/java/cinderhollow/bench/FleetSimulation.java
@@ -3,11 +3,11 @@
 import cinderhollow.membership.Subset;
 import cinderhollow.policy.LoadBalancer;
 import cinderhollow.policy.Protocol.Actions;
-import cinderhollow.policy.Protocol.UpstreamOptions;
 import cinderhollow.policy.Protocol.AttemptEnded;
+import cinderhollow.policy.Protocol.DedupGroup;
 import cinderhollow.policy.Protocol.Effect;
 import cinderhollow.policy.Protocol.Event;
-import cinderhollow.policy.Protocol.DedupGroup;
+import cinderhollow.policy.Protocol.GatewaysPerServerChanged;
 import cinderhollow.policy.Protocol.ListKind;
 import cinderhollow.policy.Protocol.ListReceived;
 import cinderhollow.policy.Protocol.Outcome;
@@ -17,8 +17,8 @@
 import cinderhollow.policy.Protocol.Rules;
 import cinderhollow.policy.Protocol.ServerInfo;
 import cinderhollow.policy.Protocol.Settings;
-import cinderhollow.policy.Protocol.GatewaysPerServerChanged;
 import cinderhollow.policy.Protocol.TimerFired;
+import cinderhollow.policy.Protocol.UpstreamOptions;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -43,25 +43,30 @@
      * Result of a run. A load is the number of requests that a server received, divided by the mean of the servers of its
      * speed.
      */
-    public record Result(ServerSelection selection, int gatewayCount, int serverCount, double maxGatewaysPerServer, double meanGatewaysPerServer, double inTimeRatio,
+    public record Result(ServerSelection selection, int gatewayCount, int serverCount, double maxGatewaysPerServer,
+            double meanGatewaysPerServer, double inTimeRatio,
                          double servedRatio, double meanLatencyMillis, double loadDeviation, double maxLoad, double meanColdLoad,
                          double maxColdLoad, int maxQueuedWhileCold) {
         @Override
         public String toString() {
             return String.format(Locale.ROOT, "%s, %d gateways, %d nodes: gateways a node %.1f, most %.0f (%.2f of the mean); "
                     + "in time %.2f%%, served %.2f%%, mean %.1f ms; a node's load: deviation %.2f, most %.2f of the mean; "
-                    + "cold in the first 2 s: mean %.2f, most %.2f of a warm node's, most at once %d", selection, gatewayCount, serverCount,
-                    meanGatewaysPerServer, maxGatewaysPerServer, maxGatewaysPerServer / meanGatewaysPerServer, 100 * inTimeRatio, 100 * servedRatio, meanLatencyMillis,
+                    + "cold in the first 2 s: mean %.2f, most %.2f of a warm node's, most at once %d", selection, gatewayCount,
+                    serverCount,
+                    meanGatewaysPerServer, maxGatewaysPerServer, maxGatewaysPerServer / meanGatewaysPerServer,
+                    100 * inTimeRatio, 100 * servedRatio, meanLatencyMillis,
                     loadDeviation, maxLoad, meanColdLoad, maxColdLoad, maxQueuedWhileCold);
         }
     }
 
-    private static final long MILLISECOND_NANOS = 1_000_000L, SECOND_NANOS = 1_000 * MILLISECOND_NANOS, NETWORK_DELAY_NANOS = MILLISECOND_NANOS / 2, SERVICE_TIME_NANOS = 100 * MILLISECOND_NANOS;
+    private static final long MILLISECOND_NANOS = 1_000_000L, SECOND_NANOS = 1_000 * MILLISECOND_NANOS, NETWORK_DELAY_NANOS =
+            MILLISECOND_NANOS / 2, SERVICE_TIME_NANOS = 100 * MILLISECOND_NANOS;
     private static final long WARM_UP_NANOS = 8 * SECOND_NANOS, COLD_WINDOW_NANOS = 2 * SECOND_NANOS;
     private static final double SLOW_SPEED_RATIO = 0.6, COLD_SPEED_RATIO = 0.3, RESTARTED_FRACTION = 0.01;
     private static final int MAX_QUEUED = 20;
     private static final List<String> ZONES = List.of("a", "b", "c");
-    private static final RequestClass READ_CLASS = new RequestClass("read", Effect.SAFE, DedupGroup.ALL, 0, 500 * MILLISECOND_NANOS, 2 * SECOND_NANOS, 1,
+    private static final RequestClass READ_CLASS =
+            new RequestClass("read", Effect.SAFE, DedupGroup.ALL, 0, 500 * MILLISECOND_NANOS, 2 * SECOND_NANOS, 1,
             0.5, false);
 
     private final ServerSelection selection;
@@ -111,7 +116,8 @@
         }
 
         double speedAt(long now) {
-            double warmth = startedAtNanos == 0 ? 1 : Math.min(1, COLD_SPEED_RATIO + (1 - COLD_SPEED_RATIO) * (now - startedAtNanos) / WARM_UP_NANOS);
+            double warmth = startedAtNanos == 0 ? 1
+                    : Math.min(1, COLD_SPEED_RATIO + (1 - COLD_SPEED_RATIO) * (now - startedAtNanos) / WARM_UP_NANOS);
             return speed * warmth;
         }
     }
@@ -120,7 +126,8 @@
      * Creates a fleet whose gateways use about {@code subsetSize} servers each, or all servers with {@link ServerSelection#ALL}; clients
      * offer the share {@code loadRatio} of the requests per second that all servers together can serve.
      */
-    public FleetSimulation(ServerSelection selection, int gatewayCount, int serverCount, int subsetSize, double loadRatio, int seconds, long seed) {
+    public FleetSimulation(ServerSelection selection, int gatewayCount, int serverCount, int subsetSize, double loadRatio,
+            int seconds, long seed) {
         this.selection = selection;
         this.subsetSize = subsetSize;
         random = new SplittableRandom(seed);
@@ -146,7 +153,8 @@
     /** Runs the simulation to its end. */
     public Result run() {
         schedule(restartAtNanos, this::restartServers);
-        for (ScheduledTask nextTask = scheduledTasks.poll(); nextTask != null && nextTask.atNanos < endNanos + 2 * SECOND_NANOS; nextTask = scheduledTasks.poll()) {
+        for (ScheduledTask nextTask = scheduledTasks.poll(); nextTask != null && nextTask.atNanos < endNanos
+                + 2 * SECOND_NANOS; nextTask = scheduledTasks.poll()) {
             nowNanos = nextTask.atNanos;
             nextTask.task.run();
         }
@@ -188,8 +196,10 @@
             maxGateways = Math.max(maxGateways, count);
             sum += count;
         }
-        return new Result(selection, gateways.length, servers.length, maxGateways, sum / servers.length, (double) inTimeCount / requestCount,
-                (double) servedCount / requestCount, latencySumNanos / Math.max(1, servedCount) / MILLISECOND_NANOS, Math.sqrt(squaredDeviations / warmCount), maxLoad,
+        return new Result(selection, gateways.length, servers.length, maxGateways, sum / servers.length,
+                (double) inTimeCount / requestCount,
+                (double) servedCount / requestCount, latencySumNanos / Math.max(1, servedCount) / MILLISECOND_NANOS,
+                Math.sqrt(squaredDeviations / warmCount), maxLoad,
                 coldLoadSum / Math.max(1, restartedCount), maxColdLoad, maxQueued);
     }
 
@@ -204,7 +214,8 @@
             changes.add(server.info);
         }
         for (Gateway gateway : gateways) {
-            List<ServerInfo> ownChanges = changes.stream().filter(info -> gateway.knownServers.contains(serverIndex(info.id()))).toList();
+            List<ServerInfo> ownChanges = changes.stream().filter(info -> gateway.knownServers.contains(serverIndex(info.id())))
+                    .toList();
             gateway.dispatch(new ListReceived(ListKind.CHANGES, ownChanges));
         }
     }
@@ -229,8 +240,10 @@
                 list.add(servers[n].info);
             });
             String zone = ZONES.get(number % ZONES.size());
-            balancer = new LoadBalancer(new Settings(gateways.length, number, zone, false, 5 * MILLISECOND_NANOS, List.of(READ_CLASS), List.of(), 0.1,
-                    new UpstreamOptions(3, true), new Rules(20 * MILLISECOND_NANOS, 250 * MILLISECOND_NANOS, 10 * SECOND_NANOS, COLD_SPEED_RATIO, WARM_UP_NANOS, 2.5, 1_500 * MILLISECOND_NANOS)),
+            balancer = new LoadBalancer(new Settings(gateways.length, number, zone, false, 5 * MILLISECOND_NANOS,
+                    List.of(READ_CLASS), List.of(), 0.1,
+                    new UpstreamOptions(3, true), new Rules(20 * MILLISECOND_NANOS, 250 * MILLISECOND_NANOS, 10 * SECOND_NANOS,
+                    COLD_SPEED_RATIO, WARM_UP_NANOS, 2.5, 1_500 * MILLISECOND_NANOS)),
                     seed * 31 + number, this);
             dispatch(new GatewaysPerServerChanged(gatewaysPerServer()));
             dispatch(new ListReceived(ListKind.CACHED, list));
@@ -296,7 +309,8 @@
             Server target = servers[serverIndex(server)];
             schedule(nowNanos + NETWORK_DELAY_NANOS, () -> {
                 if (target.queuedCount >= MAX_QUEUED) {
-                    schedule(nowNanos + NETWORK_DELAY_NANOS, () -> endAttempt(request, attempt, server, Outcome.FULL, sentAtNanos));
+                    schedule(nowNanos + NETWORK_DELAY_NANOS,
+                            () -> endAttempt(request, attempt, server, Outcome.FULL, sentAtNanos));
                     return;
                 }
                 target.receivedCount++;
@@ -321,7 +335,8 @@
                 inTimeCount += nowNanos - arrivedAtNanos <= READ_CLASS.aimNanos() ? 1 : 0;
                 latencySumNanos += nowNanos - arrivedAtNanos;
             }
-            dispatch(new AttemptEnded(request, attempt, server, outcome, nowNanos - sentAtNanos, !openedAtNanos.containsKey(request), null));
+            dispatch(new AttemptEnded(request, attempt, server, outcome, nowNanos - sentAtNanos,
+                    !openedAtNanos.containsKey(request), null));
             if (!openedAtNanos.containsKey(request)) {
                 attemptsByRequest.remove(request);
             }
--- a/src/test/java/cinderhollow/bench/LedgerBenchmark.java
+++ b/src/test/java/cinderhollow/bench/LedgerBenchmark.java
@@ -1,9 +1,9 @@
 package cinderhollow.bench;
 
-import cinderhollow.ledger.RequestEnd;
 import cinderhollow.ledger.JournalFrame;
 import cinderhollow.ledger.Ledger;
 import cinderhollow.ledger.LedgerPlace;
+import cinderhollow.ledger.RequestEnd;
 import cinderhollow.policy.Protocol.Outcome;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
--- a/src/test/java/cinderhollow/bench/ListBenchmark.java
+++ b/src/test/java/cinderhollow/bench/ListBenchmark.java
@@ -56,7 +56,8 @@
     }
 
     private EndpointListDiffer createDiffer() {
-        return new EndpointListDiffer(subset ? new Subset(new Subset.FleetPosition(200, Map.of("a", GATEWAY_COUNT), "a", 7)) : null);
+        return new EndpointListDiffer(subset ? new Subset(new Subset.FleetPosition(200, Map.of("a", GATEWAY_COUNT), "a", 7))
+                : null);
     }
 
     private static EndpointList createList(long startedAtOfSome) {
--- a/src/test/java/cinderhollow/cli/SignalsTest.java
+++ b/src/test/java/cinderhollow/cli/SignalsTest.java
@@ -70,10 +70,12 @@
                     Await.until("start of the shutdown", () -> !isReady(port, " 200 "));
                     process.destroy();
                     assertEquals(0, new ProcessBuilder("kill", "-HUP", String.valueOf(process.pid())).start().waitFor());
-                    upstreamSocket.getOutputStream().write("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok".getBytes(StandardCharsets.US_ASCII));
+                    upstreamSocket.getOutputStream()
+                            .write("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok".getBytes(StandardCharsets.US_ASCII));
                     String answer = firstLine(client);
                     // On a machine so slow that the shutdown's time limit has passed, the gateway itself answers 502.
-                    assertTrue(answer != null && (answer.contains(" 200 ") || answer.contains(" 502 ")), answer + Files.readString(logFile));
+                    assertTrue(answer != null && (answer.contains(" 200 ") || answer.contains(" 502 ")), answer
+                            + Files.readString(logFile));
                 }
                 assertTrue(process.waitFor(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS));
                 assertEquals(SIGTERM_EXIT_CODE, process.exitValue());
@@ -97,7 +99,9 @@
                         + "Content-Length: 1\r\n\r\nx").getBytes(StandardCharsets.US_ASCII));
                 try (Socket upstreamSocket = withTimeout(upstreamListener.accept())) {
                     assertNotNull(firstLine(upstreamSocket));
-                    upstreamSocket.getOutputStream().write(("HTTP/1.1 200 OK\r\n\r\n" + "y".repeat(PARTIAL_BODY_BYTES)).getBytes(StandardCharsets.US_ASCII));
+                    upstreamSocket.getOutputStream()
+                            .write(("HTTP/1.1 200 OK\r\n\r\n" + "y".repeat(PARTIAL_BODY_BYTES))
+                            .getBytes(StandardCharsets.US_ASCII));
                     assertEquals(PARTIAL_BODY_BYTES, client.getInputStream().readNBytes(PARTIAL_BODY_BYTES).length);
                     process.destroyForcibly();
                     assertThrows(SocketException.class, () -> client.getInputStream().readAllBytes());
@@ -109,7 +113,8 @@
     }
 
     private static Process start(Path folder, int port, ServerSocket upstreamListener, Path logFile) throws IOException {
-        Path configFile = Files.writeString(folder.resolve("config.json"), CONFIG.replace("HOST", "127.0.0.1:" + upstreamListener.getLocalPort()));
+        Path configFile = Files.writeString(folder.resolve("config.json"),
+                CONFIG.replace("HOST", "127.0.0.1:" + upstreamListener.getLocalPort()));
         ProcessBuilder builder = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-cp",
                 System.getProperty("java.class.path"), "cinderhollow.cli.Main", "serve").redirectErrorStream(true)
                 .redirectOutput(logFile.toFile());
--- a/src/test/java/cinderhollow/cli/UpgradeTest.java
+++ b/src/test/java/cinderhollow/cli/UpgradeTest.java
@@ -76,7 +76,8 @@
         sharedDirectory = Files.createTempDirectory("up");
         upstreamListener = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
         startDaemonThread(this::serveUpstream);
-        Path configFile = Files.writeString(folder.resolve("config.json"), CONFIG.replace("HOST", "127.0.0.1:" + upstreamListener.getLocalPort()));
+        Path configFile = Files.writeString(folder.resolve("config.json"),
+                CONFIG.replace("HOST", "127.0.0.1:" + upstreamListener.getLocalPort()));
         ProcessBuilder builder = new ProcessBuilder("perl", "-e", PARENT_SCRIPT).redirectError(ProcessBuilder.Redirect.INHERIT);
         builder.environment().putAll(Map.of("LB_LISTEN", "127.0.0.1:1", "LB_DISCOVERY", "127.0.0.1:1", "LB_CONFIG",
                 configFile.toString(), "LB_INHERITED_FD", "0", "TMPDIR", sharedDirectory.toString()));
@@ -149,7 +150,8 @@
     private StartedProcess start(String... command) throws IOException {
         Path logFile = folder.resolve("log-" + startedCount++);
         int opsPort = Loopback.freePort();
-        List<String> fields = new ArrayList<>(List.of(logFile.toString(), Loopback.processAddress().getHostAddress() + ":" + opsPort));
+        List<String> fields = new ArrayList<>(List.of(logFile.toString(), Loopback.processAddress().getHostAddress() + ":"
+                + opsPort));
         fields.addAll(List.of(command));
         toParent.write((String.join("\t", fields) + "\n").getBytes(StandardCharsets.UTF_8));
         toParent.flush();
@@ -224,7 +226,8 @@
                     write(connection, "GET /status HTTP/1.1\r\nHost: x\r\nX-Request-ID: " + id + "\r\n\r\n");
                     String head = readHead(connection.getInputStream());
                     if (head == null || !head.startsWith("HTTP/1.1 200 ")
-                            || !new String(connection.getInputStream().readNBytes(id.length()), StandardCharsets.UTF_8).equals(id)) {
+                            || !new String(connection.getInputStream().readNBytes(id.length()), StandardCharsets.UTF_8)
+                            .equals(id)) {
                         lost.incrementAndGet();
                         connection.close();
                         connection = null;
@@ -309,7 +312,8 @@
         String java = Path.of(System.getProperty("java.home"), "bin", "java").toString();
         String classPath = System.getProperty("java.class.path");
         for (String[] invalid : new String[][] {{"3", "</dev/null"}, {"0", "</dev/null"}, {"x", "</dev/null"}}) {
-            StartedProcess process = start("/bin/sh", "-c", "LB_INHERITED_FD=" + invalid[0] + " exec '" + java + "' -cp '" + classPath
+            StartedProcess process = start("/bin/sh", "-c", "LB_INHERITED_FD=" + invalid[0] + " exec '" + java + "' -cp '"
+                    + classPath
                     + "' cinderhollow.cli.Main serve " + invalid[1]);
             awaitExit(process);
             String log = readLog(process);
--- a/src/test/java/cinderhollow/cli/ZoneProcessesTest.java
+++ b/src/test/java/cinderhollow/cli/ZoneProcessesTest.java
@@ -72,11 +72,13 @@
                 .replace("ZONE", zone));
         Path secretFile = Files.writeString(folder.resolve("secret"), "of this fleet");
         String members = String.join(", ", peerPorts.stream().map(port -> "\"127.0.0.1:" + port + "\"").toList());
-        Path operatorFile = Files.writeString(folder.resolve("operator-" + number), "[peers]\nfleet = \"t\"\nlisten = \"127.0.0.1:"
+        Path operatorFile = Files.writeString(folder.resolve("operator-" + number),
+                "[peers]\nfleet = \"t\"\nlisten = \"127.0.0.1:"
                 + peerPorts.get(number) + "\"\nmembers = [" + members + "]\nnumber = " + number + "\nsecret = \"" + secretFile
                 + "\"\n[zones]\nnames = [\"a\", \"b\", \"c\"]\n[admin]\nlisten = \"" + adminAddress(number) + "\"\n");
         ProcessBuilder builder = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "java").toString(),
-                "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-cp", System.getProperty("java.class.path"), "cinderhollow.cli.Main",
+                "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-cp", System.getProperty("java.class.path"),
+                "cinderhollow.cli.Main",
                 "serve").redirectErrorStream(true).redirectOutput(folder.resolve("log-" + number).toFile());
         builder.environment().putAll(Map.of("LB_LISTEN", "127.0.0.1:0", "LB_DISCOVERY", "127.0.0.1:1", "LB_CONFIG",
                 configFile.toString(), "LB_OPERATOR", operatorFile.toString()));
@@ -150,7 +152,8 @@
             socket.send(new DatagramPacket(noise, 5, target));
         }
         for (String why : List.of("version", "fleet", "length")) {
-            Await.until("dropped datagram counted: " + why, () -> AdminClient.metrics(adminAddress(0)).contains("dropped_total{why=\"" + why + "\"} 1"));
+            Await.until("dropped datagram counted: " + why, () -> AdminClient.metrics(adminAddress(0))
+                    .contains("dropped_total{why=\"" + why + "\"} 1"));
         }
         awaitZoneStatus(0, "3 of 3 alive");
     }
--- a/src/test/java/cinderhollow/core/EventLoopLagTest.java
+++ b/src/test/java/cinderhollow/core/EventLoopLagTest.java
@@ -1,7 +1,7 @@
 package cinderhollow.core;
 
-import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import org.junit.jupiter.api.Test;
--- a/src/test/java/cinderhollow/daemon/AdminTest.java
+++ b/src/test/java/cinderhollow/daemon/AdminTest.java
@@ -7,8 +7,8 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cinderhollow.ledger.RequestEnd;
 import cinderhollow.ledger.LedgerPlace;
+import cinderhollow.ledger.RequestEnd;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.net.Socket;
@@ -47,7 +47,8 @@
 
     @Test
     void reportsTheSumsOfAllLoops() throws Exception {
-        try (ScriptedServer a = startServer(); GatewayFixture f = startGateway("[gateway]\nloops = 2\n", a); Admin admin = listenOnAnyPort(f)) {
+        try (ScriptedServer a = startServer(); GatewayFixture f = startGateway("[gateway]\nloops = 2\n", a); Admin admin =
+                listenOnAnyPort(f)) {
             for (int i = 0; i < 10; i++) {
                 f.connectClient().exchange(statusRequest("r" + i, LONG_TIMEOUT_MILLIS));
             }
@@ -102,7 +103,8 @@
     void otherPathsAndMethodsAndNoiseAreTurnedAway() throws Exception {
         try (ScriptedServer a = startServer(); GatewayFixture f = startGateway("", a); Admin admin = listenOnAnyPort(f)) {
             String address = addressText(admin);
-            assertTrue(assertThrows(IOException.class, () -> AdminClient.sendRequest(address, "GET", "/")).getMessage().contains(" 404 "));
+            assertTrue(assertThrows(IOException.class, () -> AdminClient.sendRequest(address, "GET", "/")).getMessage()
+                    .contains(" 404 "));
             assertTrue(assertThrows(IOException.class, () -> AdminClient.sendRequest(address, "GET", "/ledger/acknowledge"))
                     .getMessage().contains(" 405 "));
             assertThrows(IOException.class, () -> AdminClient.sendRequest(address, "x y", "/metrics"));
--- a/src/test/java/cinderhollow/daemon/AttemptResult.java
+++ b/src/test/java/cinderhollow/daemon/AttemptResult.java
@@ -1,7 +1,7 @@
 package cinderhollow.daemon;
 
-import cinderhollow.http1.UpstreamPool;
 import cinderhollow.http1.ResponseSink;
+import cinderhollow.http1.UpstreamPool;
 import cinderhollow.lifecycle.SendDecision;
 import cinderhollow.lifecycle.TransitionMonitor;
 import cinderhollow.policy.Protocol.LoadReport;
@@ -32,7 +32,8 @@
     }
 
     @Override
-    public ResponseSink onStreamStarted(UpstreamPool.Attempt attempt, long atNanos, LoadReport load, long length, ResponseSink.Source source) {
+    public ResponseSink onStreamStarted(UpstreamPool.Attempt attempt, long atNanos, LoadReport load, long length,
+            ResponseSink.Source source) {
         return null;
     }
 
--- a/src/test/java/cinderhollow/daemon/CrashRecoveryTest.java
+++ b/src/test/java/cinderhollow/daemon/CrashRecoveryTest.java
@@ -31,16 +31,19 @@
     private Process startProcess(int port, ScriptedServer server, Path logFile) throws IOException {
         Path journalDirectory = folder.resolve("journal");
         Files.createDirectories(journalDirectory);
-        Path operatorFile = Files.writeString(folder.resolve("operator.toml"), "[ledger]\ndirectory = \"" + journalDirectory + "\"\n");
+        Path operatorFile = Files.writeString(folder.resolve("operator.toml"), "[ledger]\ndirectory = \"" + journalDirectory
+                + "\"\n");
         String settings = GatewayFixture.SETTINGS.replace("IDLE", "15000000000").replace("10000000000", LONG_TIMEOUT_NANOS)
                 .replace("20000000000", LONG_TIMEOUT_NANOS);
         Path config = Files.writeString(folder.resolve("config.json"), "{\"seed\":\"1\",\"limits\":{\"sockets\":2048},"
-                + "\"known\":" + GatewayFixture.endpointListJson(1, true, List.of(GatewayFixture.endpointJson("s", server, "up", 0)))
+                + "\"known\":" + GatewayFixture.endpointListJson(1, true,
+                List.of(GatewayFixture.endpointJson("s", server, "up", 0)))
                 + ",\"settings\":" + settings + "}");
         ProcessBuilder builder = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                 "-cp", System.getProperty("java.class.path"), "cinderhollow.cli.Main", "serve")
                 .redirectErrorStream(true).redirectOutput(logFile.toFile());
-        builder.environment().putAll(Map.of("LB_LISTEN", Loopback.processAddress().getHostAddress() + ":" + port, "LB_DISCOVERY", "127.0.0.1:1",
+        builder.environment().putAll(Map.of("LB_LISTEN", Loopback.processAddress().getHostAddress() + ":" + port,
+                "LB_DISCOVERY", "127.0.0.1:1",
                 "LB_CONFIG", config.toString(), "LB_OPERATOR", operatorFile.toString()));
         return builder.start();
     }
@@ -84,7 +87,8 @@
                 Process next = second;
                 Await.until("the second life", () -> isListening(next, port));
                 String logText = Files.readString(folder.resolve("second.log"));
-                assertTrue(logText.contains(REQUEST_COUNT + " requests were open when the last run ended, and may have run: "), logText);
+                assertTrue(logText.contains(REQUEST_COUNT + " requests were open when the last run ended, and may have run: "),
+                        logText);
                 Set<String> listedIds = new HashSet<>();
                 Files.readAllLines(folder.resolve("journal").resolve(EarlierRuns.ORPHANS_FILE))
                         .forEach(line -> listedIds.add(line.split("\t")[0]));
--- a/src/test/java/cinderhollow/daemon/DecisionFaultTest.java
+++ b/src/test/java/cinderhollow/daemon/DecisionFaultTest.java
@@ -15,7 +15,8 @@
 /** An exception in the middle of a decision, forced by a log that throws on certain lines. */
 class DecisionFaultTest {
     private static String shortenTimes(String settings) {
-        return settings.replace("\"aim_ns\":10000000000,\"deadline_ns\":20000000000", "\"aim_ns\":20000000,\"deadline_ns\":2000000000");
+        return settings.replace("\"aim_ns\":10000000000,\"deadline_ns\":20000000000",
+                "\"aim_ns\":20000000,\"deadline_ns\":2000000000");
     }
 
     /** The exception comes in the middle of a tick; the ticks after it must still run. */
--- a/src/test/java/cinderhollow/daemon/DiscoveryTest.java
+++ b/src/test/java/cinderhollow/daemon/DiscoveryTest.java
@@ -12,8 +12,8 @@
 import java.net.InetSocketAddress;
 import java.net.Socket;
 import java.util.List;
-import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.BlockingQueue;
+import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.locks.LockSupport;
@@ -134,7 +134,8 @@
     /** A new configuration with the same address starts no second call and does not restart the time-out for silence. */
     @Test
     void aSilentWatchIsBrokenThoughItsAddressIsNamedAgain() throws Exception {
-        try (ScriptedServer discoveryServer = new ScriptedServer((socket, request) -> GatewayFixture.startWatchResponse(socket))) {
+        try (ScriptedServer discoveryServer =
+                new ScriptedServer((socket, request) -> GatewayFixture.startWatchResponse(socket))) {
             Discovery discovery = startWatch(discoveryServer);
             GatewayFixture.await("the call", () -> discoveryServer.requests.size() == 1);
             group.next().submit(() -> discovery.moveTo(discoveryServer.address())).get();
--- a/src/test/java/cinderhollow/daemon/DuplicateResponseTest.java
+++ b/src/test/java/cinderhollow/daemon/DuplicateResponseTest.java
@@ -57,7 +57,8 @@
     }
 
     private UpstreamPool createPool(ScriptedServer server) {
-        UpstreamPool upstreamPool = new UpstreamPool(loop, Transport.TCP, clock, LONG_TIMEOUT_NANOS, LONG_TIMEOUT_NANOS, 10, null, 0);
+        UpstreamPool upstreamPool = new UpstreamPool(loop, Transport.TCP, clock, LONG_TIMEOUT_NANOS, LONG_TIMEOUT_NANOS, 10,
+                null, 0);
         loop.execute(() -> upstreamPool.update(new EndpointList(1, true, List.of(new Endpoint(
                 new ServerInfo("h", "a", "std", 0, Readiness.READY, 1, 0), server.address())))));
         return upstreamPool;
--- a/src/test/java/cinderhollow/daemon/GatewayConfigTest.java
+++ b/src/test/java/cinderhollow/daemon/GatewayConfigTest.java
@@ -29,7 +29,8 @@
     }
 
     private static void assertRejected(Map<String, String> environment, String expectedText) {
-        String message = assertThrows(IllegalArgumentException.class, () -> GatewayConfig.read(environment, GatewayConfig.readFile(environment))).getMessage();
+        String message = assertThrows(IllegalArgumentException.class,
+                () -> GatewayConfig.read(environment, GatewayConfig.readFile(environment))).getMessage();
         assertTrue(message.contains(expectedText), message);
         assertEquals(1, message.lines().count(), message);
     }
--- a/src/test/java/cinderhollow/daemon/GatewayFixture.java
+++ b/src/test/java/cinderhollow/daemon/GatewayFixture.java
@@ -68,16 +68,20 @@
     }
 
     /** Starts the same gateway with changed settings and a given discovery. */
-    static GatewayFixture withSettings(UnaryOperator<String> settings, ScriptedServer discovery, ScriptedServer... servers) throws Exception {
-        return new GatewayFixture(settings, listUpServers(servers), discovery, 60_000_000_000L, 1024, null, false, System.out::println);
+    static GatewayFixture withSettings(UnaryOperator<String> settings, ScriptedServer discovery, ScriptedServer... servers)
+            throws Exception {
+        return new GatewayFixture(settings, listUpServers(servers), discovery, 60_000_000_000L, 1024, null, false,
+                System.out::println);
     }
 
     /**
      * Starts the same gateway with a given log, which is called on its event loop; an exception of the log is thrown in the code
      * that logs the line.
      */
-    static GatewayFixture withLog(Consumer<String> log, UnaryOperator<String> settings, ScriptedServer... servers) throws Exception {
-        return new GatewayFixture(settings, listUpServers(servers), createIdleDiscovery(), 60_000_000_000L, 1024, null, false, log);
+    static GatewayFixture withLog(Consumer<String> log, UnaryOperator<String> settings, ScriptedServer... servers)
+            throws Exception {
+        return new GatewayFixture(settings, listUpServers(servers), createIdleDiscovery(), 60_000_000_000L, 1024, null, false,
+                log);
     }
 
     private static String listUpServers(ScriptedServer... servers) {
@@ -99,12 +103,15 @@
         this(knownList, discovery, idleTimeoutNanos, maxDescriptors, operatorFile, false);
     }
 
-    private GatewayFixture(String knownList, ScriptedServer discovery, long idleTimeoutNanos, int maxDescriptors, String operatorFile,
+    private GatewayFixture(String knownList, ScriptedServer discovery, long idleTimeoutNanos, int maxDescriptors,
+            String operatorFile,
                            boolean opsSocketEnabled) throws Exception {
-        this(UnaryOperator.identity(), knownList, discovery, idleTimeoutNanos, maxDescriptors, operatorFile, opsSocketEnabled, System.out::println);
+        this(UnaryOperator.identity(), knownList, discovery, idleTimeoutNanos, maxDescriptors, operatorFile, opsSocketEnabled,
+                System.out::println);
     }
 
-    private GatewayFixture(UnaryOperator<String> settings, String knownList, ScriptedServer discovery, long idleTimeoutNanos, int maxDescriptors,
+    private GatewayFixture(UnaryOperator<String> settings, String knownList, ScriptedServer discovery, long idleTimeoutNanos,
+            int maxDescriptors,
                            String operatorFile, boolean opsSocketEnabled, Consumer<String> log) throws Exception {
         ownedDiscovery = discovery;
         String configJson = "{\"seed\":\"2a\",\"limits\":{\"sockets\":" + maxDescriptors + "},\"known\":" + knownList
@@ -160,7 +167,8 @@
                         @Override
                         protected void channelRead0(ChannelHandlerContext ctx, ByteBuf bytes) throws InterruptedException {
                             loopStalled.countDown();
-                            assertTrue(resumeLoop.await(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS), "the loop was not resumed in time");
+                            assertTrue(resumeLoop.await(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS),
+                                    "the loop was not resumed in time");
                         }
                     }).connect(listener.getLocalSocketAddress());
             Socket accepted = listener.accept();
--- a/src/test/java/cinderhollow/daemon/GatewayLedgerTest.java
+++ b/src/test/java/cinderhollow/daemon/GatewayLedgerTest.java
@@ -10,9 +10,9 @@
 
 import cinderhollow.daemon.GatewayFixture.Client;
 import cinderhollow.daemon.ScriptedServer.Script;
-import cinderhollow.ledger.RequestEnd;
 import cinderhollow.ledger.Ledger;
 import cinderhollow.ledger.LedgerPlace;
+import cinderhollow.ledger.RequestEnd;
 import cinderhollow.policy.Protocol.Outcome;
 import java.io.IOException;
 import java.net.Socket;
@@ -37,7 +37,8 @@
     private Path folder;
 
     private GatewayFixture startGateway(String operatorToml, ScriptedServer... servers) throws Exception {
-        return GatewayFixture.withOperatorFile(Files.writeString(folder.resolve("operator.toml"), operatorToml).toString(), servers);
+        return GatewayFixture.withOperatorFile(Files.writeString(folder.resolve("operator.toml"), operatorToml).toString(),
+                servers);
     }
 
     private static <T> T runOnLoop(GatewayFixture f, Callable<T> task) {
@@ -88,7 +89,8 @@
             Client client = f.connectClient();
             client.exchange(statusRequest("s1", LONG_TIMEOUT_MILLIS));
             client.exchange(submitRequest("s2", LONG_TIMEOUT_MILLIS, "x"));
-            assertTrue(f.connectClient().exchange(submitRequest("error", LONG_TIMEOUT_MILLIS, "x")).firstLine().contains(" 502 "));
+            assertTrue(f.connectClient().exchange(submitRequest("error", LONG_TIMEOUT_MILLIS, "x")).firstLine()
+                    .contains(" 502 "));
             // Not accepted, so not counted: a malformed head, an unknown class, an id that is open, a probe.
             f.connectClient().exchange("nonsense\r\n\r\n");
             f.connectClient().exchange("GET /nowhere HTTP/1.1\r\nHost: x\r\nX-Request-ID: q\r\n\r\n");
@@ -139,7 +141,8 @@
                 GatewayFixture f = startGateway("[ledger]\n[class.status.second_copy]\nafter = \"20ms\"\n"
                         + "budget = { share = 1.0 }\n", a, b)) {
             assertEquals("fine", f.connectClient().exchange(statusRequest("r", LONG_TIMEOUT_MILLIS)).body());
-            await("both attempts' ends", () -> runOnLoop(f, () -> ledger(f).counters(LedgerPlace.NODES).endedCount(STATUS_ACCOUNT)) == 2);
+            await("both attempts' ends", () -> runOnLoop(f, () -> ledger(f).counters(LedgerPlace.NODES)
+                    .endedCount(STATUS_ACCOUNT)) == 2);
             assertEquals(List.of(1L, 0L, 0L, 0L), countEnds(f, STATUS_ACCOUNT));
             assertAddsUp(f);
         }
@@ -161,7 +164,8 @@
         };
         try (ScriptedServer a = new ScriptedServer(script); GatewayFixture f = startGateway("[ledger]\n", a)) {
             Client client = f.connectClient();
-            client.write(statusRequest("p1", LONG_TIMEOUT_MILLIS) + statusRequest("p2", LONG_TIMEOUT_MILLIS) + statusRequest("p3", LONG_TIMEOUT_MILLIS));
+            client.write(statusRequest("p1", LONG_TIMEOUT_MILLIS) + statusRequest("p2", LONG_TIMEOUT_MILLIS)
+                    + statusRequest("p3", LONG_TIMEOUT_MILLIS));
             assertEquals("fine", client.read().body());
             secondSocket.get(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
             client.socket.close();
@@ -242,7 +246,8 @@
 
     @Test
     void withoutALedgerTableThereIsNoLedger() throws Exception {
-        try (ScriptedServer a = new ScriptedServer(SERVE_OK); GatewayFixture f = startGateway("[class.status]\nattempts = 2\n", a)) {
+        try (ScriptedServer a = new ScriptedServer(SERVE_OK); GatewayFixture f =
+                startGateway("[class.status]\nattempts = 2\n", a)) {
             assertEquals(null, ledger(f));
             assertEquals("fine", f.connectClient().exchange(statusRequest("r", LONG_TIMEOUT_MILLIS)).body());
         }
--- a/src/test/java/cinderhollow/daemon/GatewayTest.java
+++ b/src/test/java/cinderhollow/daemon/GatewayTest.java
@@ -4,8 +4,8 @@
 import static cinderhollow.daemon.GatewayFixture.TIMEOUT_MILLIS;
 import static cinderhollow.daemon.GatewayFixture.await;
 import static cinderhollow.daemon.GatewayFixture.endpointJson;
-import static cinderhollow.daemon.GatewayFixture.sendWatchLine;
 import static cinderhollow.daemon.GatewayFixture.endpointListJson;
+import static cinderhollow.daemon.GatewayFixture.sendWatchLine;
 import static cinderhollow.daemon.GatewayFixture.statusRequest;
 import static cinderhollow.daemon.GatewayFixture.submitRequest;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -129,7 +129,8 @@
             try (GatewayFixture f = GatewayFixture.withServers(stoppedServer, server)) {
                 stoppedServer.stop();
                 for (int i = 0; i < 8; i++) {
-                    assertTrue(f.connectClient().exchange(submitRequest("r" + i, LONG_TIMEOUT_MILLIS, "x")).firstLine().contains(" 200 "));
+                    assertTrue(f.connectClient().exchange(submitRequest("r" + i, LONG_TIMEOUT_MILLIS, "x")).firstLine()
+                            .contains(" 200 "));
                 }
             }
             assertEquals(8, server.requests.size());
@@ -183,7 +184,8 @@
             client.socket.close();
             await("the end of the attempt", () -> server.connections.get(0).isClosed());
             server.setScript(SERVE_OK);
-            assertTrue(f.connectClient().exchange(statusRequest("r", LONG_TIMEOUT_MILLIS)).firstLine().contains(" 200 "), "its id is free again");
+            assertTrue(f.connectClient().exchange(statusRequest("r", LONG_TIMEOUT_MILLIS)).firstLine().contains(" 200 "),
+                    "its id is free again");
         }
     }
 
@@ -208,7 +210,8 @@
         });
         try (ScriptedServer draining = new ScriptedServer((socket, request) -> heldSocket.complete(socket));
                 ScriptedServer other = new ScriptedServer(SERVE_OK);
-                GatewayFixture f = new GatewayFixture(endpointListJson(1, true, List.of(endpointJson("s", draining, "up", 0))), discovery,
+                GatewayFixture f = new GatewayFixture(endpointListJson(1, true, List.of(endpointJson("s", draining, "up", 0))),
+                        discovery,
                         60_000_000_000L, 1024)) {
             Client first = f.connectClient();
             first.write(submitRequest("r1", LONG_TIMEOUT_MILLIS, "x"));
@@ -224,7 +227,8 @@
             assertTrue(first.read().firstLine().contains(" 200 "));
             await("the close of the draining host's connection", () -> draining.connections.get(0).isClosed());
             for (int i = 0; i < 4; i++) {
-                assertTrue(f.connectClient().exchange(submitRequest("u" + i, LONG_TIMEOUT_MILLIS, "x")).firstLine().contains(" 200 "));
+                assertTrue(f.connectClient().exchange(submitRequest("u" + i, LONG_TIMEOUT_MILLIS, "x")).firstLine()
+                        .contains(" 200 "));
             }
             assertEquals(1, draining.requests.size());
         }
@@ -239,13 +243,15 @@
             watchSockets.add(socket);
         });
         try (ScriptedServer server = new ScriptedServer(NO_RESPONSE);
-                GatewayFixture f = new GatewayFixture(endpointListJson(1, true, List.of(endpointJson("s", server, "up", 0))), discovery,
+                GatewayFixture f = new GatewayFixture(endpointListJson(1, true, List.of(endpointJson("s", server, "up", 0))),
+                        discovery,
                         60_000_000_000L, 1024)) {
             Client client = f.connectClient();
             client.write(submitRequest("r", LONG_TIMEOUT_MILLIS, "x"));
             await("the attempt", () -> server.requests.size() == 1);
             long restartMillis = System.currentTimeMillis() + 1000;
-            sendWatchLine(watchSockets.get(0), endpointListJson(2, false, List.of(endpointJson("s", server, "up", restartMillis))));
+            sendWatchLine(watchSockets.get(0),
+                    endpointListJson(2, false, List.of(endpointJson("s", server, "up", restartMillis))));
             assertTrue(client.read().firstLine().contains(" 502 "));
         }
     }
@@ -313,7 +319,8 @@
             }
         });
         try (ScriptedServer server = new ScriptedServer(SERVE_OK);
-                GatewayFixture f = new GatewayFixture(endpointListJson(40, true, List.of(endpointJson("s", server, "up", 0))), discovery,
+                GatewayFixture f = new GatewayFixture(endpointListJson(40, true, List.of(endpointJson("s", server, "up", 0))),
+                        discovery,
                         60_000_000_000L, 1024)) {
             await("the second watch", () -> watchRequests.size() == 2);
             assertTrue(watchRequests.get(0).contains("since=40"), watchRequests.get(0));
@@ -361,7 +368,8 @@
             }
         };
         try (ScriptedServer server = new ScriptedServer(losesOneAnswer); ScriptedServer other = new ScriptedServer(SERVE_OK);
-                GatewayFixture f = new GatewayFixture(endpointListJson(1, true, List.of(endpointJson("s", server, "up", 0))), discovery,
+                GatewayFixture f = new GatewayFixture(endpointListJson(1, true, List.of(endpointJson("s", server, "up", 0))),
+                        discovery,
                         60_000_000_000L, 1024)) {
             Client client = f.connectClient();
             client.exchange(statusRequest("before", LONG_TIMEOUT_MILLIS));
--- a/src/test/java/cinderhollow/daemon/HandoverTest.java
+++ b/src/test/java/cinderhollow/daemon/HandoverTest.java
@@ -71,7 +71,8 @@
     @Test
     void aSuccessorKnowsWhatItsPredecessorLearnt() throws Exception {
         try (ScriptedServer server = new ScriptedServer(ScriptedServer.reply("200 OK", "fine"));
-                GatewayFixture predecessor = GatewayFixture.withServers(server); GatewayFixture successor = GatewayFixture.withServers(server)) {
+                GatewayFixture predecessor = GatewayFixture.withServers(server); GatewayFixture successor =
+                        GatewayFixture.withServers(server)) {
             for (int i = 0; i < 20; i++) {
                 predecessor.connectClient().exchange(statusRequest("r" + i, LONG_TIMEOUT_MILLIS));
             }
@@ -92,7 +93,8 @@
     @Test
     void aThirdProcessTakesOverFromTheSecond() throws Exception {
         try (ScriptedServer server = new ScriptedServer(ScriptedServer.reply("200 OK", "fine"));
-                GatewayFixture first = GatewayFixture.withServers(server); GatewayFixture second = GatewayFixture.withServers(server);
+                GatewayFixture first = GatewayFixture.withServers(server); GatewayFixture second =
+                        GatewayFixture.withServers(server);
                 GatewayFixture third = GatewayFixture.withServers(server)) {
             first.connectClient().exchange(statusRequest("a", LONG_TIMEOUT_MILLIS));
             offerHandover(first);
@@ -111,7 +113,8 @@
                 GatewayFixture predecessor = GatewayFixture.withServers(server)) {
             offerHandover(predecessor);
             for (int i = 0; i < 3; i++) {
-                try (SocketChannel closingSuccessor = SocketChannel.open(UnixDomainSocketAddress.of(folder.resolve("handover")))) {
+                try (SocketChannel closingSuccessor =
+                        SocketChannel.open(UnixDomainSocketAddress.of(folder.resolve("handover")))) {
                     assertTrue(closingSuccessor.read(ByteBuffer.allocate(1)) > 0);
                 }
             }
@@ -151,7 +154,8 @@
                 takeOver(successor).run();
                 predecessorThread.join(TIMEOUT_MILLIS);
                 assertTrue(hasLogged("no handover, starting without the predecessor's snapshot"), log.toString());
-                assertEquals("fine", successor.connectClient().exchange(statusRequest("r" + keepsOpen, LONG_TIMEOUT_MILLIS)).body());
+                assertEquals("fine", successor.connectClient().exchange(statusRequest("r" + keepsOpen, LONG_TIMEOUT_MILLIS))
+                        .body());
             }
         }
     }
--- a/src/test/java/cinderhollow/daemon/JournalFaultsTest.java
+++ b/src/test/java/cinderhollow/daemon/JournalFaultsTest.java
@@ -34,8 +34,10 @@
     @Test
     void requestsAreAnsweredWhileTheDiskFailsAndTheJournalGoesOnAfterIt() throws Exception {
         Path ledgerDirectory = Files.createDirectory(folder.resolve("ledger"));
-        Path operatorFile = Files.writeString(folder.resolve("operator.toml"), "[ledger]\ndirectory = \"" + ledgerDirectory + "\"\nsync = \"10ms\"\n");
-        Map<String, String> environment = new HashMap<>(SystemCallFaults.fileFaultEnvironment(folder, FAULT_PERCENT, 1, FAULT_DURATION_SECONDS));
+        Path operatorFile = Files.writeString(folder.resolve("operator.toml"), "[ledger]\ndirectory = \"" + ledgerDirectory
+                + "\"\nsync = \"10ms\"\n");
+        Map<String, String> environment =
+                new HashMap<>(SystemCallFaults.fileFaultEnvironment(folder, FAULT_PERCENT, 1, FAULT_DURATION_SECONDS));
         environment.put("LB_OPERATOR", operatorFile.toString());
         long begin = System.nanoTime();
         try (ScriptedServer server = new ScriptedServer(ScriptedServer.reply("200 OK", "served"));
@@ -45,7 +47,8 @@
             Await.until("the disk's end of trouble", () -> {
                 assertServed(client, requestCount[0]++);
                 // A write may succeed while others still fail.
-                return System.nanoTime() - begin > RECOVERY_BOUND_NANOS && gateway.log().contains("ledger's journal: writing again");
+                return System.nanoTime() - begin > RECOVERY_BOUND_NANOS && gateway.log()
+                        .contains("ledger's journal: writing again");
             });
             for (int i = 0; i < REQUESTS_AFTERWARDS; i++) {
                 assertServed(client, requestCount[0]++);
--- a/src/test/java/cinderhollow/daemon/JournalMeasurement.java
+++ b/src/test/java/cinderhollow/daemon/JournalMeasurement.java
@@ -1,9 +1,9 @@
 package cinderhollow.daemon;
 
-import cinderhollow.ledger.RequestEnd;
 import cinderhollow.ledger.JournalFrame;
-import cinderhollow.ledger.Ledger;
 import cinderhollow.ledger.JournalRecovery;
+import cinderhollow.ledger.Ledger;
+import cinderhollow.ledger.RequestEnd;
 import java.io.IOException;
 import java.nio.ByteBuffer;
 import java.nio.file.Files;
@@ -31,7 +31,8 @@
             double seconds = (System.nanoTime() - begin) / 1e9;
             System.gc();
             long retainedBytes = runtime.totalMemory() - runtime.freeMemory() - usedBytesBefore;
-            System.out.printf(Locale.ROOT, "%d MB in %.2f s, %.0f MB a second, %d open, %.1f MB kept, %s%n", Files.size(file) >> 20,
+            System.out.printf(Locale.ROOT, "%d MB in %.2f s, %.0f MB a second, %d open, %.1f MB kept, %s%n",
+                    Files.size(file) >> 20,
                     seconds, (Files.size(file) >> 20) / seconds, recovery.orphans().size(), retainedBytes / 1e6,
                     problem == null ? "sound" : problem);
         }
--- a/src/test/java/cinderhollow/daemon/JournalTest.java
+++ b/src/test/java/cinderhollow/daemon/JournalTest.java
@@ -5,11 +5,11 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cinderhollow.ledger.RequestEnd;
 import cinderhollow.ledger.JournalFrame;
+import cinderhollow.ledger.JournalRecovery;
 import cinderhollow.ledger.Ledger;
 import cinderhollow.ledger.LedgerPlace;
-import cinderhollow.ledger.JournalRecovery;
+import cinderhollow.ledger.RequestEnd;
 import cinderhollow.testing.Await;
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
@@ -54,7 +54,8 @@
     }
 
     private Journal openJournal(Journal.OutputFactory outputFactory, long maxSegmentBytes) throws Exception {
-        return loop.submit(() -> Journal.open(loop, new LoopLedgerConfig(0, folder, SYNC_INTERVAL_NANOS, maxSegmentBytes, 0, 1), outputFactory, ledger,
+        return loop.submit(() -> Journal.open(loop, new LoopLedgerConfig(0, folder, SYNC_INTERVAL_NANOS, maxSegmentBytes, 0, 1),
+                outputFactory, ledger,
                 this::writeOpenRequests, log::add)).get();
     }
 
@@ -120,7 +121,8 @@
         assertEquals(500, earlierRuns.totals().get(0).taken());
         assertEquals(200, earlierRuns.totals().get(0).orphaned());
         assertTrue(earlierRuns.totals().get(0).isBalanced());
-        assertTrue(earlierRuns.logLines().get(0).startsWith("200 requests were open when the last run ended"), earlierRuns.logLines().toString());
+        assertTrue(earlierRuns.logLines().get(0).startsWith("200 requests were open when the last run ended"),
+                earlierRuns.logLines().toString());
     }
 
     @Test
@@ -189,13 +191,15 @@
         recordRequests(journal, 9, 2);
         awaitOpenRequestsOnDisk();
         Path completeSegment = segmentFiles().get(0);
-        Path cutOffSegment = JournalFiles.segmentPath(folder, 0, Long.parseLong(completeSegment.getFileName().toString().split("-")[2]), 1);
+        Path cutOffSegment = JournalFiles.segmentPath(folder, 0,
+                Long.parseLong(completeSegment.getFileName().toString().split("-")[2]), 1);
         Files.write(cutOffSegment, Arrays.copyOf(Files.readAllBytes(completeSegment), 20));
         assertEquals(openIds(), readOrphanIds(folder));
         Path unreadableSegment = JournalFiles.segmentPath(folder, 0, 9_999_999_999_999L, 0);
         Files.write(unreadableSegment, new byte[100]);
         assertEquals(openIds(), readOrphanIds(folder));
-        assertTrue(EarlierRuns.read(folder, List.of(0)).logLines().stream().anyMatch(line -> line.startsWith(unreadableSegment.getFileName() + ": ")));
+        assertTrue(EarlierRuns.read(folder, List.of(0)).logLines().stream()
+                .anyMatch(line -> line.startsWith(unreadableSegment.getFileName() + ": ")));
     }
 
     /** Behaviour of a write on a faulty disk. */
@@ -289,7 +293,8 @@
         assertTrue(log.get(0).contains("can't be used: this process already writes a journal there"), log.toString());
         loop.submit(first::shutDown).get().get(10, TimeUnit.SECONDS);
         Path file = Files.createFile(folder.resolve("file"));
-        assertNull(loop.submit(() -> Journal.open(loop, new LoopLedgerConfig(0, file, SYNC_INTERVAL_NANOS, 1 << 20, 0, 1), Journal.FILE_OUTPUTS,
+        assertNull(loop.submit(() -> Journal.open(loop, new LoopLedgerConfig(0, file, SYNC_INTERVAL_NANOS, 1 << 20, 0, 1),
+                Journal.FILE_OUTPUTS,
                 ledger, this::writeOpenRequests, log::add)).get());
     }
 }
--- a/src/test/java/cinderhollow/daemon/LargeBodiesTest.java
+++ b/src/test/java/cinderhollow/daemon/LargeBodiesTest.java
@@ -56,7 +56,8 @@
         return chunks.append("0\r\nTrailer: x\r\n\r\n").toString();
     }
 
-    private static final Script ECHO = (socket, request) -> ScriptedServer.reply("200 OK", request.body()).answer(socket, request);
+    private static final Script ECHO = (socket, request) -> ScriptedServer.reply("200 OK", request.body())
+            .answer(socket, request);
     private static final Script CHUNKED_ECHO = (socket, request) -> ScriptedServer.write(socket,
             "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + encodeChunked(request.body(), 7_001));
     private static final Script CLOSE_DELIMITED_ECHO = (socket, request) -> {
@@ -85,7 +86,8 @@
     }
 
     @ParameterizedTest
-    @ValueSource(ints = {0, 1, MAX_BUFFERED_BODY_BYTES - 1, MAX_BUFFERED_BODY_BYTES, MAX_BUFFERED_BODY_BYTES + 1, LARGE_BODY_BYTES})
+    @ValueSource(ints = {0, 1, MAX_BUFFERED_BODY_BYTES - 1, MAX_BUFFERED_BODY_BYTES, MAX_BUFFERED_BODY_BYTES + 1,
+            LARGE_BODY_BYTES})
     void bodiesGoBothWaysUnchangedInEachForm(int length) throws Exception {
         String body = numberedBody(length);
         try (ScriptedServer server = new ScriptedServer(ECHO); GatewayFixture f = GatewayFixture.withOpsSocket(server)) {
@@ -93,7 +95,8 @@
             int requestNumber = 0;
             for (Script script : List.of(ECHO, CHUNKED_ECHO, CLOSE_DELIMITED_ECHO)) {
                 server.setScript(script);
-                assertEquals(body, exchangeConcurrently(client, submitRequest("a" + requestNumber, LONG_TIMEOUT_MILLIS, body)).body());
+                assertEquals(body, exchangeConcurrently(client, submitRequest("a" + requestNumber, LONG_TIMEOUT_MILLIS, body))
+                        .body());
                 assertEquals(body, exchangeConcurrently(client, chunkedSubmitRequest("b" + requestNumber++, body)).body());
             }
             assertEquals(new Counts(6, 0, 0, 6), f.gateway.stats().get().countsByClass().get("submit"));
@@ -107,7 +110,8 @@
         String body = numberedBody(LARGE_BODY_BYTES);
         try (ScriptedServer server = new ScriptedServer(ECHO); GatewayFixture f = GatewayFixture.withServers(server)) {
             Client client = f.connectClient();
-            assertEquals(body, exchangeConcurrently(client, submitRequest("p1", LONG_TIMEOUT_MILLIS, body) + chunkedSubmitRequest("p2", body)
+            assertEquals(body, exchangeConcurrently(client, submitRequest("p1", LONG_TIMEOUT_MILLIS, body)
+                    + chunkedSubmitRequest("p2", body)
                     + submitRequest("p3", LONG_TIMEOUT_MILLIS, "small")).body());
             assertEquals(body, client.read().body());
             assertEquals("small", client.read().body());
@@ -119,7 +123,8 @@
         String body = numberedBody(LARGE_BODY_BYTES);
         try (ScriptedServer server = new ScriptedServer(ECHO); GatewayFixture f = GatewayFixture.withServers(server)) {
             Client client = f.connectClient();
-            String[] parts = submitRequest("e1", LONG_TIMEOUT_MILLIS, body).replace("Host: x", "Expect: 100-continue").split("(?<=\r\n\r\n)", 2);
+            String[] parts = submitRequest("e1", LONG_TIMEOUT_MILLIS, body).replace("Host: x", "Expect: 100-continue")
+                    .split("(?<=\r\n\r\n)", 2);
             assertTrue(client.exchange(parts[0]).firstLine().startsWith("HTTP/1.1 100 "));
             assertEquals(body, exchangeConcurrently(client, parts[1]).body());
         }
@@ -136,7 +141,8 @@
             completeClient.write(statusRequest("o1", LONG_TIMEOUT_MILLIS).replace("HTTP/1.1", "HTTP/1.0"));
             assertTrue(new String(completeClient.socket.getInputStream().readAllBytes(), StandardCharsets.UTF_8).endsWith(body));
             server.setScript((socket, request) -> {
-                ScriptedServer.write(socket, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n20000\r\n" + numberedBody(0x20000));
+                ScriptedServer.write(socket, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n20000\r\n"
+                        + numberedBody(0x20000));
                 socket.close();
             });
             Client brokenClient = f.connectClient();
@@ -195,10 +201,12 @@
     void aBodyOfWhichNothingWasSentGoesToAnotherServer() throws Exception {
         String body = numberedBody(LARGE_BODY_BYTES);
         ScriptedServer stoppedServer = new ScriptedServer(ECHO);
-        try (ScriptedServer server = new ScriptedServer(ECHO); GatewayFixture f = GatewayFixture.withServers(stoppedServer, server)) {
+        try (ScriptedServer server = new ScriptedServer(ECHO); GatewayFixture f =
+                GatewayFixture.withServers(stoppedServer, server)) {
             stoppedServer.stop();
             for (int i = 0; i < 8; i++) {
-                assertEquals(body, exchangeConcurrently(f.connectClient(), submitRequest("g" + i, LONG_TIMEOUT_MILLIS, body)).body());
+                assertEquals(body, exchangeConcurrently(f.connectClient(), submitRequest("g" + i, LONG_TIMEOUT_MILLIS, body))
+                        .body());
             }
         }
     }
@@ -222,7 +230,8 @@
                     .replace(placeholderServer.addressText(), "127.0.0.1:" + dyingListener.getLocalPort())));
             try (GatewayFixture f = new GatewayFixture(knownList, GatewayFixture.createIdleDiscovery(), 60_000_000_000L, 1024)) {
                 Client client = f.connectClient();
-                client.write("POST /submit HTTP/1.1\r\nX-Request-ID: d1\r\nContent-Length: 50000000\r\n\r\n" + numberedBody(500_000));
+                client.write("POST /submit HTTP/1.1\r\nX-Request-ID: d1\r\nContent-Length: 50000000\r\n\r\n"
+                        + numberedBody(500_000));
                 assertTrue(client.read().firstLine().contains(" 503 "));
                 assertNull(client.read());
             }
@@ -247,9 +256,11 @@
     @Test
     void aClientThatLeavesClosesTheServersConnection() throws Exception {
         AtomicLong writtenBytes = new AtomicLong();
-        try (ScriptedServer server = new ScriptedServer(endlessResponse(writtenBytes)); GatewayFixture f = GatewayFixture.withOpsSocket(server)) {
+        try (ScriptedServer server = new ScriptedServer(endlessResponse(writtenBytes)); GatewayFixture f =
+                GatewayFixture.withOpsSocket(server)) {
             Client uploadingClient = f.connectClient();
-            uploadingClient.write("POST /submit HTTP/1.1\r\nX-Request-ID: l1\r\nContent-Length: 50000000\r\n\r\n" + numberedBody(300_000));
+            uploadingClient.write("POST /submit HTTP/1.1\r\nX-Request-ID: l1\r\nContent-Length: 50000000\r\n\r\n"
+                    + numberedBody(300_000));
             await("the host's connection", () -> server.connections.size() == 1);
             uploadingClient.socket.close();
             await("its end", () -> server.connections.get(0).isClosed());
@@ -281,7 +292,8 @@
     void clientsThatReadNothingHoldABoundedPartOfTheirAnswers() throws Exception {
         int clientCount = 24;
         AtomicLong writtenBytes = new AtomicLong();
-        try (ScriptedServer server = new ScriptedServer(endlessResponse(writtenBytes)); GatewayFixture f = GatewayFixture.withServers(server)) {
+        try (ScriptedServer server = new ScriptedServer(endlessResponse(writtenBytes)); GatewayFixture f =
+                GatewayFixture.withServers(server)) {
             long usedBefore = usedDirectMemory();
             List<Client> silentClients = new ArrayList<>();
             for (int i = 0; i < clientCount; i++) {
@@ -291,10 +303,12 @@
             }
             // Writing has stalled when two readings of the counter, with an answer of the gateway between them, are equal.
             AtomicLong lastWritten = new AtomicLong(-1);
-            await("a stall", () -> f.get("/ready").firstLine().contains(" 200 ") && lastWritten.getAndSet(writtenBytes.get()) == writtenBytes.get());
+            await("a stall", () -> f.get("/ready").firstLine().contains(" 200 ")
+                    && lastWritten.getAndSet(writtenBytes.get()) == writtenBytes.get());
             long grownBytes = usedDirectMemory() - usedBefore;
             // The buffer pool counts in chunks, and one chunk may have been allocated for something else.
-            assertTrue(grownBytes < clientCount * 300_000L + POOL_CHUNK_BYTES, grownBytes + " bytes are held of " + writtenBytes.get());
+            assertTrue(grownBytes < clientCount * 300_000L + POOL_CHUNK_BYTES, grownBytes + " bytes are held of "
+                    + writtenBytes.get());
         }
     }
 
@@ -366,14 +380,16 @@
         });
         try (ScriptedServer server = new ScriptedServer((socket, request) ->
                     ScriptedServer.write(socket, "HTTP/1.1 200 OK\r\n\r\n" + numberedBody(sentBytes)));
-                GatewayFixture f = new GatewayFixture(endpointListJson(1, true, List.of(endpointJson("s", server, "up", 0))), discovery,
+                GatewayFixture f = new GatewayFixture(endpointListJson(1, true, List.of(endpointJson("s", server, "up", 0))),
+                        discovery,
                         60_000_000_000L, 1024)) {
             Client client = f.connectClient();
             client.write(submitRequest("n1", LONG_TIMEOUT_MILLIS, "x"));
             await("the request", () -> server.requests.size() == 1);
             // Later than the time of the connection, even if clocks differ.
             long restartMillis = System.currentTimeMillis() + 60_000;
-            GatewayFixture.sendWatchLine(watchSocket.get(), endpointListJson(2, false, List.of(endpointJson("s", server, "up", restartMillis))));
+            GatewayFixture.sendWatchLine(watchSocket.get(),
+                    endpointListJson(2, false, List.of(endpointJson("s", server, "up", restartMillis))));
             String received = new String(client.socket.getInputStream().readNBytes(12), StandardCharsets.UTF_8);
             if (received.endsWith("502")) {
                 return;
--- a/src/test/java/cinderhollow/daemon/MultiLoopGatewayTest.java
+++ b/src/test/java/cinderhollow/daemon/MultiLoopGatewayTest.java
@@ -4,8 +4,8 @@
 import static cinderhollow.daemon.GatewayFixture.TIMEOUT_MILLIS;
 import static cinderhollow.daemon.GatewayFixture.await;
 import static cinderhollow.daemon.GatewayFixture.endpointJson;
-import static cinderhollow.daemon.GatewayFixture.sendWatchLine;
 import static cinderhollow.daemon.GatewayFixture.endpointListJson;
+import static cinderhollow.daemon.GatewayFixture.sendWatchLine;
 import static cinderhollow.daemon.GatewayFixture.statusRequest;
 import static cinderhollow.daemon.GatewayFixture.submitRequest;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -36,7 +36,8 @@
 /** A gateway with several event loops in one process, and subsets, on sockets. */
 class MultiLoopGatewayTest {
     private static final int CLIENT_COUNT = 4;
-    private static final String SHARED_LISTENER = "[gateway]\nloops = 3\n", LISTENER_PER_LOOP = SHARED_LISTENER + "listeners = \"each\"\n";
+    private static final String SHARED_LISTENER = "[gateway]\nloops = 3\n", LISTENER_PER_LOOP = SHARED_LISTENER
+            + "listeners = \"each\"\n";
     private static final long IDLE_TIMEOUT_NANOS = 60_000_000_000L;
 
     @TempDir
@@ -48,7 +49,8 @@
     }
 
     private GatewayFixture startGateway(String operatorToml, ScriptedServer server) throws Exception {
-        return startGateway(operatorToml, GatewayFixture.createIdleDiscovery(), endpointListJson(1, true, List.of(endpointJson("s", server, "up", 0))));
+        return startGateway(operatorToml, GatewayFixture.createIdleDiscovery(),
+                endpointListJson(1, true, List.of(endpointJson("s", server, "up", 0))));
     }
 
     private static ScriptedServer startServer(String body) throws IOException {
@@ -65,7 +67,8 @@
             }
             for (int round = 0; round < 3; round++) {
                 for (int i = 0; i < clients.size(); i++) {
-                    assertEquals("fine", clients.get(i).exchange(statusRequest("r" + round + "." + i, LONG_TIMEOUT_MILLIS)).body());
+                    assertEquals("fine", clients.get(i).exchange(statusRequest("r" + round + "." + i, LONG_TIMEOUT_MILLIS))
+                            .body());
                 }
             }
             if (operatorToml.equals(SHARED_LISTENER)) {
@@ -171,8 +174,10 @@
         }
     }
 
-    private void shutDownWithOpenRequests(String operatorToml, List<String> entries, List<Socket> requestSockets) throws Exception {
-        try (GatewayFixture f = startGateway(operatorToml, GatewayFixture.createIdleDiscovery(), endpointListJson(1, true, entries))) {
+    private void shutDownWithOpenRequests(String operatorToml, List<String> entries, List<Socket> requestSockets)
+            throws Exception {
+        try (GatewayFixture f = startGateway(operatorToml, GatewayFixture.createIdleDiscovery(),
+                endpointListJson(1, true, entries))) {
             List<Client> clients = new ArrayList<>();
             for (int i = 0; i < CLIENT_COUNT; i++) {
                 clients.add(f.connectClient());
@@ -211,17 +216,20 @@
         List<Socket> newWatchSockets = new CopyOnWriteArrayList<>();
         try (ScriptedServer a = startServer("a"); ScriptedServer b = startServer("b"); ScriptedServer c = startServer("c");
                 ScriptedServer newDiscovery = startDiscovery(newWatchSockets);
-                GatewayFixture f = startGateway(SHARED_LISTENER, startDiscovery(watchSockets), endpointListJson(1, true, List.of(endpointJson("s", a, "up", 0))))) {
+                GatewayFixture f = startGateway(SHARED_LISTENER, startDiscovery(watchSockets),
+                        endpointListJson(1, true, List.of(endpointJson("s", a, "up", 0))))) {
             List<Client> clients = new ArrayList<>();
             for (int i = 0; i < 9; i++) {
                 clients.add(f.connectClient());
             }
             assertEquals(Set.of("a"), fetchBodies(clients));
-            sendWatchLine(watchSockets.get(0), endpointListJson(2, false, List.of(endpointJson("s", a, "draining", 0), endpointJson("t", b, "up", 0))));
+            sendWatchLine(watchSockets.get(0),
+                    endpointListJson(2, false, List.of(endpointJson("s", a, "draining", 0), endpointJson("t", b, "up", 0))));
             await("all on b", () -> fetchBodies(clients).equals(Set.of("b")));
             Path file = Files.writeString(folder.resolve("config.json"), "{\"discovery\":\"" + newDiscovery.addressText()
                     + "\",\"seed\":\"2a\",\"settings\":" + GatewayFixture.SETTINGS.replace("IDLE", "15000000000") + "}");
-            Map<String, String> environment = Map.of("LB_CONFIG", file.toString(), "LB_OPERATOR", folder.resolve("operator.toml").toString());
+            Map<String, String> environment =
+                    Map.of("LB_CONFIG", file.toString(), "LB_OPERATOR", folder.resolve("operator.toml").toString());
             new Reload(environment, GatewayConfig.readFile(environment), f.gateway).run();
             await("the second watch", () -> newWatchSockets.size() == 1);
             assertEquals(1, watchSockets.size(), "one watch for all loops");
@@ -260,7 +268,8 @@
             entries.add(endpointJson("s-" + i, servers.get(i), "up", 0));
         }
         String operatorToml = "[subset]\nnodes = 4\ngateways = { a = 20 }\nnumber = 3\n";
-        try (GatewayFixture f = startGateway(operatorToml, GatewayFixture.createIdleDiscovery(), endpointListJson(1, true, entries))) {
+        try (GatewayFixture f = startGateway(operatorToml, GatewayFixture.createIdleDiscovery(),
+                endpointListJson(1, true, entries))) {
             Client client = f.connectClient();
             for (int i = 0; i < 200; i++) {
                 assertEquals("fine", client.exchange(statusRequest("a" + i, LONG_TIMEOUT_MILLIS)).body());
@@ -286,7 +295,8 @@
     @Test
     void aListOfTenThousandIsAppliedWholeAndSoAreItsChanges() throws Exception {
         List<Socket> watchSockets = new CopyOnWriteArrayList<>();
-        try (ScriptedServer firstServer = startServer("old"); ScriptedServer sharedServer = startServer("many"); ScriptedServer lastServer = startServer("last");
+        try (ScriptedServer firstServer = startServer("old"); ScriptedServer sharedServer =
+                startServer("many"); ScriptedServer lastServer = startServer("last");
                 GatewayFixture f = startGateway("[class.status]\nattempts = 2\n", startDiscovery(watchSockets),
                         endpointListJson(1, true, List.of(endpointJson("s", firstServer, "up", 0))))) {
             List<String> entries = new ArrayList<>();
--- a/src/test/java/cinderhollow/daemon/OperatorConfigGatewayTest.java
+++ b/src/test/java/cinderhollow/daemon/OperatorConfigGatewayTest.java
@@ -46,7 +46,8 @@
             }
         };
         try (ScriptedServer a = new ScriptedServer(onlySecondAnswers); ScriptedServer b = new ScriptedServer(onlySecondAnswers);
-                GatewayFixture f = startGateway("[class.status.second_copy]\nafter = \"20ms\"\nbudget = { share = 1.0 }\n", a, b)) {
+                GatewayFixture f = startGateway("[class.status.second_copy]\nafter = \"20ms\"\nbudget = { share = 1.0 }\n", a,
+                        b)) {
             assertEquals("fine", f.connectClient().exchange(statusRequest("r", LONG_TIMEOUT_MILLIS)).body());
             assertEquals(1, a.requests.size());
             assertEquals(1, b.requests.size());
@@ -59,7 +60,8 @@
     void noHedgeIsSentForAClientWhoseDisconnectIsUnread() throws Exception {
         Script silent = (socket, request) -> { };
         try (ScriptedServer a = new ScriptedServer(silent); ScriptedServer b = new ScriptedServer(silent);
-                GatewayFixture f = startGateway("[class.status.second_copy]\nafter = \"500ms\"\nbudget = { share = 1.0 }\n", a, b)) {
+                GatewayFixture f = startGateway("[class.status.second_copy]\nafter = \"500ms\"\nbudget = { share = 1.0 }\n", a,
+                        b)) {
             Client client = f.connectClient();
             client.write(statusRequest("r", LONG_TIMEOUT_MILLIS));
             await("the first attempt", () -> a.requests.size() + b.requests.size() == 1);
@@ -87,11 +89,13 @@
             ScriptedServer.reply("200 OK", request.header("X-Request-ID")).answer(socket, request);
         };
         try (ScriptedServer a = new ScriptedServer(answerTogether); ScriptedServer b = new ScriptedServer(answerTogether);
-                GatewayFixture f = startGateway("[class.status.second_copy]\nafter = \"20ms\"\nbudget = { share = 1.0 }\n", a, b)) {
+                GatewayFixture f = startGateway("[class.status.second_copy]\nafter = \"20ms\"\nbudget = { share = 1.0 }\n", a,
+                        b)) {
             Client client = f.connectClient();
             assertEquals("r1", client.exchange(statusRequest("r1", LONG_TIMEOUT_MILLIS)).body());
             for (int i = 2; i < 20; i++) {
-                assertEquals("r" + i, client.exchange(statusRequest("r" + i, LONG_TIMEOUT_MILLIS)).body(), "nothing of the other copy");
+                assertEquals("r" + i, client.exchange(statusRequest("r" + i, LONG_TIMEOUT_MILLIS)).body(),
+                        "nothing of the other copy");
             }
         }
     }
@@ -145,7 +149,8 @@
     @Test
     void aRefusalCarriesRetryAfter() throws Exception {
         Script notProcessed = ScriptedServer.reply("503 Service Unavailable", "", "X-Not-Processed: 1");
-        try (ScriptedServer a = new ScriptedServer(notProcessed); GatewayFixture f = startGateway("[class.status]\nretry_after = \"250ms\"\n", a)) {
+        try (ScriptedServer a = new ScriptedServer(notProcessed); GatewayFixture f =
+                startGateway("[class.status]\nretry_after = \"250ms\"\n", a)) {
             Message refused = f.connectClient().exchange(statusRequest("r", 400));
             assertTrue(refused.firstLine().contains(" 503 "), refused.firstLine());
             assertEquals("0.250", refused.header("Retry-After"));
--- a/src/test/java/cinderhollow/daemon/PartiallySentRequestTest.java
+++ b/src/test/java/cinderhollow/daemon/PartiallySentRequestTest.java
@@ -48,7 +48,8 @@
     @BeforeEach
     void start() throws Exception {
         listener = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
-        upstreamPool = new UpstreamPool(loop, Transport.TCP, new GatewayClock(), LONG_TIMEOUT_NANOS, LONG_TIMEOUT_NANOS, 10, null, 0);
+        upstreamPool = new UpstreamPool(loop, Transport.TCP, new GatewayClock(), LONG_TIMEOUT_NANOS, LONG_TIMEOUT_NANOS, 10,
+                null, 0);
         loop.submit(() -> upstreamPool.update(new EndpointList(1, true, List.of(new Endpoint(new ServerInfo("h", "a", "std", 0,
                 Readiness.READY, 1, 0), (InetSocketAddress) listener.getLocalSocketAddress()))))).get();
     }
@@ -100,7 +101,8 @@
     @Test
     void isNotServedByAResponseBeforeItsEnd() throws Exception {
         startAttempt(LONG_TIMEOUT_NANOS);
-        serverSocket.getOutputStream().write("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nfalse".getBytes(StandardCharsets.US_ASCII));
+        serverSocket.getOutputStream()
+                .write("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nfalse".getBytes(StandardCharsets.US_ASCII));
         assertEquals("ERROR", awaitOutcome());
     }
 }
--- a/src/test/java/cinderhollow/daemon/ReloadTest.java
+++ b/src/test/java/cinderhollow/daemon/ReloadTest.java
@@ -4,8 +4,8 @@
 import static cinderhollow.daemon.GatewayFixture.TIMEOUT_MILLIS;
 import static cinderhollow.daemon.GatewayFixture.await;
 import static cinderhollow.daemon.GatewayFixture.endpointJson;
-import static cinderhollow.daemon.GatewayFixture.sendWatchLine;
 import static cinderhollow.daemon.GatewayFixture.endpointListJson;
+import static cinderhollow.daemon.GatewayFixture.sendWatchLine;
 import static cinderhollow.daemon.GatewayFixture.statusRequest;
 import static cinderhollow.daemon.GatewayFixture.submitRequest;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -57,7 +57,8 @@
         try (ScriptedServer newDiscovery = startDiscovery(7, newWatchSockets);
                 ScriptedServer server = new ScriptedServer((socket, request) -> heldSocket.complete(socket));
                 ScriptedServer newServer = new ScriptedServer(ScriptedServer.reply("200 OK", "new"));
-                GatewayFixture f = new GatewayFixture(endpointListJson(40, true, List.of(endpointJson("s", server, "up", 0))), oldDiscovery,
+                GatewayFixture f = new GatewayFixture(endpointListJson(40, true, List.of(endpointJson("s", server, "up", 0))),
+                        oldDiscovery,
                         60_000_000_000L, 1024)) {
             Client openClient = f.connectClient();
             openClient.write(submitRequest("r1", LONG_TIMEOUT_MILLIS, "x"));
@@ -107,7 +108,8 @@
     @Test
     void aProcessSurvivesHangUpsAndFollowsTheNewFile() throws Exception {
         List<Socket> watchSockets = new CopyOnWriteArrayList<>();
-        try (ScriptedServer firstDiscovery = startDiscovery(1, watchSockets); ScriptedServer secondDiscovery = startDiscovery(1, watchSockets)) {
+        try (ScriptedServer firstDiscovery = startDiscovery(1, watchSockets); ScriptedServer secondDiscovery =
+                startDiscovery(1, watchSockets)) {
             ProcessBuilder processBuilder = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                     "-Xmx64m", "-cp", System.getProperty("java.class.path"), "cinderhollow.cli.Main", "serve");
             processBuilder.environment().putAll(writeConfig(firstDiscovery.addressText()));
@@ -138,7 +140,8 @@
         List<Socket> watchSockets = new CopyOnWriteArrayList<>();
         ScriptedServer discoveryServer = startDiscovery(1, watchSockets);
         try (ScriptedServer server = new ScriptedServer(ScriptedServer.reply("200 OK", "fine"));
-                GatewayFixture f = new GatewayFixture(endpointListJson(1, true, List.of(endpointJson("s", server, "up", 0))), discoveryServer,
+                GatewayFixture f = new GatewayFixture(endpointListJson(1, true, List.of(endpointJson("s", server, "up", 0))),
+                        discoveryServer,
                         60_000_000_000L, 1024)) {
             Map<String, String> environment = writeConfig(discoveryServer.addressText());
             Reload reload = createReload(f, environment);
@@ -148,7 +151,8 @@
                         : validConfig.replace("\"name\":\"submit\"", "\"name\":\"submit" + i + "\""));
                 reload.run();
             }
-            assertEquals("fine", f.connectClient().exchange(submitRequest("r1", LONG_TIMEOUT_MILLIS, "x").replace("/submit", "/submit19")).body());
+            assertEquals("fine", f.connectClient()
+                    .exchange(submitRequest("r1", LONG_TIMEOUT_MILLIS, "x").replace("/submit", "/submit19")).body());
             assertTrue(f.connectClient().exchange(submitRequest("r2", LONG_TIMEOUT_MILLIS, "x")).firstLine().contains(" 404 "));
             assertEquals(10, f.gateway.stats().get().reloadsAccepted());
             assertEquals(10, f.gateway.stats().get().reloadsRejected());
--- a/src/test/java/cinderhollow/daemon/RequestReceiveTest.java
+++ b/src/test/java/cinderhollow/daemon/RequestReceiveTest.java
@@ -41,7 +41,8 @@
             Client oneMore = f.connectClient();
             assertEquals("close", oneMore.exchange(statusRequest("more", LONG_TIMEOUT_MILLIS)).header("Connection"));
             assertNull(oneMore.read());
-            assertTrue(first.exchange(statusRequest("again", LONG_TIMEOUT_MILLIS)).firstLine().contains(" 200 "), "it still has its place");
+            assertTrue(first.exchange(statusRequest("again", LONG_TIMEOUT_MILLIS)).firstLine().contains(" 200 "),
+                    "it still has its place");
         }
     }
 
@@ -138,7 +139,8 @@
                 f.connectClient();
             }
             assertNull(firstSilent.read());
-            assertEquals("fine", good.exchange(statusRequest("r2", LONG_TIMEOUT_MILLIS)).body(), "the good client's connection is kept");
+            assertEquals("fine", good.exchange(statusRequest("r2", LONG_TIMEOUT_MILLIS)).body(),
+                    "the good client's connection is kept");
         }
     }
 
--- a/src/test/java/cinderhollow/daemon/SettingsReloadTest.java
+++ b/src/test/java/cinderhollow/daemon/SettingsReloadTest.java
@@ -28,7 +28,8 @@
 
 /** Changes of settings while requests are open, and invalid files, which must change nothing. */
 class SettingsReloadTest {
-    private static final String WITH_ADDED_CLASS = "\"grades\":[{\"name\":\"audit\",\"semantics\":\"unsafe\",\"aim_ns\":10000000000,"
+    private static final String WITH_ADDED_CLASS =
+            "\"grades\":[{\"name\":\"audit\",\"semantics\":\"unsafe\",\"aim_ns\":10000000000,"
             + "\"deadline_ns\":20000000000,\"value\":2},";
 
     @TempDir
@@ -73,7 +74,8 @@
 
     @Test
     void moreKeysAndMoreOrFewerEntriesAreAccepted() {
-        assertDoesNotThrow(() -> checkReload(validConfig().replace("\"grades\":[", WITH_ADDED_CLASS).replace("\"seed\"", "\"new\":1,\"seed\"")));
+        assertDoesNotThrow(() -> checkReload(validConfig().replace("\"grades\":[", WITH_ADDED_CLASS).replace("\"seed\"",
+                "\"new\":1,\"seed\"")));
         assertDoesNotThrow(() -> checkReload(validConfig().replace("[{\"name\":\"acme\",\"quota_per_s\":1000.0}]", "[]")));
         assertThrows(IllegalArgumentException.class, () -> checkReload(validConfig().replace("\"grades\":[", WITH_ADDED_CLASS)
                 .replaceFirst("\"deadline_ns\":20000000000,", "")), "an added class is held against the others' keys");
@@ -85,7 +87,8 @@
                 GatewayFixture f = GatewayFixture.withOpsSocket(server)) {
             Map<String, String> environment = writeConfig(validConfig());
             Reload reload = new Reload(environment, Json.read(validConfig()), f.gateway);
-            List<String> invalidConfigs = List.of("", "{", "[]", "null", validConfig().substring(0, validConfig().length() / 2), validConfig() + "x",
+            List<String> invalidConfigs = List.of("", "{", "[]", "null", validConfig().substring(0, validConfig().length() / 2),
+                    validConfig() + "x",
                     validConfig().replace("\"max_attempts\":5", "\"max_attempts\":0"),
                     validConfig().replace("\"max_attempts\":5", "\"max_attempts\":-1"),
                     validConfig().replace("\"max_attempts\":5", "\"max_attempts\":2.5"),
@@ -123,13 +126,16 @@
                 GatewayFixture f = GatewayFixture.withOpsSocket(server, other)) {
             Map<String, String> environment = writeConfig(validConfig());
             Reload reload = new Reload(environment, Json.read(validConfig()), f.gateway);
-            assertTrue(f.connectClient().exchange(submitRequest("a1", LONG_TIMEOUT_MILLIS, "x").replace("/submit", "/audit")).firstLine().contains(" 404 "));
+            assertTrue(f.connectClient().exchange(submitRequest("a1", LONG_TIMEOUT_MILLIS, "x").replace("/submit", "/audit"))
+                    .firstLine().contains(" 404 "));
             Client openClient = f.connectClient();
             openClient.write(submitRequest("hold", LONG_TIMEOUT_MILLIS, "x"));
             Socket serverSocket = heldSocket.get(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
-            writeConfig(validConfig().replace("\"grades\":[", WITH_ADDED_CLASS).replace("\"name\":\"submit\"", "\"name\":\"gone\""));
+            writeConfig(validConfig().replace("\"grades\":[", WITH_ADDED_CLASS)
+                    .replace("\"name\":\"submit\"", "\"name\":\"gone\""));
             reload.run();
-            assertEquals("fine", f.connectClient().exchange(submitRequest("a2", LONG_TIMEOUT_MILLIS, "x").replace("/submit", "/audit")).body());
+            assertEquals("fine", f.connectClient()
+                    .exchange(submitRequest("a2", LONG_TIMEOUT_MILLIS, "x").replace("/submit", "/audit")).body());
             assertTrue(f.connectClient().exchange(submitRequest("a3", LONG_TIMEOUT_MILLIS, "x")).firstLine().contains(" 404 "));
             ScriptedServer.reply("200 OK", "of old").answer(serverSocket, null);
             assertEquals("of old", openClient.read().body());
--- a/src/test/java/cinderhollow/daemon/ShutdownRaceTest.java
+++ b/src/test/java/cinderhollow/daemon/ShutdownRaceTest.java
@@ -217,7 +217,8 @@
      */
     @Test
     void aRequestWithADeadlineBeyondTheShutdownIsAnsweredBeforeTheKill() throws Exception {
-        try (ScriptedServer server = new ScriptedServer((socket, request) -> { }); GatewayFixture f = GatewayFixture.withServers(server)) {
+        try (ScriptedServer server = new ScriptedServer((socket, request) -> { }); GatewayFixture f =
+                GatewayFixture.withServers(server)) {
             Client before = f.connectClient();
             before.write(submitRequest("before", LONG_TIMEOUT_MILLIS, "x"));
             await("the request", () -> server.requests.size() == 1);
@@ -237,7 +238,8 @@
     /** The platform's time runs from SIGTERM, and the loop is notified when most of that time has passed. */
     @Test
     void requestsOfALoopNotifiedLateOfTheShutdownAreAnsweredBeforeTheKill() throws Exception {
-        try (ScriptedServer server = new ScriptedServer((socket, request) -> { }); GatewayFixture f = GatewayFixture.withServers(server)) {
+        try (ScriptedServer server = new ScriptedServer((socket, request) -> { }); GatewayFixture f =
+                GatewayFixture.withServers(server)) {
             Client client = f.connectClient();
             client.write(submitRequest("r", LONG_TIMEOUT_MILLIS, "x"));
             await("the request", () -> server.requests.size() == 1);
--- a/src/test/java/cinderhollow/daemon/ShutdownRequestStageTest.java
+++ b/src/test/java/cinderhollow/daemon/ShutdownRequestStageTest.java
@@ -58,7 +58,8 @@
                 if (!testAnswers) {
                     client.write(stage == Stage.HALF_READ ? request.substring(1_000) : request);
                 } else {
-                    ScriptedServer.write(serverSocket, stage == Stage.IN_FLIGHT ? responseHead + RESPONSE_BODY : RESPONSE_BODY.substring(100_000));
+                    ScriptedServer.write(serverSocket, stage == Stage.IN_FLIGHT ? responseHead + RESPONSE_BODY
+                            : RESPONSE_BODY.substring(100_000));
                 }
             }
             Message answer = client.read();
--- a/src/test/java/cinderhollow/daemon/StalledClientTest.java
+++ b/src/test/java/cinderhollow/daemon/StalledClientTest.java
@@ -23,7 +23,8 @@
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {"P", "POST /submit HTTP/1.1\r\nHost: x\r\nX-Req", REQUEST_HEAD, REQUEST_HEAD + "Content-Length: 100\r\n\r\n",
+    @ValueSource(strings = {"P", "POST /submit HTTP/1.1\r\nHost: x\r\nX-Req", REQUEST_HEAD, REQUEST_HEAD
+            + "Content-Length: 100\r\n\r\n",
         REQUEST_HEAD + "Content-Length: 100\r\n\r\nhalf", REQUEST_HEAD + "Transfer-Encoding: chunked\r\n\r\n5\r\nhal"})
     void aClientThatStopsInAHeadOrASmallBodyIsEndedInTime(String part) throws Exception {
         try (ScriptedServer server = new ScriptedServer(SERVE_OK); GatewayFixture f = GatewayFixture.withServers(server)) {
--- a/src/test/java/cinderhollow/daemon/StalledLoopTest.java
+++ b/src/test/java/cinderhollow/daemon/StalledLoopTest.java
@@ -32,7 +32,8 @@
             resume.run();
             Await.until("sent to the host", () -> server.requests.size() == 1);
             long forwardedMicros = Long.parseLong(server.requests.get(0).header("X-Timeout").replace("u", ""));
-            assertTrue(forwardedMicros <= TIMEOUT_MILLIS * 1_000L / 2, "the time-out forwarded to the server is " + forwardedMicros + " us");
+            assertTrue(forwardedMicros <= TIMEOUT_MILLIS * 1_000L / 2, "the time-out forwarded to the server is "
+                    + forwardedMicros + " us");
             assertFalse(lateClient.read().firstLine().contains(" 200 "));
         }
     }
