--- a/src/test/java/cinderhollow/daemon/StalledProcessTest.java
+++ b/src/test/java/cinderhollow/daemon/StalledProcessTest.java
@@ -49,12 +49,14 @@
      * servers.
      */
     private static void assertServes(GatewayProcess gateway, String id) throws Exception {
-        assertTrue(gateway.connectClient().exchange(statusRequest(id, LONG_TIMEOUT_MILLIS)).firstLine().contains(" 200 "), gateway.log());
+        assertTrue(gateway.connectClient().exchange(statusRequest(id, LONG_TIMEOUT_MILLIS)).firstLine().contains(" 200 "),
+                gateway.log());
     }
 
     @Test
     void aRequestIsNotForwardedWhoseClientLeftDuringTheStall() throws Exception {
-        try (ScriptedServer server = new ScriptedServer(SERVE_OK); GatewayProcess gateway = GatewayProcess.start(folder, server)) {
+        try (ScriptedServer server = new ScriptedServer(SERVE_OK); GatewayProcess gateway =
+                GatewayProcess.start(folder, server)) {
             assertServes(gateway, "first");
             Client keptClient = gateway.connectClient();
             assertTrue(keptClient.exchange(statusRequest("kept", LONG_TIMEOUT_MILLIS)).firstLine().contains(" 200 "));
@@ -74,7 +76,8 @@
     /** The server's connection is established and the client disconnects in the same stall; the connection is reported first. */
     @Test
     void aRequestIsNotForwardedOnAConnectionThatCameUpDuringTheStallAfterItsClientLeft() throws Exception {
-        try (ScriptedServer server = ScriptedServer.withFullBacklog(SERVE_OK); GatewayProcess gateway = GatewayProcess.start(folder, server)) {
+        try (ScriptedServer server = ScriptedServer.withFullBacklog(SERVE_OK); GatewayProcess gateway =
+                GatewayProcess.start(folder, server)) {
             Client leavingClient = gateway.connectClient();
             leavingClient.write(submitRequest("left", LONG_TIMEOUT_MILLIS, "x"));
             // The first connect is over by then, and the next follows a second later.
@@ -93,7 +96,8 @@
     @Test
     void theForwardedDeadlineIsWhatTheClientHasLeftAfterTheStall() throws Exception {
         long timeoutMillis = 1_500;
-        try (ScriptedServer server = new ScriptedServer(SERVE_OK); GatewayProcess gateway = GatewayProcess.start(folder, server)) {
+        try (ScriptedServer server = new ScriptedServer(SERVE_OK); GatewayProcess gateway =
+                GatewayProcess.start(folder, server)) {
             assertServes(gateway, "first");
             Client keptClient = gateway.connectClient();
             assertTrue(keptClient.exchange(statusRequest("kept", LONG_TIMEOUT_MILLIS)).firstLine().contains(" 200 "));
@@ -102,11 +106,13 @@
             TimeUnit.MILLISECONDS.sleep(STALL_MILLIS);
             gateway.resume();
             Message answer = keptClient.read();
-            assertTrue(answer != null && (answer.firstLine().contains(" 200 ") || answer.firstLine().contains(" 503 ")), gateway.log());
+            assertTrue(answer != null && (answer.firstLine().contains(" 200 ") || answer.firstLine().contains(" 503 ")),
+                    gateway.log());
             for (Message request : server.requests) {
                 if (request.header("X-Request-ID").equals("waited")) {
                     long leftMillis = timeoutMillis - STALL_MILLIS;
-                    assertTrue(forwardedTimeoutMillis(request) <= leftMillis + DEADLINE_SLACK_MILLIS, request.header("X-Timeout"));
+                    assertTrue(forwardedTimeoutMillis(request) <= leftMillis + DEADLINE_SLACK_MILLIS,
+                            request.header("X-Timeout"));
                 }
             }
         }
@@ -119,7 +125,8 @@
     @Test
     void aRequestThatComesAfterTheStallHasAllOfItsTime() throws Exception {
         int timeoutMillis = 1_500;
-        try (ScriptedServer server = new ScriptedServer(SERVE_OK); GatewayProcess gateway = GatewayProcess.start(folder, server)) {
+        try (ScriptedServer server = new ScriptedServer(SERVE_OK); GatewayProcess gateway =
+                GatewayProcess.start(folder, server)) {
             assertServes(gateway, "first");
             gateway.pause();
             TimeUnit.MILLISECONDS.sleep(STALL_MILLIS);
@@ -127,7 +134,8 @@
             assertServes(gateway, "awake");
             // Until the loop has read all of its sockets again, what it reads may have arrived during the stall.
             TimeUnit.MILLISECONDS.sleep(SETTLE_MILLIS);
-            assertTrue(gateway.connectClient().exchange(statusRequest("after", timeoutMillis)).firstLine().contains(" 200 "), gateway.log());
+            assertTrue(gateway.connectClient().exchange(statusRequest("after", timeoutMillis)).firstLine().contains(" 200 "),
+                    gateway.log());
             Message after = server.requests.get(server.requests.size() - 1);
             assertEquals("after", after.header("X-Request-ID"));
             assertTrue(forwardedTimeoutMillis(after) > timeoutMillis - DEADLINE_SLACK_MILLIS, after.header("X-Timeout"));
@@ -137,7 +145,8 @@
     /** The request waits for over a second for its server's connection; the server must not be given that time as well. */
     @Test
     void theForwardedDeadlineIsWhatTheClientHasLeftWhenTheConnectionIsUpLate() throws Exception {
-        try (ScriptedServer server = ScriptedServer.withFullBacklog(SERVE_OK); GatewayProcess gateway = GatewayProcess.start(folder, server)) {
+        try (ScriptedServer server = ScriptedServer.withFullBacklog(SERVE_OK); GatewayProcess gateway =
+                GatewayProcess.start(folder, server)) {
             Client client = gateway.connectClient();
             long sentAtNanos = System.nanoTime();
             client.write(submitRequest("late", LONG_TIMEOUT_MILLIS, "x"));
@@ -146,7 +155,8 @@
             await("the request", () -> !server.requests.isEmpty());
             long waitedMillis = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - sentAtNanos);
             long forwardedMillis = forwardedTimeoutMillis(server.requests.get(0));
-            assertTrue(forwardedMillis <= LONG_TIMEOUT_MILLIS - STALL_MILLIS + DEADLINE_SLACK_MILLIS, forwardedMillis + " ms after " + waitedMillis + " ms");
+            assertTrue(forwardedMillis <= LONG_TIMEOUT_MILLIS - STALL_MILLIS + DEADLINE_SLACK_MILLIS, forwardedMillis
+                    + " ms after " + waitedMillis + " ms");
             assertTrue(client.read().firstLine().contains(" 200 "));
         }
     }
@@ -166,25 +176,31 @@
             ScriptedServer.await(clientLeft);
             ScriptedServer.write(socket, "HTTP/1.1 503 Service Unavailable\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n");
         };
-        try (ScriptedServer firstServer = new ScriptedServer(rejectAfterDisconnect); ScriptedServer secondServer = new ScriptedServer(rejectAfterDisconnect);
+        try (ScriptedServer firstServer = new ScriptedServer(rejectAfterDisconnect); ScriptedServer secondServer =
+                new ScriptedServer(rejectAfterDisconnect);
                 GatewayProcess gateway = GatewayProcess.start(folder, firstServer, secondServer)) {
-            assertNotRetriedAfterDisconnect(gateway, submitRequest("left", LONG_TIMEOUT_MILLIS, "x"), clientLeft, firstServer, secondServer);
+            assertNotRetriedAfterDisconnect(gateway, submitRequest("left", LONG_TIMEOUT_MILLIS, "x"), clientLeft, firstServer,
+                    secondServer);
         }
     }
 
     /** The hedge of a request falls due in the stall in which its client disconnects. */
     @Test
     void noHedgeIsSentForAClientThatLeftDuringTheStall() throws Exception {
-        Path operatorFile = Files.writeString(folder.resolve("operator.toml"), "[class.status.second_copy]\nafter = \"" + STALL_MILLIS / 2
+        Path operatorFile = Files.writeString(folder.resolve("operator.toml"), "[class.status.second_copy]\nafter = \""
+                + STALL_MILLIS / 2
                 + "ms\"\nbudget = { share = 1.0 }\n");
         ScriptedServer.Script answerOnlyLast = (socket, request) -> {
             if (request.header("X-Request-ID").equals("last")) {
                 SERVE_OK.answer(socket, request);
             }
         };
-        try (ScriptedServer firstServer = new ScriptedServer(answerOnlyLast); ScriptedServer secondServer = new ScriptedServer(answerOnlyLast);
-                GatewayProcess gateway = GatewayProcess.start(folder, Map.of("LB_OPERATOR", operatorFile.toString()), firstServer, secondServer)) {
-            assertNotRetriedAfterDisconnect(gateway, statusRequest("left", LONG_TIMEOUT_MILLIS), new CountDownLatch(1), firstServer, secondServer);
+        try (ScriptedServer firstServer = new ScriptedServer(answerOnlyLast); ScriptedServer secondServer =
+                new ScriptedServer(answerOnlyLast);
+                GatewayProcess gateway = GatewayProcess.start(folder, Map.of("LB_OPERATOR", operatorFile.toString()),
+                        firstServer, secondServer)) {
+            assertNotRetriedAfterDisconnect(gateway, statusRequest("left", LONG_TIMEOUT_MILLIS), new CountDownLatch(1),
+                    firstServer, secondServer);
         }
     }
 
@@ -192,7 +208,8 @@
      * Sends a request, disconnects while the gateway is stopped after its first attempt, and asserts that no other server
      * gets it.
      */
-    private void assertNotRetriedAfterDisconnect(GatewayProcess gateway, String request, CountDownLatch clientLeft, ScriptedServer firstServer, ScriptedServer secondServer)
+    private void assertNotRetriedAfterDisconnect(GatewayProcess gateway, String request, CountDownLatch clientLeft,
+            ScriptedServer firstServer, ScriptedServer secondServer)
             throws Exception {
         Client client = gateway.connectClient();
         client.write(request);
@@ -222,22 +239,26 @@
                     GatewayFixture.startWatchResponse(socket);
                     GatewayFixture.sendWatchLine(socket, GatewayFixture.endpointListJson(2, false, List.of()));
                     ScriptedServer.await(startDraining);
-                    GatewayFixture.sendWatchLine(socket, GatewayFixture.endpointListJson(3, false, List.of(GatewayFixture.endpointJson("s-0", drainingServer,
+                    GatewayFixture.sendWatchLine(socket,
+                            GatewayFixture.endpointListJson(3, false, List.of(GatewayFixture.endpointJson("s-0", drainingServer,
                             "draining", 0))));
                     drainingSent.countDown();
                 });
-                GatewayProcess gateway = GatewayProcess.start(folder, Map.of("LB_DISCOVERY", discovery.addressText()), drainingServer, upServer)) {
+                GatewayProcess gateway = GatewayProcess.start(folder, Map.of("LB_DISCOVERY", discovery.addressText()),
+                        drainingServer, upServer)) {
             List<Client> clients = new ArrayList<>();
             for (int i = 0; i < CLIENT_COUNT; i++) {
                 clients.add(gateway.connectClient());
-                assertTrue(clients.get(i).exchange(statusRequest("before-" + i, LONG_TIMEOUT_MILLIS)).firstLine().contains(" 200 "));
+                assertTrue(clients.get(i).exchange(statusRequest("before-" + i, LONG_TIMEOUT_MILLIS)).firstLine()
+                        .contains(" 200 "));
             }
             assertTrue(!drainingServer.requests.isEmpty(), "it serves as long as it is up");
             gateway.pause();
             for (Client client : clients) {
                 client.write(statusRequest("after", LONG_TIMEOUT_MILLIS).replace("after", "after-" + clients.indexOf(client)));
             }
-            assertEquals(CLIENT_COUNT, drainingServer.requests.size() + upServer.requests.size(), "what comes before the drain is no breach of it");
+            assertEquals(CLIENT_COUNT, drainingServer.requests.size() + upServer.requests.size(),
+                    "what comes before the drain is no breach of it");
             startDraining.countDown();
             assertTrue(drainingSent.await(LONG_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS));
             TimeUnit.MILLISECONDS.sleep(2 * STALL_MILLIS);
@@ -245,7 +266,8 @@
             for (Client client : clients) {
                 assertTrue(client.read().firstLine().contains(" 200 "), gateway.log());
             }
-            assertEquals(List.of(), requestIds(drainingServer).stream().filter(id -> id.startsWith("after")).toList(), gateway.log());
+            assertEquals(List.of(), requestIds(drainingServer).stream().filter(id -> id.startsWith("after")).toList(),
+                    gateway.log());
         }
     }
 
@@ -262,11 +284,13 @@
                     GatewayFixture.startWatchResponse(socket);
                     GatewayFixture.sendWatchLine(socket, GatewayFixture.endpointListJson(2, false, List.of()));
                     ScriptedServer.await(startDraining);
-                    GatewayFixture.sendWatchLine(socket, GatewayFixture.endpointListJson(3, false, List.of(GatewayFixture.endpointJson("s-0", drainingServer,
+                    GatewayFixture.sendWatchLine(socket,
+                            GatewayFixture.endpointListJson(3, false, List.of(GatewayFixture.endpointJson("s-0", drainingServer,
                             "draining", 0))));
                     drainingSent.countDown();
                 });
-                GatewayProcess gateway = GatewayProcess.start(folder, Map.of("LB_DISCOVERY", discovery.addressText()), drainingServer)) {
+                GatewayProcess gateway = GatewayProcess.start(folder, Map.of("LB_DISCOVERY", discovery.addressText()),
+                        drainingServer)) {
             Client client = gateway.connectClient();
             client.write(submitRequest("waits", (int) (4 * STALL_MILLIS), "x"));
             TimeUnit.MILLISECONDS.sleep(STALL_MILLIS);
--- a/src/test/java/cinderhollow/daemon/StandbyTest.java
+++ b/src/test/java/cinderhollow/daemon/StandbyTest.java
@@ -46,13 +46,15 @@
             assertNull(busyClient.read());
             assertNull(idleClient.read(), "closed while idle");
             assertNull(silentClient.read(), "closed without having sent a request");
-            assertEquals("fine", f.connectClient().exchange(statusRequest("a4", LONG_TIMEOUT_MILLIS)).body(), "a new connection is still served");
+            assertEquals("fine", f.connectClient().exchange(statusRequest("a4", LONG_TIMEOUT_MILLIS)).body(),
+                    "a new connection is still served");
             setStandby(f, true);
             setStandby(f, false);
             assertTrue(f.get("/ready").firstLine().contains(" 200 "));
             Client returningClient = f.connectClient();
             returningClient.exchange(statusRequest("a5", LONG_TIMEOUT_MILLIS));
-            assertEquals("fine", returningClient.exchange(statusRequest("a6", LONG_TIMEOUT_MILLIS)).body(), "connections are kept again");
+            assertEquals("fine", returningClient.exchange(statusRequest("a6", LONG_TIMEOUT_MILLIS)).body(),
+                    "connections are kept again");
             assertEquals(1, server.connections.size(), "and so was the one to the host");
         }
     }
@@ -67,7 +69,8 @@
             }
         }); GatewayFixture f = GatewayFixture.withOpsSocket(server)) {
             Client client = f.connectClient();
-            client.write(statusRequest("p1", LONG_TIMEOUT_MILLIS) + statusRequest("p2", LONG_TIMEOUT_MILLIS) + statusRequest("p3", LONG_TIMEOUT_MILLIS));
+            client.write(statusRequest("p1", LONG_TIMEOUT_MILLIS) + statusRequest("p2", LONG_TIMEOUT_MILLIS)
+                    + statusRequest("p3", LONG_TIMEOUT_MILLIS));
             Socket serverSocket = heldSocket.get(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
             await("all three", () -> countOpenRequests(f) == 3);
             setStandby(f, true);
@@ -86,9 +89,11 @@
         try (ScriptedServer server = new ScriptedServer(ScriptedServer.reply("200 OK", "fine"));
                 GatewayFixture f = GatewayFixture.withOpsSocket(server)) {
             setStandby(f, true);
-            assertEquals(true, f.gateway.isServing().get(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS), "it can serve, and is kept empty");
+            assertEquals(true, f.gateway.isServing().get(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS),
+                    "it can serve, and is kept empty");
             Client lateClient = f.connectClient();
-            assertEquals("close", lateClient.exchange(statusRequest("s1", LONG_TIMEOUT_MILLIS)).header("Connection"), "a later connection is served");
+            assertEquals("close", lateClient.exchange(statusRequest("s1", LONG_TIMEOUT_MILLIS)).header("Connection"),
+                    "a later connection is served");
             CompletableFuture<Void> shutdownDone = f.gateway.shutDown();
             setStandby(f, false);
             assertTrue(f.get("/ready").firstLine().contains(" 503 "), "active does not cancel a shutdown");
--- a/src/test/java/cinderhollow/daemon/StartFaultsTest.java
+++ b/src/test/java/cinderhollow/daemon/StartFaultsTest.java
@@ -21,7 +21,8 @@
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
     void aGatewayStartsThoughSocketsCannotBeOpenedAtFirst(long seed) throws Exception {
         try (ScriptedServer server = new ScriptedServer(ScriptedServer.reply("200 OK", "served"));
-                GatewayProcess gateway = GatewayProcess.start(folder, SystemCallFaults.faultEnvironment(folder, FAULT_PERCENT, seed, 0), server)) {
+                GatewayProcess gateway = GatewayProcess.start(folder, SystemCallFaults.faultEnvironment(folder, FAULT_PERCENT,
+                        seed, 0), server)) {
             gateway.connectClient().socket.close(); // start() has waited until the process is ready
         }
     }
--- a/src/test/java/cinderhollow/daemon/SystemCallFaultsTest.java
+++ b/src/test/java/cinderhollow/daemon/SystemCallFaultsTest.java
@@ -19,8 +19,10 @@
     private static final long MAX_CONNECTION_MILLIS = 700;
 
     /** Texts that the runtime, the network library and the gateway log for an unhandled exception. */
-    private static final List<String> UNHANDLED_EXCEPTION_TEXTS = List.of("Exception in thread", "exceptionCaught() event was fired",
-            "An exception was thrown by", "Unexpected exception", "A task raised an exception", "fault in", "forbidden transition");
+    private static final List<String> UNHANDLED_EXCEPTION_TEXTS =
+            List.of("Exception in thread", "exceptionCaught() event was fired",
+            "An exception was thrown by", "Unexpected exception", "A task raised an exception", "fault in",
+            "forbidden transition");
 
     @TempDir
     private Path folder;
@@ -41,16 +43,19 @@
                 long startNanos = System.nanoTime();
                 GatewayFixture.Client client = gateway.connectClient();
                 for (int k = 0; k < (i % 2 == 0 ? 1 : REQUESTS_PER_KEPT_CONNECTION); k++) {
-                    Message answer = client.exchange(GatewayFixture.statusRequest("r" + i + "-" + k, GatewayFixture.LONG_TIMEOUT_MILLIS));
+                    Message answer = client.exchange(GatewayFixture.statusRequest("r" + i + "-" + k,
+                            GatewayFixture.LONG_TIMEOUT_MILLIS));
                     assertNotNull(answer, "request " + i + "-" + k + " had no answer\n" + gateway.log());
                     servedCount += answer.firstLine().contains(" 200 ") ? 1 : 0;
                 }
                 client.socket.close();
                 long elapsedMillis = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startNanos);
-                assertTrue(elapsedMillis < MAX_CONNECTION_MILLIS, "request " + i + " took " + elapsedMillis + " ms\n" + gateway.log());
+                assertTrue(elapsedMillis < MAX_CONNECTION_MILLIS, "request " + i + " took " + elapsedMillis + " ms\n"
+                        + gateway.log());
             }
             assertTrue(servedCount > CONNECTION_COUNT, servedCount + " served");
-            List<String> unhandledLines = gateway.log().lines().filter(l -> UNHANDLED_EXCEPTION_TEXTS.stream().anyMatch(l::contains)).toList();
+            List<String> unhandledLines = gateway.log().lines()
+                    .filter(l -> UNHANDLED_EXCEPTION_TEXTS.stream().anyMatch(l::contains)).toList();
             assertEquals(List.of(), unhandledLines, gateway.log());
         }
     }
--- a/src/test/java/cinderhollow/daemon/UnsentRequestTest.java
+++ b/src/test/java/cinderhollow/daemon/UnsentRequestTest.java
@@ -3,8 +3,8 @@
 import static cinderhollow.daemon.GatewayFixture.LONG_TIMEOUT_MILLIS;
 import static cinderhollow.daemon.GatewayFixture.await;
 import static cinderhollow.daemon.GatewayFixture.endpointJson;
-import static cinderhollow.daemon.GatewayFixture.sendWatchLine;
 import static cinderhollow.daemon.GatewayFixture.endpointListJson;
+import static cinderhollow.daemon.GatewayFixture.sendWatchLine;
 import static cinderhollow.daemon.GatewayFixture.statusRequest;
 import static cinderhollow.daemon.GatewayFixture.submitRequest;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -28,8 +28,10 @@
     private static final int UNREACHED_TIMEOUT_MILLIS = 300_000;
 
     /** Starts a gateway whose connects may take long, with cancels allowed or not. */
-    private static GatewayFixture startWithLongConnects(boolean mayCancel, ScriptedServer discovery, ScriptedServer... servers) throws Exception {
-        return GatewayFixture.withSettings(settings -> settings.replace("\"dial_timeout_ns\":2000000000", "\"dial_timeout_ns\":20000000000")
+    private static GatewayFixture startWithLongConnects(boolean mayCancel, ScriptedServer discovery, ScriptedServer... servers)
+            throws Exception {
+        return GatewayFixture.withSettings(settings ->
+                settings.replace("\"dial_timeout_ns\":2000000000", "\"dial_timeout_ns\":20000000000")
                 .replace("\"may_cancel\":true", "\"may_cancel\":" + mayCancel), discovery, servers);
     }
 
@@ -49,7 +51,8 @@
             client.socket.close();
             await("the client's leaving", () -> f.countOpenRequests() == 0);
             server.startAccepting();
-            assertTrue(f.connectClient().exchange(submitRequest("stays", LONG_TIMEOUT_MILLIS, "x")).firstLine().contains(" 200 "));
+            assertTrue(f.connectClient().exchange(submitRequest("stays", LONG_TIMEOUT_MILLIS, "x")).firstLine()
+                    .contains(" 200 "));
             // The connection for the first request is established by then, or is established now.
             await("its connection", () -> server.countGatewayConnections() >= 1);
             assertEquals(List.of("stays"), requestIds(server));
@@ -67,7 +70,8 @@
             client.socket.close();
             server.startAccepting();
             await("the client's leaving", () -> f.countOpenRequests() == 0);
-            assertTrue(f.connectClient().exchange(submitRequest("stays", LONG_TIMEOUT_MILLIS, "x")).firstLine().contains(" 200 "));
+            assertTrue(f.connectClient().exchange(submitRequest("stays", LONG_TIMEOUT_MILLIS, "x")).firstLine()
+                    .contains(" 200 "));
             assertEquals(List.of("stays"), requestIds(server));
         }
     }
@@ -84,7 +88,8 @@
 
     @Test
     void theDisconnectOfAClientWithAMalformedRequestIsNoticed() throws Exception {
-        assertDisconnectNoticed(statusRequest("r0", UNREACHED_TIMEOUT_MILLIS) + "no request at all\r\n\r\n" + "more of it\r\n".repeat(1_000), 1);
+        assertDisconnectNoticed(statusRequest("r0", UNREACHED_TIMEOUT_MILLIS) + "no request at all\r\n\r\n"
+                + "more of it\r\n".repeat(1_000), 1);
     }
 
     private static void assertDisconnectNoticed(String bytes, int requestCount) throws Exception {
@@ -117,7 +122,8 @@
             watchSockets.add(socket);
         });
         CountDownLatch resetFirst = new CountDownLatch(1);
-        try (ScriptedServer lateServer = ScriptedServer.withFullBacklog(SERVE_OK); ScriptedServer firstServer = new ScriptedServer((socket, request) -> {
+        try (ScriptedServer lateServer = ScriptedServer.withFullBacklog(SERVE_OK); ScriptedServer firstServer =
+                new ScriptedServer((socket, request) -> {
             ScriptedServer.await(resetFirst);
             ScriptedServer.reset(socket);
         }); GatewayFixture f = GatewayFixture.withSettings(settings -> settings
@@ -155,12 +161,15 @@
             sendWatchLine(socket, endpointListJson(1, false, List.of()));
             watchSockets.add(socket);
         });
-        try (ScriptedServer lateServer = ScriptedServer.withFullBacklog(SERVE_OK); ScriptedServer other = new ScriptedServer(SERVE_OK);
+        try (ScriptedServer lateServer = ScriptedServer.withFullBacklog(SERVE_OK); ScriptedServer other =
+                new ScriptedServer(SERVE_OK);
                 GatewayFixture f = startWithLongConnects(true, discovery, lateServer)) {
             Client client = f.connectClient();
             client.write(submitRequest("r", LONG_TIMEOUT_MILLIS, "x"));
             await("the request", () -> f.countOpenRequests() == 1);
-            sendWatchLine(watchSockets.get(0), endpointListJson(2, false, List.of(endpointJson("s-0", lateServer, newStatus, 0), endpointJson("o", other, "up", 0))));
+            sendWatchLine(watchSockets.get(0),
+                    endpointListJson(2, false, List.of(endpointJson("s-0", lateServer, newStatus, 0), endpointJson("o", other,
+                    "up", 0))));
             assertTrue(client.read().firstLine().contains(" 200 "));
             assertEquals(List.of("r"), requestIds(other));
             lateServer.startAccepting();
--- a/src/test/java/cinderhollow/daemon/UpstreamResponseTest.java
+++ b/src/test/java/cinderhollow/daemon/UpstreamResponseTest.java
@@ -41,7 +41,8 @@
         "HTTP/1.1 500 Error\r\nContent-Length: 3000000000\r\n\r\nfine",
         "HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\n\r\n"})
     void aMalformedResponseFailsItsAttemptAndClosesTheConnection(String bytes) throws Exception {
-        try (ScriptedServer server = new ScriptedServer(respondWithBytes(bytes)); GatewayFixture f = GatewayFixture.withServers(server)) {
+        try (ScriptedServer server = new ScriptedServer(respondWithBytes(bytes)); GatewayFixture f =
+                GatewayFixture.withServers(server)) {
             Message answer = f.connectClient().exchange(submitRequest("r", LONG_TIMEOUT_MILLIS, "x"));
             assertTrue(answer.firstLine().contains(" 502 "), answer.firstLine());
             assertEquals(1, server.requests.size(), "it may have run");
@@ -77,7 +78,8 @@
     @ValueSource(strings = {
         OK_RESPONSE, "noise", "noise\r\n\r\n", "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", "HTTP/1.1 100 Continue\r\n\r\n"})
     void aGoodAnswerWithMoreBehindItIsServedAndItsConnectionNotUsedAgain(String trailingBytes) throws Exception {
-        try (ScriptedServer server = new ScriptedServer(respondWithBytes(OK_RESPONSE + trailingBytes)); GatewayFixture f = GatewayFixture.withServers(server)) {
+        try (ScriptedServer server = new ScriptedServer(respondWithBytes(OK_RESPONSE + trailingBytes)); GatewayFixture f =
+                GatewayFixture.withServers(server)) {
             Client client = f.connectClient();
             assertEquals("fine", client.exchange(submitRequest("r1", LONG_TIMEOUT_MILLIS, "x")).body());
             server.setScript(ScriptedServer.reply("200 OK", "second"));
@@ -88,7 +90,8 @@
 
     @Test
     void bytesOnAnIdleConnectionEndIt() throws Exception {
-        try (ScriptedServer server = new ScriptedServer(respondWithBytes(OK_RESPONSE)); GatewayFixture f = GatewayFixture.withServers(server)) {
+        try (ScriptedServer server = new ScriptedServer(respondWithBytes(OK_RESPONSE)); GatewayFixture f =
+                GatewayFixture.withServers(server)) {
             Client client = f.connectClient();
             assertEquals("fine", client.exchange(submitRequest("r1", LONG_TIMEOUT_MILLIS, "x")).body());
             Socket keptConnection = server.connections.get(0);
@@ -111,7 +114,8 @@
     @Test
     void interimResponsesAreSkippedAndTheConnectionIsKept() throws Exception {
         String interimResponses = "HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n";
-        try (ScriptedServer server = new ScriptedServer(respondWithBytes(interimResponses + OK_RESPONSE)); GatewayFixture f = GatewayFixture.withServers(server)) {
+        try (ScriptedServer server = new ScriptedServer(respondWithBytes(interimResponses + OK_RESPONSE)); GatewayFixture f =
+                GatewayFixture.withServers(server)) {
             Client client = f.connectClient();
             assertEquals("fine", client.exchange(submitRequest("r1", LONG_TIMEOUT_MILLIS, "x")).body());
             assertEquals("fine", client.exchange(submitRequest("r2", LONG_TIMEOUT_MILLIS, "x")).body());
--- a/src/test/java/cinderhollow/emulator/EmulationTest.java
+++ b/src/test/java/cinderhollow/emulator/EmulationTest.java
@@ -94,10 +94,12 @@
         Scenario scenario = Scenario.sparseTraffic(100, 65, 16, 0.5).withEvacuation();
         Emulation quiet = new Emulation(scenario, 1);
         assertTrue(quiet.run().isClean());
-        assertEquals(0, quiet.measureEvacuation(0, 16).evacuatedGateways() + quiet.measureEvacuation(0, 16).otherZoneReductions());
+        assertEquals(0, quiet.measureEvacuation(0, 16).evacuatedGateways() + quiet.measureEvacuation(0, 16)
+                .otherZoneReductions());
         Emulation silent = new Emulation(scenario.withFault(new Scenario.Fault(Scenario.FaultKind.SILENT, 8, 6, 0.34, 1)), 1);
         assertTrue(silent.run().isClean());
         Emulation.EvacuationReport report = silent.measureEvacuation(8, 6);
-        assertTrue(report.evacuatedGateways() == 100 && report.maxSeconds() < 3 && report.otherZoneReductions() == 0, report::toString);
+        assertTrue(report.evacuatedGateways() == 100 && report.maxSeconds() < 3 && report.otherZoneReductions() == 0,
+                report::toString);
     }
 }
--- a/src/test/java/cinderhollow/evacuation/EvacuationTest.java
+++ b/src/test/java/cinderhollow/evacuation/EvacuationTest.java
@@ -69,7 +69,8 @@
         for (Evacuation gateway : fleet.gateways) {
             gateway.traffic().updateServers(SimulatedFleet.servers(List.of("a"), fleet.net.now), false);
         }
-        long took = fleet.net.runUntil(10 * SECOND, () -> IntStream.range(0, GATEWAYS).allMatch(g -> fleet.weight(g, "a") >= 0.5));
+        long took = fleet.net.runUntil(10 * SECOND, () -> IntStream.range(0, GATEWAYS)
+                .allMatch(g -> fleet.weight(g, "a") >= 0.5));
         assertTrue(took > 0 && took < 2 * SECOND, () -> "back after " + took / MS + " ms\n" + String.join("\n", fleet.log));
     }
 
@@ -88,7 +89,8 @@
     @ValueSource(longs = {1, 2, 3})
     void failingServersDoNotEvacuateAZone(long seed) {
         SimulatedFleet fleet = startSettledFleet(seed);
-        fleet.attemptModel = (g, z, h) -> z == 0 && h < 7 || z == 1 && h < 4 || z == 2 && h < 4 ? ZoneSignal.FAILED : ZoneSignal.GOOD;
+        fleet.attemptModel = (g, z, h) -> z == 0 && h < 7 || z == 1 && h < 4 || z == 2 && h < 4 ? ZoneSignal.FAILED
+                : ZoneSignal.GOOD;
         fleet.net.runFor(15 * SECOND);
         assertTrue(fleet.areAllWeightsFull(), () -> String.join("\n", fleet.log));
     }
@@ -219,26 +221,31 @@
         for (int i = 0; i < 21; i++) {
             fleet.net.slots.get(i).start();
         }
-        assertTrue(fleet.net.runUntil(8 * SECOND, () -> fleet.isEvacuatedByAll("a", g -> true)) > 0, () -> String.join("\n", fleet.log));
+        assertTrue(fleet.net.runUntil(8 * SECOND, () -> fleet.isEvacuatedByAll("a", g -> true)) > 0,
+                () -> String.join("\n", fleet.log));
         assertEquals(0, fleet.multiZoneEvacuations);
     }
 
     /** A newer build with clocks an hour ahead publishes decisions that the others can't read: these must still decide. */
     @Test
     void unreadableDecisionsOfNewerBuildsAreTolerated() {
-        SimulatedFleet fleet = new SimulatedFleet(GATEWAYS, 26, (terms, rules, roster, seed, life, host) -> new ObservedEvacuation(terms, rules, roster, seed, life, host) {
+        SimulatedFleet fleet = new SimulatedFleet(GATEWAYS, 26,
+                (terms, rules, roster, seed, life, host) -> new ObservedEvacuation(terms, rules, roster, seed, life, host) {
             @Override
             ZoneDecision stampEpoch(ZoneDecision next) {
                 ZoneDecision decided = super.stampEpoch(next);
-                return roster.self() > 4 ? decided : new ZoneDecision(decided.zone(), decided.vantage(), decided.phase(), ZoneDecision.WEIGHT_SCALE + 1,
+                return roster.self() > 4 ? decided
+                        : new ZoneDecision(decided.zone(), decided.vantage(), decided.phase(), ZoneDecision.WEIGHT_SCALE + 1,
                         decided.flaps(), decided.epoch() + 14_400, decided.decider());
             }
         });
         fleet.net.runFor(8 * SECOND);
         fleet.attemptModel = (g, z, h) -> z == 0 ? null : ZoneSignal.GOOD;
-        assertTrue(fleet.net.runUntil(8 * SECOND, () -> fleet.isEvacuatedByAll("a", g -> g > 4)) > 0, () -> String.join("\n", fleet.log));
+        assertTrue(fleet.net.runUntil(8 * SECOND, () -> fleet.isEvacuatedByAll("a", g -> g > 4)) > 0,
+                () -> String.join("\n", fleet.log));
         fleet.attemptModel = (g, z, h) -> ZoneSignal.GOOD;
-        assertTrue(fleet.net.runUntil(60 * SECOND, () -> IntStream.range(5, GATEWAYS).allMatch(g -> fleet.weight(g, "a") == 1)) > 0,
+        assertTrue(fleet.net.runUntil(60 * SECOND, () -> IntStream.range(5, GATEWAYS)
+                .allMatch(g -> fleet.weight(g, "a") == 1)) > 0,
                 () -> String.join("\n", fleet.log));
     }
 
@@ -259,19 +266,22 @@
         fleet.net.slots.get(29).kill();
         fleet.net.runFor(6 * SECOND);
         fleet.gateways[2].issueOrder(1, Order.Action.LEAVE, fleet.net.unixMillis(fleet.net.slots.get(2)) + 30_000);
-        assertTrue(fleet.net.runUntil(4 * SECOND, () -> fleet.isEvacuatedByAll("b", g -> g != 29)) > 0, () -> String.join("\n", fleet.log));
+        assertTrue(fleet.net.runUntil(4 * SECOND, () -> fleet.isEvacuatedByAll("b", g -> g != 29)) > 0,
+                () -> String.join("\n", fleet.log));
         fleet.net.runFor(2 * SECOND);
         assertEquals(List.of(29), fleet.gateways[2].status().unconfirmedMembers());
         fleet.net.slots.get(2).kill();
         fleet.net.runFor(SECOND);
         fleet.net.slots.get(2).start();
-        assertTrue(fleet.net.runUntil(6 * SECOND, () -> fleet.weight(2, "b") < 0.1) > 0, "the issuer of the order lost it in its restart");
+        assertTrue(fleet.net.runUntil(6 * SECOND, () -> fleet.weight(2, "b") < 0.1) > 0,
+                "the issuer of the order lost it in its restart");
         fleet.attemptModel = (g, z, h) -> z == 0 ? null : ZoneSignal.GOOD;
         fleet.net.runFor(5 * SECOND);
         assertEquals(0, fleet.net.slots.stream().filter(p -> fleet.weight(p.number, "b") > 0.1 && p.number != 29).count());
         fleet.attemptModel = (g, z, h) -> ZoneSignal.GOOD;
         fleet.net.slots.get(29).start();
-        assertTrue(fleet.net.runUntil(60 * SECOND, fleet::areAllWeightsFull) > 0, () -> "not all weights are full again: " + String.join("\n", fleet.log));
+        assertTrue(fleet.net.runUntil(60 * SECOND, fleet::areAllWeightsFull) > 0, () -> "not all weights are full again: "
+                + String.join("\n", fleet.log));
     }
 
     /** All datagrams are lost: each gateway avoids the failing zone by its own observations, and returns to it. */
--- a/src/test/java/cinderhollow/evacuation/ObservedEvacuation.java
+++ b/src/test/java/cinderhollow/evacuation/ObservedEvacuation.java
@@ -9,7 +9,8 @@
 class ObservedEvacuation extends Evacuation {
     BiConsumer<ObservedEvacuation, ZoneDecision> decisionListener = (gateway, course) -> { };
 
-    ObservedEvacuation(EvacuationSettings settings, Rules rules, Roster roster, long seed, long generationMillis, Callbacks callbacks) {
+    ObservedEvacuation(EvacuationSettings settings, Rules rules, Roster roster, long seed, long generationMillis,
+            Callbacks callbacks) {
         super(settings, rules, roster, GossipSettings.DEFAULT, seed, generationMillis, callbacks);
     }
 
--- a/src/test/java/cinderhollow/evacuation/RandomWalk.java
+++ b/src/test/java/cinderhollow/evacuation/RandomWalk.java
@@ -20,14 +20,17 @@
     record Event(long atNanos, EventType type, int target, int argument) {
         @Override
         public String toString() {
-            return atNanos / SimulatedNetwork.MS + " ms " + type.name().toLowerCase(java.util.Locale.ROOT) + " " + target + " " + argument;
+            return atNanos / SimulatedNetwork.MS + " ms " + type.name().toLowerCase(java.util.Locale.ROOT) + " " + target + " "
+                    + argument;
         }
     }
 
-    enum EventType { KILL, START, PAUSE, PARTITION, ONE_WAY_PARTITION, HEAL_PARTITIONS, DATAGRAM_LOSS, DATAGRAM_DUPLICATION, DEAD_ZONE, HALF_FAILING_ZONE, SLOW_ZONE, HEALTHY_ZONE, CLOCK_SHIFT }
+    enum EventType { KILL, START, PAUSE, PARTITION, ONE_WAY_PARTITION, HEAL_PARTITIONS, DATAGRAM_LOSS, DATAGRAM_DUPLICATION,
+            DEAD_ZONE, HALF_FAILING_ZONE, SLOW_ZONE, HEALTHY_ZONE, CLOCK_SHIFT }
 
     static final int GATEWAY_COUNT = 12;
-    private static final long STEP_NANOS = 50 * SimulatedNetwork.MS, SETTLE_NANOS = 4 * SimulatedNetwork.SECOND, RECOVERY_NANOS = 45 * SimulatedNetwork.SECOND;
+    private static final long STEP_NANOS = 50 * SimulatedNetwork.MS, SETTLE_NANOS = 4 * SimulatedNetwork.SECOND,
+            RECOVERY_NANOS = 45 * SimulatedNetwork.SECOND;
     private static final EventType[] EVENT_TYPES = EventType.values();
     private static final Pattern DECISION_LINE = Pattern.compile(
             "zone=(\\w) seen-from=(\\w) phase=(\\w+) weight=([\\d.]+) epoch=(\\d+) by=(\\d+) flaps=(\\d+) .*");
@@ -75,9 +78,11 @@
     static List<Event> drawEvents(long seed, int seconds) {
         SplittableRandom random = new SplittableRandom(seed);
         List<Event> events = new ArrayList<>();
-        for (long at = SETTLE_NANOS; at < SETTLE_NANOS + seconds * SimulatedNetwork.SECOND; at += random.nextLong(20 * SimulatedNetwork.MS, 900 * SimulatedNetwork.MS)) {
+        for (long at = SETTLE_NANOS; at < SETTLE_NANOS
+                + seconds * SimulatedNetwork.SECOND; at += random.nextLong(20 * SimulatedNetwork.MS, 900 * SimulatedNetwork.MS)) {
             EventType type = EVENT_TYPES[random.nextInt(EVENT_TYPES.length)];
-            boolean ofZone = type != EventType.KILL && type != EventType.START && type != EventType.PAUSE && type != EventType.CLOCK_SHIFT;
+            boolean ofZone = type != EventType.KILL && type != EventType.START && type != EventType.PAUSE
+                    && type != EventType.CLOCK_SHIFT;
             events.add(new Event(at, type, random.nextInt(ofZone ? 3 : GATEWAY_COUNT), random.nextInt(3)));
         }
         return events;
@@ -98,7 +103,8 @@
             walk.runUntil(walk.fleet.net.now + STEP_NANOS);
         }
         if (walk.breach == null && !walk.fleet.areAllWeightsFull()) {
-            walk.breach = "not all weights are full " + RECOVERY_NANOS / SimulatedNetwork.SECOND + " s after all faults have ended";
+            walk.breach = "not all weights are full " + RECOVERY_NANOS / SimulatedNetwork.SECOND
+                    + " s after all faults have ended";
         }
         steps[0] += walk.fleet.net.steps;
         return walk.breach;
@@ -204,7 +210,8 @@
         }
         double ratePerServer = GATEWAY_COUNT * fleet.requestsPerSecond / (SimulatedFleet.ZONES.size() * 15);
         if (sum > MAX_RATE_FACTOR * ratePerServer) {
-            recordBreach("together they send " + Math.round(sum) + " requests per second to a cold server, though a warm one can take " + Math.round(ratePerServer));
+            recordBreach("together they send " + Math.round(sum)
+                    + " requests per second to a cold server, though a warm one can take " + Math.round(ratePerServer));
         }
     }
 
@@ -214,7 +221,8 @@
         String phaseAndWeight = m.group(3) + " " + m.group(4);
         String before = decisionByVersion.putIfAbsent(zoneAndVantage + " " + version, phaseAndWeight);
         if (before != null && !before.equals(phaseAndWeight)) {
-            recordBreach("two decisions of one epoch on " + zoneAndVantage + ": " + before + ", " + phaseAndWeight + " (" + m.group(5) + " by " + m.group(6) + ")");
+            recordBreach("two decisions of one epoch on " + zoneAndVantage + ": " + before + ", " + phaseAndWeight + " ("
+                    + m.group(5) + " by " + m.group(6) + ")");
         }
         Long previousVersion = newestVersions.put(gateway + " " + zoneAndVantage, version);
         if (previousVersion != null && previousVersion > version) {
--- a/src/test/java/cinderhollow/evacuation/RandomWalkTest.java
+++ b/src/test/java/cinderhollow/evacuation/RandomWalkTest.java
@@ -24,7 +24,8 @@
     private static final class MutatedEvacuation extends ObservedEvacuation {
         private final Mutation mutation;
 
-        MutatedEvacuation(Mutation mutation, EvacuationSettings settings, Rules rules, Roster roster, long seed, long generationMillis, Callbacks callbacks) {
+        MutatedEvacuation(Mutation mutation, EvacuationSettings settings, Rules rules, Roster roster, long seed,
+                long generationMillis, Callbacks callbacks) {
             super(settings, rules, roster, seed, generationMillis, callbacks);
             this.mutation = mutation;
         }
--- a/src/test/java/cinderhollow/evacuation/SimulatedFleet.java
+++ b/src/test/java/cinderhollow/evacuation/SimulatedFleet.java
@@ -1,9 +1,9 @@
 package cinderhollow.evacuation;
 
 import cinderhollow.evacuation.AttemptWindow.ZoneSignal;
-import cinderhollow.peers.SimulatedNetwork;
 import cinderhollow.peers.GossipSettings;
 import cinderhollow.peers.Roster;
+import cinderhollow.peers.SimulatedNetwork;
 import cinderhollow.policy.Protocol.Readiness;
 import cinderhollow.policy.Protocol.Rules;
 import cinderhollow.policy.Protocol.ServerInfo;
@@ -23,12 +23,15 @@
 
     /** Creates the evacuation of a gateway, unchanged or with a planted fault. */
     interface GatewayFactory {
-        Evacuation make(EvacuationSettings settings, Rules rules, Roster roster, long seed, long generationMillis, Evacuation.Callbacks callbacks);
+        Evacuation make(EvacuationSettings settings, Rules rules, Roster roster, long seed, long generationMillis,
+                Evacuation.Callbacks callbacks);
     }
 
     static final List<String> ZONES = List.of("a", "b", "c");
     private static final int SERVERS_PER_ZONE = 15;
-    private static final Rules RULES = new Rules(0, SimulatedNetwork.SECOND, 10 * SimulatedNetwork.SECOND, 0.3, 8 * SimulatedNetwork.SECOND, 2.5, 1_500 * SimulatedNetwork.MS);
+    private static final Rules RULES =
+            new Rules(0, SimulatedNetwork.SECOND, 10 * SimulatedNetwork.SECOND, 0.3, 8 * SimulatedNetwork.SECOND, 2.5,
+            1_500 * SimulatedNetwork.MS);
     private static final long TRAFFIC_INTERVAL_NANOS = 20 * SimulatedNetwork.MS, SILENCE_LIMIT_NANOS = 200 * SimulatedNetwork.MS;
 
     final SimulatedNetwork net;
@@ -74,7 +77,8 @@
     private SimulatedNetwork.Member make(SimulatedNetwork.MemberSlot slot, long unixMillis, long seed, int size) {
         int number = slot.number;
         EvacuationSettings defaults = EvacuationSettings.withDefaults(ZONES, zoneOf(number), Collections.nCopies(3, size / 3));
-        EvacuationSettings settings = new EvacuationSettings(ZONES, defaults.vantage(), defaults.gatewaysByZone(), regionByZone, 1, defaults.holdNanos(), defaults.maxHoldNanos());
+        EvacuationSettings settings = new EvacuationSettings(ZONES, defaults.vantage(), defaults.gatewaysByZone(), regionByZone,
+                1, defaults.holdNanos(), defaults.maxHoldNanos());
         appliedWeights.set(number, Map.of());
         warmServerRates[number] = 0;
         Evacuation made = factory.make(settings, RULES, new Roster(number, size, "world", new byte[0]), seed, unixMillis,
--- a/src/test/java/cinderhollow/evacuation/ZoneAssessmentTest.java
+++ b/src/test/java/cinderhollow/evacuation/ZoneAssessmentTest.java
@@ -28,7 +28,9 @@
                 failingServerBits |= server < failing ? 1L << server : 0;
                 healthyServerBits |= server < failing ? 0 : 1L << server;
             }
-            digests.add(new Digest(0, false, 0, 0, 0, List.of(new ZoneSummary(1, attemptsPerGateway, failures, 0, Digest.UNKNOWN_UTILISATION, healthyServerBits, failingServerBits))));
+            digests.add(new Digest(0, false, 0, 0, 0,
+                    List.of(new ZoneSummary(1, attemptsPerGateway, failures, 0, Digest.UNKNOWN_UTILISATION, healthyServerBits,
+                    failingServerBits))));
         }
         return ZoneAssessment.of(1, SERVERS, digests);
     }
--- a/src/test/java/cinderhollow/handover/SnapshotTest.java
+++ b/src/test/java/cinderhollow/handover/SnapshotTest.java
@@ -25,7 +25,8 @@
 
     private static Snapshot decode(byte[] bytes) {
         int bodyOffset = bodyOffset(bytes);
-        return Snapshot.decode(new String(bytes, 0, bodyOffset, StandardCharsets.ISO_8859_1), Arrays.copyOfRange(bytes, bodyOffset, bytes.length));
+        return Snapshot.decode(new String(bytes, 0, bodyOffset, StandardCharsets.ISO_8859_1),
+                Arrays.copyOfRange(bytes, bodyOffset, bytes.length));
     }
 
     @Test
@@ -57,7 +58,8 @@
         String header = new String(EXAMPLE.encode(), 0, bodyOffset(EXAMPLE.encode()), StandardCharsets.US_ASCII);
         assertEquals("unsupported snapshot version 2, expected 1", assertThrows(IllegalArgumentException.class,
                 () -> Snapshot.bodyLength(header.replace(" 1 ", " 2 "))).getMessage());
-        for (String foreignHeader : List.of("", "\n", "HTTP/1.1 400 Bad Request\r\n", "kestrelpier-handover 1 99999999 00000000\n",
+        for (String foreignHeader : List.of("", "\n", "HTTP/1.1 400 Bad Request\r\n",
+                "kestrelpier-handover 1 99999999 00000000\n",
                 "kestrelpier-handover 1 -5 00000000\n", "kestrelpier-handover 1 5\n")) {
             assertThrows(IllegalArgumentException.class, () -> Snapshot.bodyLength(foreignHeader), foreignHeader);
         }
--- a/src/test/java/cinderhollow/http1/DownstreamConnectionManagerFaultTest.java
+++ b/src/test/java/cinderhollow/http1/DownstreamConnectionManagerFaultTest.java
@@ -40,7 +40,9 @@
 
     private Socket connect(RequestHandler handler) throws Exception {
         EventLoop loop = group.next();
-        DownstreamConnectionManager server = loop.submit(() -> new DownstreamConnectionManager(loop, Transport.TCP, new GatewayClock(), new EventLoopLag(), 100,
+        DownstreamConnectionManager server =
+                loop.submit(() -> new DownstreamConnectionManager(loop, Transport.TCP, new GatewayClock(), new EventLoopLag(),
+                100,
                 new DownstreamConnectionManager.Listener() {
                     @Override
                     public boolean isReady() {
@@ -48,7 +50,8 @@
                     }
 
                     @Override
-                    public void onRequest(FullHttpRequest request, Upload upload, long arrivedAt, DownstreamConnectionManager.Reply reply) {
+                    public void onRequest(FullHttpRequest request, Upload upload, long arrivedAt,
+                            DownstreamConnectionManager.Reply reply) {
                         handler.handle(reply);
                     }
 
--- a/src/test/java/cinderhollow/lab/AuditorTest.java
+++ b/src/test/java/cinderhollow/lab/AuditorTest.java
@@ -4,28 +4,28 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import cinderhollow.lab.Auditor.Effect;
-import cinderhollow.lab.Auditor.RequestSemantics;
 import cinderhollow.lab.Auditor.NodeLocation;
+import cinderhollow.lab.Auditor.RequestSemantics;
 import cinderhollow.lab.Auditor.Scope;
 import cinderhollow.lab.Breach.Rule;
+import cinderhollow.lab.Observation.AnswerProduced;
 import cinderhollow.lab.Observation.AnswerReceived;
-import cinderhollow.lab.Observation.RequestSent;
-import cinderhollow.lab.Observation.ConnectionAborted;
-import cinderhollow.lab.Observation.OverloadCrash;
+import cinderhollow.lab.Observation.AttemptReceived;
+import cinderhollow.lab.Observation.AttemptRejected;
 import cinderhollow.lab.Observation.ClientTimedOut;
-import cinderhollow.lab.Observation.GatewayPauseChanged;
+import cinderhollow.lab.Observation.ConnectionAborted;
+import cinderhollow.lab.Observation.ExecutionStarted;
 import cinderhollow.lab.Observation.GatewayKilled;
 import cinderhollow.lab.Observation.GatewayKilledAtShutdown;
+import cinderhollow.lab.Observation.GatewayPauseChanged;
 import cinderhollow.lab.Observation.LabLate;
-import cinderhollow.lab.Observation.RequestAbandoned;
-import cinderhollow.lab.Observation.AnswerProduced;
-import cinderhollow.lab.Observation.ExecutionStarted;
-import cinderhollow.lab.Observation.AttemptReceived;
 import cinderhollow.lab.Observation.NodeStarted;
-import cinderhollow.lab.Observation.SurplusAnswer;
+import cinderhollow.lab.Observation.OverloadCrash;
 import cinderhollow.lab.Observation.ReadinessNotified;
+import cinderhollow.lab.Observation.RequestAbandoned;
+import cinderhollow.lab.Observation.RequestSent;
 import cinderhollow.lab.Observation.StartNotified;
-import cinderhollow.lab.Observation.AttemptRejected;
+import cinderhollow.lab.Observation.SurplusAnswer;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
@@ -36,7 +36,8 @@
     private static final long MS = 1_000_000L, S = 1000 * MS;
 
     private final Auditor auditor = new Auditor(
-            Map.of("status", new RequestSemantics(Effect.SAFE, Scope.ALL, 0), "submit", new RequestSemantics(Effect.UNSAFE, Scope.ALL, 0),
+            Map.of("status", new RequestSemantics(Effect.SAFE, Scope.ALL, 0), "submit",
+            new RequestSemantics(Effect.UNSAFE, Scope.ALL, 0),
                     "amend", new RequestSemantics(Effect.KEYED, Scope.CELL, 2 * S)),
             List.of(new NodeLocation("a", 0), new NodeLocation("a", 0), new NodeLocation("a", 1), new NodeLocation("b", 0)),
             new Auditor.Limits(50 * MS, S));
@@ -59,7 +60,8 @@
 
     @Test
     void aServedRequestIsClean() {
-        observe(requestSent(0, "0.1", "submit"), new AttemptReceived(MS, "0.1", 2), new ExecutionStarted(MS, "0.1", 2), new AnswerProduced(9 * MS, "0.1", 2, "x"),
+        observe(requestSent(0, "0.1", "submit"), new AttemptReceived(MS, "0.1", 2), new ExecutionStarted(MS, "0.1", 2),
+                new AnswerProduced(9 * MS, "0.1", 2, "x"),
                 new AnswerReceived(10 * MS, "0.1", 200, "x"));
         assertBroken();
         assertEquals(1, auditor.counts().served());
@@ -77,7 +79,8 @@
     @Test
     void anAnswerHalfASecondAfterTheClientsTimeIsLost() {
         observe(requestSent(0, "0.1", "status"), new AnswerReceived(801 * MS, "0.1", 502, ""), requestSent(S, "0.2", "status"),
-                new AnswerReceived(S + 799 * MS, "0.2", 502, ""), requestSent(2 * S, "0.3", "status"), new AnswerReceived(2 * S + 349 * MS, "0.3", 502, ""));
+                new AnswerReceived(S + 799 * MS, "0.2", 502, ""), requestSent(2 * S, "0.3", "status"),
+                new AnswerReceived(2 * S + 349 * MS, "0.3", 502, ""));
         assertBroken(Rule.LOST);
         assertEquals("0.1", auditor.breaches().get(0).subject());
         assertEquals(2, auditor.answeredLate());
@@ -108,7 +111,8 @@
     void aClientTimeoutIsALossUnlessTheLabWasLate() {
         observe(requestSent(0, "0.1", "status"), new AttemptReceived(MS, "0.1", 2), new ClientTimedOut(1_200 * MS, "0.1"));
         assertBroken(Rule.LOST);
-        observe(requestSent(10 * S, "0.2", "status"), new AttemptReceived(10 * S + MS, "0.2", 2), new ClientTimedOut(12 * S, "0.2"),
+        observe(requestSent(10 * S, "0.2", "status"), new AttemptReceived(10 * S + MS, "0.2", 2),
+                new ClientTimedOut(12 * S, "0.2"),
                 new LabLate(12 * S, 1_400 * MS));
         auditor.finish();
         assertEquals(1, auditor.breachCount());
@@ -118,7 +122,8 @@
     /** Guards against forgetting the first kill: the request is judged only after its gateway has been killed again. */
     @Test
     void aRequestOpenAtAKillIsExcusedThoughAnotherKillFollows() {
-        observe(new RequestSent(0, "0.1", 0, "status", 3 * S), new AttemptReceived(MS, "0.1", 2), new GatewayKilled(30 * MS, 0), new ConnectionAborted(31 * MS, "0.1"),
+        observe(new RequestSent(0, "0.1", 0, "status", 3 * S), new AttemptReceived(MS, "0.1", 2), new GatewayKilled(30 * MS, 0),
+                new ConnectionAborted(31 * MS, "0.1"),
                 new GatewayKilled(4 * S, 0));
         assertBroken();
         assertEquals(1, auditor.counts().excused());
@@ -130,9 +135,12 @@
      */
     @Test
     void requestsUnansweredAtTheKillAfterSigtermAreLost() {
-        observe(new GatewayPauseChanged(0, 0, true), new GatewayPauseChanged(50 * MS, 0, false), requestSent(S, "0.1", "status"), requestSent(3_640 * MS, "0.2", "status"),
-                requestSent(3_690 * MS, "0.3", "status"), requestSent(3_000 * MS, "1.1", "status"), new AnswerReceived(3_010 * MS, "1.1", 503, ""),
-                new GatewayKilledAtShutdown(3_700 * MS, 0), new ConnectionAborted(3_701 * MS, "0.1"), new ConnectionAborted(3_701 * MS, "0.2"),
+        observe(new GatewayPauseChanged(0, 0, true), new GatewayPauseChanged(50 * MS, 0, false),
+                requestSent(S, "0.1", "status"), requestSent(3_640 * MS, "0.2", "status"),
+                requestSent(3_690 * MS, "0.3", "status"), requestSent(3_000 * MS, "1.1", "status"),
+                new AnswerReceived(3_010 * MS, "1.1", 503, ""),
+                new GatewayKilledAtShutdown(3_700 * MS, 0), new ConnectionAborted(3_701 * MS, "0.1"),
+                new ConnectionAborted(3_701 * MS, "0.2"),
                 new ConnectionAborted(3_701 * MS, "0.3"));
         auditor.finish();
         assertEquals(Set.of(Rule.LOST), auditor.brokenRules());
@@ -144,20 +152,23 @@
     void aGatewayThatStillRunsAtTheKillIsABreachUnlessItWasPaused() {
         observe(new LabLate(0, 0), new GatewayKilledAtShutdown(3_700 * MS, 0));
         assertBroken(Rule.GATEWAY_ENDED);
-        observe(new GatewayPauseChanged(10 * S, 1, true), new GatewayPauseChanged(10 * S + 100 * MS, 1, false), new GatewayKilledAtShutdown(13 * S, 1));
+        observe(new GatewayPauseChanged(10 * S, 1, true), new GatewayPauseChanged(10 * S + 100 * MS, 1, false),
+                new GatewayKilledAtShutdown(13 * S, 1));
         assertEquals(1, auditor.breachCount());
     }
 
     /** A pause excuses late answers, but not a second attempt of an unsafe request after it. */
     @Test
     void aPausedGatewayMayAnswerLateButRunNothingTwice() {
-        observe(new GatewayPauseChanged(0, 0, true), requestSent(MS, "0.1", "status"), new AttemptReceived(2 * MS, "0.1", 2), new GatewayPauseChanged(5 * S, 0, false),
+        observe(new GatewayPauseChanged(0, 0, true), requestSent(MS, "0.1", "status"), new AttemptReceived(2 * MS, "0.1", 2),
+                new GatewayPauseChanged(5 * S, 0, false),
                 new AnswerReceived(5 * S + 100 * MS, "0.1", 502, ""));
         assertBroken();
         observe(requestSent(20 * S, "0.2", "status"), new AnswerReceived(25 * S, "0.2", 502, ""));
         auditor.finish();
         assertEquals(1, auditor.breachCount());
-        observe(new GatewayPauseChanged(40 * S, 0, true), requestSent(40 * S, "0.3", "submit"), new AttemptReceived(40 * S + MS, "0.3", 2), new ExecutionStarted(40 * S + MS, "0.3", 2),
+        observe(new GatewayPauseChanged(40 * S, 0, true), requestSent(40 * S, "0.3", "submit"),
+                new AttemptReceived(40 * S + MS, "0.3", 2), new ExecutionStarted(40 * S + MS, "0.3", 2),
                 new GatewayPauseChanged(45 * S, 0, false), new AttemptReceived(45 * S + MS, "0.3", 1));
         auditor.finish();
         assertEquals(Rule.RAN_TWICE, auditor.breaches().get(1).rule());
@@ -173,7 +184,8 @@
     @Test
     void requestsOpenAtAKilledGatewayAreExcused() {
         observe(requestSent(0, "0.1", "submit"), new AttemptReceived(MS, "0.1", 2), requestSent(0, "1.2", "submit"),
-                new AttemptReceived(MS, "1.2", 2), new GatewayKilled(2 * MS, 0), new ConnectionAborted(3 * MS, "0.1"), new ConnectionAborted(3 * MS, "1.2"));
+                new AttemptReceived(MS, "1.2", 2), new GatewayKilled(2 * MS, 0), new ConnectionAborted(3 * MS, "0.1"),
+                new ConnectionAborted(3 * MS, "1.2"));
         assertBroken(Rule.LOST);
         assertEquals("1.2", auditor.breaches().get(0).subject());
         assertEquals(1, auditor.counts().excused());
@@ -181,14 +193,16 @@
 
     @Test
     void aSecondAnswerIsNamed() {
-        observe(requestSent(0, "0.1", "submit"), new AnswerProduced(MS, "0.1", 2, "x"), new AnswerReceived(2 * MS, "0.1", 200, "x"),
+        observe(requestSent(0, "0.1", "submit"), new AnswerProduced(MS, "0.1", 2, "x"),
+                new AnswerReceived(2 * MS, "0.1", 200, "x"),
                 new SurplusAnswer(3 * MS, "0.1"));
         assertBroken(Rule.ANSWERED_TWICE);
     }
 
     @Test
     void swappedAnswersAreForeignToBoth() {
-        observe(requestSent(0, "0.1", "submit"), requestSent(0, "0.2", "submit"), new AnswerProduced(MS, "0.1", 2, "x"), new AnswerProduced(MS, "0.2", 2, "y"),
+        observe(requestSent(0, "0.1", "submit"), requestSent(0, "0.2", "submit"), new AnswerProduced(MS, "0.1", 2, "x"),
+                new AnswerProduced(MS, "0.2", 2, "y"),
                 new AnswerReceived(2 * MS, "0.1", 200, "y"), new AnswerReceived(2 * MS, "0.2", 200, "x"));
         auditor.finish();
         assertEquals(Set.of(Rule.FOREIGN_ANSWER), auditor.brokenRules());
@@ -205,7 +219,8 @@
     @Test
     void anUnsafeRequestThatWasTurnedAwayMayBeSentAgainOrRefused() {
         observe(requestSent(0, "0.1", "submit"), new AttemptReceived(MS, "0.1", 2), new AttemptRejected(MS, "0.1", 2),
-                new AttemptReceived(2 * MS, "0.1", 3), new AttemptRejected(2 * MS, "0.1", 3), new AnswerReceived(3 * MS, "0.1", 503, ""));
+                new AttemptReceived(2 * MS, "0.1", 3), new AttemptRejected(2 * MS, "0.1", 3),
+                new AnswerReceived(3 * MS, "0.1", 503, ""));
         assertBroken();
     }
 
@@ -224,7 +239,8 @@
 
     @Test
     void forwardingAfterARefusalIsABreach() {
-        observe(requestSent(0, "0.1", "submit"), new AnswerReceived(3 * MS, "0.1", 503, ""), new AttemptReceived(4 * MS, "0.1", 2));
+        observe(requestSent(0, "0.1", "submit"), new AnswerReceived(3 * MS, "0.1", 503, ""),
+                new AttemptReceived(4 * MS, "0.1", 2));
         assertBroken(Rule.REFUSED_THOUGH_RAN);
     }
 
@@ -240,32 +256,39 @@
 
     @Test
     void aKeyedRequestIsNotResentAfterItsWindow() {
-        observe(new RequestSent(0, "0.1", 0, "amend", 5 * S), new AttemptReceived(0, "0.1", 0), new AttemptReceived(2 * S + 60 * MS, "0.1", 0),
+        observe(new RequestSent(0, "0.1", 0, "amend", 5 * S), new AttemptReceived(0, "0.1", 0),
+                new AttemptReceived(2 * S + 60 * MS, "0.1", 0),
                 new AnswerReceived(2 * S + 70 * MS, "0.1", 502, ""));
         assertBroken(Rule.OUTSIDE_GROUP);
     }
 
     @Test
     void nothingIsSentAfterTheFinalAnswer() {
-        observe(requestSent(0, "0.1", "status"), new AnswerReceived(3 * MS, "0.1", 502, ""), new AttemptReceived(40 * MS, "0.1", 2),
-                requestSent(S, "0.2", "status"), new AnswerReceived(S, "0.2", 502, ""), new AttemptReceived(S + 60 * MS, "0.2", 2));
+        observe(requestSent(0, "0.1", "status"), new AnswerReceived(3 * MS, "0.1", 502, ""),
+                new AttemptReceived(40 * MS, "0.1", 2),
+                requestSent(S, "0.2", "status"), new AnswerReceived(S, "0.2", 502, ""),
+                new AttemptReceived(S + 60 * MS, "0.2", 2));
         assertBroken(Rule.SENT_AFTER_ANSWER);
         assertEquals("0.2", auditor.breaches().get(0).subject());
     }
 
     @Test
     void aDrainedNodeGetsNothingOnceTheGraceIsOver() {
-        observe(new ReadinessNotified(0, 0, 2, false), requestSent(900 * MS, "0.1", "status"), new AttemptReceived(1040 * MS, "0.1", 2),
-                new AnswerReceived(1050 * MS, "0.1", 502, ""), requestSent(2 * S, "1.2", "status"), new AttemptReceived(2 * S, "1.2", 2),
+        observe(new ReadinessNotified(0, 0, 2, false), requestSent(900 * MS, "0.1", "status"),
+                new AttemptReceived(1040 * MS, "0.1", 2),
+                new AnswerReceived(1050 * MS, "0.1", 502, ""), requestSent(2 * S, "1.2", "status"),
+                new AttemptReceived(2 * S, "1.2", 2),
                 new AnswerReceived(2 * S, "1.2", 502, ""));
         assertBroken();
-        observe(requestSent(2 * S, "0.3", "status"), new AttemptReceived(2 * S, "0.3", 2), new AnswerReceived(2 * S, "0.3", 502, ""));
+        observe(requestSent(2 * S, "0.3", "status"), new AttemptReceived(2 * S, "0.3", 2),
+                new AnswerReceived(2 * S, "0.3", 502, ""));
         assertBroken(Rule.SENT_AFTER_DRAIN);
     }
 
     @Test
     void aNodeThatIsUpAgainMayGetRequests() {
-        observe(new ReadinessNotified(0, 0, 2, false), new ReadinessNotified(3 * S, 0, 2, true), requestSent(4 * S, "0.1", "status"),
+        observe(new ReadinessNotified(0, 0, 2, false), new ReadinessNotified(3 * S, 0, 2, true),
+                requestSent(4 * S, "0.1", "status"),
                 new AttemptReceived(4 * S, "0.1", 2), new AnswerReceived(4 * S, "0.1", 502, ""));
         assertBroken();
     }
@@ -301,7 +324,8 @@
     @Test
     void anAbandonedRequestNeedsNoAnswer() {
         observe(requestSent(0, "0.1", "submit"), new AttemptReceived(MS, "0.1", 2), new AnswerProduced(2 * MS, "0.1", 2, "x"),
-                new RequestAbandoned(2 * MS, "0.1"), requestSent(0, "0.2", "submit"), new RequestAbandoned(MS, "0.2"), new AttemptReceived(MS, "0.2", 3),
+                new RequestAbandoned(2 * MS, "0.1"), requestSent(0, "0.2", "submit"), new RequestAbandoned(MS, "0.2"),
+                new AttemptReceived(MS, "0.2", 3),
                 new ExecutionStarted(2 * MS, "0.2", 3));
         assertBroken();
         assertEquals(2, auditor.counts().abandoned());
@@ -320,7 +344,8 @@
         for (int i = 0; i < 400_000; i++) {
             String id = "0." + i;
             long at = i * MS;
-            observe(requestSent(at, id, "status"), new AttemptReceived(at, id, 1), new AnswerProduced(at, id, 1, id), new AnswerReceived(at, id, 200, id));
+            observe(requestSent(at, id, "status"), new AttemptReceived(at, id, 1), new AnswerProduced(at, id, 1, id),
+                    new AnswerReceived(at, id, 200, id));
         }
         assertEquals(0, auditor.counts().unaudited());
         assertTrue(auditor.trackedRequestCount() < 5_000, "held " + auditor.trackedRequestCount());
--- a/src/test/java/cinderhollow/lab/BrokenGatewayTest.java
+++ b/src/test/java/cinderhollow/lab/BrokenGatewayTest.java
@@ -63,7 +63,8 @@
                 // The scripted gateways run in the lab's process. A run in which that stalled, because of code not compiled
                 // yet or a busy machine, says nothing about them and is repeated.
                 Report report = task.call();
-                for (int i = 1; i < MAX_RUNS && (report.unjudgedOverloadCrashes() > 0 || report.worstLatenessMillis() > MAX_LATENESS_MILLIS);
+                for (int i = 1; i < MAX_RUNS && (report.unjudgedOverloadCrashes() > 0
+                        || report.worstLatenessMillis() > MAX_LATENESS_MILLIS);
                         i++) {
                     report = task.call();
                 }
@@ -76,7 +77,8 @@
     }
 
     private static Report runCorrect(long seed) throws Exception {
-        FleetConfig site = new FleetConfig(8, 2, 60, SECONDS, seed, FleetConfig.defaultClasses(), 0.05, 2, 1024, FleetConfig.DEFAULT_NODE_PARAMETERS, null);
+        FleetConfig site = new FleetConfig(8, 2, 60, SECONDS, seed, FleetConfig.defaultClasses(), 0.05, 2, 1024,
+                FleetConfig.DEFAULT_NODE_PARAMETERS, null);
         FaultPlan plan = FaultPlan.draw(seed, SECONDS + 2, 8, 2, List.of("crash", "drain", "silent", "slow", "errors",
                 "reset-before", "reset-after", "kill-gateway", "stop-gateway"));
         try (Lab lab = new Lab(site, plan, ScriptedGateway.launcher(Flaw.NONE), second -> { })) {
@@ -100,7 +102,8 @@
     void onlyTheExpectedRuleIsReported(Flaw flaw) throws Exception {
         Report report = RUNS_BY_FLAW.get(flaw).get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
         Set<Rule> reported = report.breaches().stream().map(Breach::rule).collect(Collectors.toSet());
-        Set<Rule> expected = Arrays.stream(Flaw.values()).filter(flaw::equals).filter(RULE_BY_FLAW::containsKey).map(RULE_BY_FLAW::get)
+        Set<Rule> expected = Arrays.stream(Flaw.values()).filter(flaw::equals).filter(RULE_BY_FLAW::containsKey)
+                .map(RULE_BY_FLAW::get)
                 .collect(Collectors.toSet());
         assertEquals(expected, reported, report::toString);
         assertTrue(report.served() > report.requests() / 10, report::toString);
--- a/src/test/java/cinderhollow/lab/FaultSoakTest.java
+++ b/src/test/java/cinderhollow/lab/FaultSoakTest.java
@@ -13,7 +13,8 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     void noRuleIsBroken(long seed) throws Exception {
-        try (Lab lab = new Lab(SMALL_SOAK.fleetConfig(seed), SMALL_SOAK.plan(seed), GatewayProcess.launcher(GatewayProcess.DEPLOYMENT_JVM_FLAGS), second -> { })) {
+        try (Lab lab = new Lab(SMALL_SOAK.fleetConfig(seed), SMALL_SOAK.plan(seed),
+                GatewayProcess.launcher(GatewayProcess.DEPLOYMENT_JVM_FLAGS), second -> { })) {
             Report report = lab.run();
             assertTrue(report.isClean(), () -> SMALL_SOAK.plan(seed) + "\n" + report);
             assertEquals(0, report.openMalformedConnections(), report::toString);
--- a/src/test/java/cinderhollow/lab/NodeModelTest.java
+++ b/src/test/java/cinderhollow/lab/NodeModelTest.java
@@ -77,7 +77,8 @@
             at = node.nextFinishAtNanos();
             node.takeFinished(at);
         }
-        assertTrue(node.capacityFraction(at) > 0.25 + 0.75 * at / (8.0 * S) + 0.05, "capacity " + node.capacityFraction(at) + " at " + at);
+        assertTrue(node.capacityFraction(at) > 0.25 + 0.75 * at / (8.0 * S) + 0.05, "capacity " + node.capacityFraction(at)
+                + " at " + at);
     }
 
     /** The budget is 2.5 times a quarter of the capacity for 1.5 s, which is 0.94 s of work, and five requests of slack. */
--- a/src/test/java/cinderhollow/lab/ScriptedGateway.java
+++ b/src/test/java/cinderhollow/lab/ScriptedGateway.java
@@ -1,8 +1,8 @@
 package cinderhollow.lab;
 
 import cinderhollow.core.Json;
-import cinderhollow.membership.EndpointList.Endpoint;
 import cinderhollow.membership.EndpointList;
+import cinderhollow.membership.EndpointList.Endpoint;
 import cinderhollow.policy.Protocol.Readiness;
 import java.io.BufferedInputStream;
 import java.io.BufferedReader;
@@ -321,7 +321,8 @@
     public boolean awaitExit(Duration timeout) throws InterruptedException {
         long deadlineNanos = System.nanoTime() + timeout.toNanos();
         synchronized (openRequests) {
-            for (long remainingNanos = timeout.toNanos(); isAlive() && remainingNanos > 0; remainingNanos = deadlineNanos - System.nanoTime()) {
+            for (long remainingNanos = timeout.toNanos(); isAlive() && remainingNanos > 0; remainingNanos =
+                    deadlineNanos - System.nanoTime()) {
                 TimeUnit.NANOSECONDS.timedWait(openRequests, remainingNanos);
             }
         }
--- a/src/test/java/cinderhollow/ledger/JournalRecoveryTest.java
+++ b/src/test/java/cinderhollow/ledger/JournalRecoveryTest.java
@@ -42,7 +42,8 @@
             } else {
                 long endedRequest = List.copyOf(openRequestIds.keySet()).get(random.nextInt(openRequestIds.size()));
                 RequestEnd end = RequestEnd.values()[random.nextInt(RequestEnd.values().length)];
-                ledger.counters(LedgerPlace.CORE).recordEnded(accountNumbers.get(endedRequest), end, openRequestIds.get(endedRequest));
+                ledger.counters(LedgerPlace.CORE)
+                        .recordEnded(accountNumbers.get(endedRequest), end, openRequestIds.get(endedRequest));
                 frame.writeEnded(endedRequest, end);
                 openRequestIds.remove(endedRequest);
             }
@@ -63,7 +64,8 @@
     private void assertRecovered(JournalRecovery recovery, List<EarlierRunTotals> earlierTotals) {
         assertEquals(List.copyOf(openRequestIds.values()), recovery.orphans().stream().map(JournalRecovery.Orphan::id).toList());
         long takenEarlier = earlierTotals.stream().mapToLong(EarlierRunTotals::taken).sum();
-        assertEquals(takenEarlier + lastRequestNumber, recovery.totalsIncludingThisRun().stream().mapToLong(EarlierRunTotals::taken).sum());
+        assertEquals(takenEarlier + lastRequestNumber, recovery.totalsIncludingThisRun().stream()
+                .mapToLong(EarlierRunTotals::taken).sum());
         recovery.totalsIncludingThisRun().forEach(totals -> assertTrue(totals.isBalanced(), totals.toString()));
     }
 
--- a/src/test/java/cinderhollow/ledger/LedgerTest.java
+++ b/src/test/java/cinderhollow/ledger/LedgerTest.java
@@ -84,7 +84,8 @@
         assertTrue(newBreaches.size() >= 2, newBreaches.toString());
         newBreaches.forEach(breach -> assertEquals("class submit", breach.account()));
         assertTrue(newBreaches.get(0).description().startsWith(place + ": "), newBreaches.toString());
-        assertEquals("lost opened (" + place + ")", newBreaches.get(0).recentEntries().get(newBreaches.get(0).recentEntries().size() - 1));
+        assertEquals("lost opened (" + place + ")", newBreaches.get(0).recentEntries()
+                .get(newBreaches.get(0).recentEntries().size() - 1));
         assertEquals(32, newBreaches.get(0).recentEntries().size());
     }
 
@@ -126,7 +127,8 @@
     /** Guards against false breaches when a 64-bit counter wraps around. */
     @Test
     void countersThatWrapStillAddUp() {
-        LedgerCounters counters = new LedgerCounters(LedgerPlace.CORE, new RecentEntries(1), new long[] {-3}, new long[] {-5, 0, 0, 0});
+        LedgerCounters counters = new LedgerCounters(LedgerPlace.CORE, new RecentEntries(1), new long[] {-3}, new long[] {-5, 0,
+                0, 0});
         for (int i = 0; i < 10; i++) {
             counters.recordOpened(0, "r");
             counters.recordEnded(0, RequestEnd.SERVED, "r");
--- a/src/test/java/cinderhollow/ledger/OpenMetricsTest.java
+++ b/src/test/java/cinderhollow/ledger/OpenMetricsTest.java
@@ -17,9 +17,11 @@
 
 /** Checks the metrics text against the grammar of OpenMetrics 1.0.0 ("ABNF" and "Overall Structure"), and reads it back. */
 class OpenMetricsTest {
-    private static final String NAME = "[a-zA-Z_:][a-zA-Z0-9_:]*", NUMBER = "[+-]?(?:[0-9]+(?:\\.[0-9]*)?|\\.[0-9]+)(?:[eE][+-]?[0-9]+)?|[+-]Inf|NaN";
+    private static final String NAME = "[a-zA-Z_:][a-zA-Z0-9_:]*", NUMBER =
+            "[+-]?(?:[0-9]+(?:\\.[0-9]*)?|\\.[0-9]+)(?:[eE][+-]?[0-9]+)?|[+-]Inf|NaN";
     private static final Pattern LABEL = Pattern.compile("[a-zA-Z_][a-zA-Z0-9_]*=\"(?:[^\"\\\\\n]|\\\\[\\\\n\"])*\"");
-    private static final Pattern SAMPLE = Pattern.compile("(" + NAME + ")\\{(" + LABEL + "(?:," + LABEL + ")*)?} (?:" + NUMBER + ")");
+    private static final Pattern SAMPLE =
+            Pattern.compile("(" + NAME + ")\\{(" + LABEL + "(?:," + LABEL + ")*)?} (?:" + NUMBER + ")");
     private static final Pattern METADATA = Pattern.compile("# (TYPE|HELP|UNIT) (" + NAME + ") (.+)");
 
     private static Ledger createLedger(List<String> accounts, int requests) {
@@ -42,7 +44,8 @@
     private static String writeMetrics(Ledger... ledgers) {
         List<LedgerMetrics> figures = new ArrayList<>();
         for (Ledger ledger : ledgers) {
-            figures.add(ledger.collectMetrics((place, account) -> 0, List.of(new EarlierRunTotals("x", 9, List.of(1L, 2L, 3L, 1L), 2)), 4));
+            figures.add(ledger.collectMetrics((place, account) -> 0,
+                    List.of(new EarlierRunTotals("x", 9, List.of(1L, 2L, 3L, 1L), 2)), 4));
         }
         return OpenMetrics.write(figures, "1-a");
     }
@@ -88,7 +91,8 @@
 
     @Test
     void theTextFollowsTheGrammar() {
-        assertTrue(assertGrammar(writeMetrics(createLedger(List.of("class status", "GET /a \"b\" \\ c\nd"), 40), createLedger(List.of("x"), 3))) > 60);
+        assertTrue(assertGrammar(writeMetrics(createLedger(List.of("class status", "GET /a \"b\" \\ c\nd"), 40),
+                createLedger(List.of("x"), 3))) > 60);
         assertEquals(9, assertGrammar(writeMetrics(createLedger(List.of("x"), 0))));
     }
 
--- a/src/test/java/cinderhollow/membership/EndpointListDifferTest.java
+++ b/src/test/java/cinderhollow/membership/EndpointListDifferTest.java
@@ -70,7 +70,8 @@
         EndpointListDiffer changes = new EndpointListDiffer(null);
         addAndTakeAll(changes, list(true, upEndpoints(0, 3)));
         assertEquals(List.of(), addAndTakeAll(changes, list(false, List.of(up(1), endpoint(9, Readiness.GONE, 0)))));
-        assertEquals(List.of(endpoint(1, Readiness.GONE, 0)), addAndTakeAll(changes, list(false, List.of(endpoint(1, Readiness.GONE, 0)))));
+        assertEquals(List.of(endpoint(1, Readiness.GONE, 0)),
+                addAndTakeAll(changes, list(false, List.of(endpoint(1, Readiness.GONE, 0)))));
     }
 
     /** After any changes of the list, the reported changes add up to the subset's part of it, plus draining servers. */
--- a/src/test/java/cinderhollow/membership/SubsetFleetTest.java
+++ b/src/test/java/cinderhollow/membership/SubsetFleetTest.java
@@ -22,8 +22,10 @@
         Result all = simulate(ServerSelection.ALL, seed);
         String figures = subsets + "\n" + random + "\n" + all;
         assertTrue(subsets.maxGatewaysPerServer() <= 1.25 * subsets.meanGatewaysPerServer(), figures);
-        assertTrue(random.maxGatewaysPerServer() > 1.25 * random.meanGatewaysPerServer(), "random subsets are too even to compare with: " + figures);
-        assertTrue(subsets.inTimeRatio() >= random.inTimeRatio() - 0.01 && subsets.inTimeRatio() >= all.inTimeRatio() - 0.01, figures);
+        assertTrue(random.maxGatewaysPerServer() > 1.25 * random.meanGatewaysPerServer(),
+                "random subsets are too even to compare with: " + figures);
+        assertTrue(subsets.inTimeRatio() >= random.inTimeRatio() - 0.01 && subsets.inTimeRatio() >= all.inTimeRatio() - 0.01,
+                figures);
         // In these 2 s a server warms up from 0.3 to 0.48 of its speed; the rule allows 2.5 times the mean of these.
         assertTrue(subsets.maxColdLoad() <= 2.5 * (0.3 + 0.48) / 2, figures);
     }
--- a/src/test/java/cinderhollow/membership/SubsetTest.java
+++ b/src/test/java/cinderhollow/membership/SubsetTest.java
@@ -87,7 +87,8 @@
         for (Subset subset : fleet(90, 300, servers)) {
             assertTrue(subset.size() > 230 && subset.size() < 370, "size " + subset.size());
             for (String zone : ZONES) {
-                long here = servers.entrySet().stream().filter(e -> e.getValue().equals(zone) && subset.contains(e.getKey())).count();
+                long here = servers.entrySet().stream().filter(e -> e.getValue().equals(zone) && subset.contains(e.getKey()))
+                        .count();
                 // About 150 of its own zone and 75 of each other zone.
                 assertTrue(here >= 40 && here <= 200, zone + " has " + here);
             }
@@ -133,7 +134,8 @@
         Set<String> after = gatewayServerPairs(fleet, moreServers);
         // The minimum: the new servers' share of all pairs is removed from the other servers and added to the new ones.
         double minChangedPairs = 2.0 * after.size() * 300 / 3_300;
-        assertTrue(countChangedPairs(before, after) <= 1.3 * minChangedPairs, countChangedPairs(before, after) + " pairs changed; minimum: " + minChangedPairs);
+        assertTrue(countChangedPairs(before, after) <= 1.3 * minChangedPairs, countChangedPairs(before, after)
+                + " pairs changed; minimum: " + minChangedPairs);
     }
 
     /** The subset depends on the current list only, not on the order or number of its updates or on servers removed before. */
@@ -181,7 +183,8 @@
         }
         assertTrue(subset.size() >= 2 * initialSize - 10, subset.size() + " servers; initially " + initialSize);
         assertTrue(2 * failing.size() <= subset.size() + 10, failing.size() + " of " + subset.size());
-        assertTrue(servers.keySet().stream().filter(failing::contains).allMatch(subset::contains), "servers leave a subset that widens");
+        assertTrue(servers.keySet().stream().filter(failing::contains).allMatch(subset::contains),
+                "servers leave a subset that widens");
         for (int second = 0; second < 120; second++) {
             for (int i = 0; i < 100; i++) {
                 subset.recordOutcome(true);
--- a/src/test/java/cinderhollow/operator/OperatorFileTest.java
+++ b/src/test/java/cinderhollow/operator/OperatorFileTest.java
@@ -4,8 +4,8 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cinderhollow.policy.Protocol.Effect;
 import cinderhollow.policy.Protocol.DedupGroup;
+import cinderhollow.policy.Protocol.Effect;
 import cinderhollow.policy.Protocol.Outcome;
 import cinderhollow.policy.Protocol.RequestClass;
 import cinderhollow.routes.Route;
@@ -34,7 +34,8 @@
             5, true, 400 * MS, 7, 3, "a", true);
     private static final String STATUS = "[class.status]\n", SUBMIT = "[class.submit]\n", AMEND = "[class.amend]\n";
 
-    private static final String PEERS = "[peers]\nlisten = \"10.0.0.1:7946\"\nmembers = [\"10.0.0.1:7946\", \"10.0.0.2:7946\"]\nnumber = 1\n";
+    private static final String PEERS =
+            "[peers]\nlisten = \"10.0.0.1:7946\"\nmembers = [\"10.0.0.1:7946\", \"10.0.0.2:7946\"]\nnumber = 1\n";
     private static final String ZONES = "[zones]\nnames = [\"a\", \"b\", \"c\"]\n";
 
     @Test
@@ -42,7 +43,8 @@
         OperatorFile file = OperatorFile.parse(PEERS + ZONES + "gateways = { a = 5 }\nhold = \"2s\"\n", PLATFORM);
         assertEquals(List.of(), file.findings());
         assertEquals(List.of(5, 0, 0), file.peersConfig().gatewaysByZone());
-        assertTrue(file.explain().contains("exchanges datagrams with 1 others, without a secret; evacuates up to 1 of zones a, b, c, for 2000ms to 60000ms"),
+        assertTrue(file.explain()
+                .contains("exchanges datagrams with 1 others, without a secret; evacuates up to 1 of zones a, b, c, for 2000ms to 60000ms"),
                 file::explain);
         PlatformConstraints withoutPeers = new PlatformConstraints(PLATFORM.classes(), 5, true, 0, 7, 3, "a", false);
         assertEquals(Rule.PEERS_NOT_ALLOWED, OperatorFile.parse(PEERS + ZONES, withoutPeers).findings().get(0).rule());
@@ -65,18 +67,23 @@
                 badFile(Rule.WRONG_TYPE, STATUS + "attempts = \"2\"\n"), badFile(Rule.WRONG_TYPE, "class = 3\n"),
                 badFile(Rule.WRONG_TYPE, "route = \"x\"\n"), badFile(Rule.WRONG_TYPE, "route = [1]\n"),
                 badFile(Rule.WRONG_TYPE, "[class]\nstatus = 1\n"), badFile(Rule.WRONG_TYPE, STATUS + "retry_on = \"full\"\n"),
-                badFile(Rule.WRONG_TYPE, STATUS + "retry_on = [1]\n"), badFile(Rule.WRONG_TYPE, STATUS + "second_copy = \"10ms\"\n"),
+                badFile(Rule.WRONG_TYPE, STATUS + "retry_on = [1]\n"),
+                badFile(Rule.WRONG_TYPE, STATUS + "second_copy = \"10ms\"\n"),
                 badFile(Rule.WRONG_TYPE, STATUS + "retry_budget = 0.1\n"),
                 badFile(Rule.WRONG_TYPE, STATUS + "retry_budget = { share = \"0.1\" }\n"),
                 badFile(Rule.WRONG_TYPE, AMEND + "resend_within = \"street\"\n"),
                 // durations and numbers
                 badFile(Rule.DURATION_FORM, STATUS + "total = 700\n"), badFile(Rule.DURATION_FORM, STATUS + "total = \"700\"\n"),
                 badFile(Rule.DURATION_FORM, STATUS + "total = \"-5ms\"\n"), badFile(Rule.DURATION_FORM, STATUS + "total = nan\n"),
-                badFile(Rule.DURATION_FORM, STATUS + "total = inf\n"), badFile(Rule.DURATION_FORM, STATUS + "total = \"NaNms\"\n"),
-                badFile(Rule.DURATION_FORM, STATUS + "total = \"1e3ms\"\n"), badFile(Rule.DURATION_FORM, STATUS + "total = \"2h\"\n"),
+                badFile(Rule.DURATION_FORM, STATUS + "total = inf\n"),
+                badFile(Rule.DURATION_FORM, STATUS + "total = \"NaNms\"\n"),
+                badFile(Rule.DURATION_FORM, STATUS + "total = \"1e3ms\"\n"),
+                badFile(Rule.DURATION_FORM, STATUS + "total = \"2h\"\n"),
                 badFile(Rule.DURATION_FORM, STATUS + "total = \"99999999999999999999s\"\n"),
-                badFile(Rule.DURATION_FORM, STATUS + "total = \"5 parsecs\"\n"), badFile(Rule.DURATION_FORM, STATUS + "backoff = \"\"\n"),
-                badFile(Rule.DURATION_FORM, STATUS + "total = true\n"), badFile(Rule.TIME_TOO_SHORT, STATUS + "total = \"0ms\"\n"),
+                badFile(Rule.DURATION_FORM, STATUS + "total = \"5 parsecs\"\n"),
+                badFile(Rule.DURATION_FORM, STATUS + "backoff = \"\"\n"),
+                badFile(Rule.DURATION_FORM, STATUS + "total = true\n"),
+                badFile(Rule.TIME_TOO_SHORT, STATUS + "total = \"0ms\"\n"),
                 badFile(Rule.TIME_TOO_SHORT, STATUS + "attempt_timeout = \"10us\"\nattempts = 1\n"),
                 badFile(Rule.NUMBER_RANGE, STATUS + "attempts = 0\n"), badFile(Rule.NUMBER_RANGE, STATUS + "attempts = -1\n"),
                 badFile(Rule.NUMBER_RANGE, STATUS + "attempts = 9999999999\n"),
@@ -112,7 +119,8 @@
                 badFile(Rule.ZONES_REGIONS, PEERS + ZONES + "regions = { west = [\"a\", \"b\"] }\n"),
                 badFile(Rule.ZONES_REGIONS, PEERS + ZONES + "regions = { west = [\"a\", \"b\"], east = [\"b\", \"c\"] }\n"),
                 badFile(Rule.ZONES_REGIONS, PEERS + ZONES + "regions = { west = [\"a\"], east = [\"b\"] }\n"),
-                badFile(Rule.ZONES_MOST_OUT, PEERS + ZONES + "most_out = 2\nregions = { west = [\"a\", \"b\"], east = [\"c\"] }\n"),
+                badFile(Rule.ZONES_MOST_OUT, PEERS + ZONES
+                + "most_out = 2\nregions = { west = [\"a\", \"b\"], east = [\"c\"] }\n"),
                 badFile(Rule.ZONES_PLACE, PEERS + "[zones]\nnames = [\"b\", \"c\"]\n"),
                 badFile(Rule.ZONES_PLACE, PEERS + "[zones]\nnames = [\"a\", \"a\", \"b\"]\n"),
                 badFile(Rule.ZONES_PLACE, PEERS + ZONES + "gateways = { a = 1, d = 2 }\n"),
@@ -138,12 +146,17 @@
                 badFile(Rule.ROUTE_INCOMPLETE, "[[route]]\nmethod = \"GET\"\npath = \"/x\"\n"),
                 badFile(Rule.ROUTE_INCOMPLETE, "[[route]]\npath = \"/x\"\nclass = \"status\"\n"),
                 badFile(Rule.ROUTE_INCOMPLETE, "[[route]]\nmethod = \"GET\"\nclass = \"status\"\n"),
-                badFile(Rule.METHOD_UNKNOWN, route("BREW", "/x", "status")), badFile(Rule.METHOD_UNKNOWN, route("get", "/x", "status")),
+                badFile(Rule.METHOD_UNKNOWN, route("BREW", "/x", "status")),
+                badFile(Rule.METHOD_UNKNOWN, route("get", "/x", "status")),
                 badFile(Rule.PATH_FORM, route("GET", "x", "status")), badFile(Rule.PATH_FORM, route("GET", "/a/../b", "status")),
-                badFile(Rule.PATH_FORM, route("GET", "/a//b", "status")), badFile(Rule.PATH_FORM, route("GET", "/a/{b", "status")),
-                badFile(Rule.PATH_FORM, route("GET", "/{a}/b", "status")), badFile(Rule.PATH_FORM, route("GET", "/a/**/b", "status")),
-                badFile(Rule.PATH_FORM, route("GET", "/a?b=c", "status")), badFile(Rule.PATH_FORM, route("GET", "/a%2fb", "status")),
-                badFile(Rule.UNSAFE_ON_GET, route("GET", "/x", "submit")), badFile(Rule.UNSAFE_ON_GET, route("GET", "/x", "amend")),
+                badFile(Rule.PATH_FORM, route("GET", "/a//b", "status")),
+                badFile(Rule.PATH_FORM, route("GET", "/a/{b", "status")),
+                badFile(Rule.PATH_FORM, route("GET", "/{a}/b", "status")),
+                badFile(Rule.PATH_FORM, route("GET", "/a/**/b", "status")),
+                badFile(Rule.PATH_FORM, route("GET", "/a?b=c", "status")),
+                badFile(Rule.PATH_FORM, route("GET", "/a%2fb", "status")),
+                badFile(Rule.UNSAFE_ON_GET, route("GET", "/x", "submit")),
+                badFile(Rule.UNSAFE_ON_GET, route("GET", "/x", "amend")),
                 badFile(Rule.SAFE_ON_POST, route("POST", "/x", "status")),
                 badFile(Rule.ROUTE_SHADOWED, route("GET", "/a/{x}", "status") + route("GET", "/a/{y}", "status")),
                 badFile(Rule.ROUTES_OVERLAP, route("GET", "/a/{x}/c", "status") + route("GET", "/a/b/{y}", "status")),
--- a/src/test/java/cinderhollow/peers/PeersTest.java
+++ b/src/test/java/cinderhollow/peers/PeersTest.java
@@ -31,15 +31,18 @@
     @ValueSource(ints = {10, 100, 300})
     void aFleetThatStartsAtOnceConverges(int size) {
         SimulatedNetwork net = new SimulatedNetwork(size, 1).startAll();
-        assertTrue(net.runUntil(60 * SECOND, () -> net.doAllAgreeAlive(net.allMembers())) > 0, "not all members take all others for alive");
+        assertTrue(net.runUntil(60 * SECOND, () -> net.doAllAgreeAlive(net.allMembers())) > 0,
+                "not all members take all others for alive");
         // Waits until the starts are no longer gossiped: with new facts the traffic is higher, though bounded.
         net.runFor(15 * SECOND);
         long before = net.slots.get(0).peers.counters().sentBytes();
         net.runFor(10 * SECOND);
         long bytes = (net.slots.get(0).peers.counters().sentBytes() - before) / 10;
         net.slots.get(0).peers.publish(note(5, 1));
-        long took = net.runUntil(10 * SECOND, () -> net.slots.stream().allMatch(p -> p.peers.fact(NOTE_KIND.number(), 5) != null));
-        System.out.println(size + " members: " + bytes + " bytes per second and member, a new fact reaches all in " + took / MS + " ms");
+        long took = net.runUntil(10 * SECOND, () -> net.slots.stream()
+                .allMatch(p -> p.peers.fact(NOTE_KIND.number(), 5) != null));
+        System.out.println(size + " members: " + bytes + " bytes per second and member, a new fact reaches all in " + took / MS
+                + " ms");
         assertTrue(bytes < 1_500, bytes + " bytes per second");
         assertTrue(took > 0 && took < 3 * SECOND, "the new fact took " + took / MS + " ms");
         assertEquals(0, net.deathReports);
@@ -91,9 +94,11 @@
         }
         net.runFor(5 * SECOND);
         net.canDeliver = (from, to) -> true;
-        assertTrue(net.runUntil(60 * SECOND, () -> net.doAllAgreeAlive(net.allMembers())) > 0, "members disagree on who is alive");
+        assertTrue(net.runUntil(60 * SECOND, () -> net.doAllAgreeAlive(net.allMembers())) > 0,
+                "members disagree on who is alive");
         assertTrue(net.runUntil(60 * SECOND, () -> net.slots.stream().allMatch(p -> IntStream.range(0, 40).allMatch(i ->
-                p.peers.fact(NOTE_KIND.number(), i) != null && p.peers.fact(NOTE_KIND.number(), i).version() == Math.max(100 + i, 200 - i)))) > 0,
+                p.peers.fact(NOTE_KIND.number(), i) != null && p.peers.fact(NOTE_KIND.number(), i)
+                        .version() == Math.max(100 + i, 200 - i)))) > 0,
                 "not all members have the newest versions");
     }
 
@@ -159,9 +164,12 @@
         long unix = SimulatedNetwork.START_UNIX_MILLIS;
         Peers receiver = new Peers(new Roster(0, 3, "f", secret), GossipSettings.DEFAULT, List.of(NOTE_KIND), 1, unix, callbacks);
         receiver.tick(0, unix);
-        assertDropped(receiver, DropReason.LENGTH, 1, captureDatagram(sent, callbacks, 1, "f", secret, unix, d -> Arrays.copyOf(d, 20)));
-        assertDropped(receiver, DropReason.LENGTH, 1, captureDatagram(sent, callbacks, 1, "f", secret, unix, d -> Arrays.copyOf(d, 300)));
-        assertDropped(receiver, DropReason.SEAL, 1, captureDatagram(sent, callbacks, 1, "f", secret, unix, d -> Arrays.copyOf(d, d.length - 1)));
+        assertDropped(receiver, DropReason.LENGTH, 1,
+                captureDatagram(sent, callbacks, 1, "f", secret, unix, d -> Arrays.copyOf(d, 20)));
+        assertDropped(receiver, DropReason.LENGTH, 1,
+                captureDatagram(sent, callbacks, 1, "f", secret, unix, d -> Arrays.copyOf(d, 300)));
+        assertDropped(receiver, DropReason.SEAL, 1,
+                captureDatagram(sent, callbacks, 1, "f", secret, unix, d -> Arrays.copyOf(d, d.length - 1)));
         assertDropped(receiver, DropReason.SEAL, 1, captureDatagram(sent, callbacks, 1, "f", new byte[] {8}, unix, d -> d));
         assertDropped(receiver, DropReason.SEAL, 1, captureDatagram(sent, callbacks, 1, "f", new byte[0], unix, d -> d));
         assertDropped(receiver, DropReason.VERSION, 1, captureDatagram(sent, callbacks, 1, "f", secret, unix, d -> {
@@ -183,9 +191,11 @@
         assertNull(receiver.fact(NOTE_KIND.number(), 1));
     }
 
-    private static byte[] captureDatagram(byte[][] sent, Peers.Callbacks host, int self, String fleet, byte[] secret, long generationMillis,
+    private static byte[] captureDatagram(byte[][] sent, Peers.Callbacks host, int self, String fleet, byte[] secret,
+            long generationMillis,
                                UnaryOperator<byte[]> change) {
-        Peers sender = new Peers(new Roster(self, 3, fleet, secret), GossipSettings.DEFAULT, List.of(NOTE_KIND), 1, generationMillis, host);
+        Peers sender = new Peers(new Roster(self, 3, fleet, secret), GossipSettings.DEFAULT, List.of(NOTE_KIND), 1,
+                generationMillis, host);
         sender.tick(0, generationMillis);
         sender.tick(Long.MAX_VALUE / 4, generationMillis);
         for (int i = 1; sent[0] == null && i < 100; i++) {
@@ -228,7 +238,8 @@
     void onlyARelayedAckNamingTheTargetCounts(boolean named) {
         List<byte[]> sent = new ArrayList<>();
         List<Integer> to = new ArrayList<>();
-        Peers member = new Peers(new Roster(0, 3, "f", new byte[0]), GossipSettings.DEFAULT, List.of(NOTE_KIND), 1, SimulatedNetwork.START_UNIX_MILLIS, new Peers.Callbacks() {
+        Peers member = new Peers(new Roster(0, 3, "f", new byte[0]), GossipSettings.DEFAULT, List.of(NOTE_KIND), 1,
+                SimulatedNetwork.START_UNIX_MILLIS, new Peers.Callbacks() {
             @Override
             public void send(int receiver, byte[] datagram) {
                 sent.add(datagram);
@@ -258,15 +269,19 @@
         long number = ByteCursor.wrap(Arrays.copyOfRange(sent.get(ping), 14, 18)).readUnsigned(4);
         member.tick(now + 150 * MS, SimulatedNetwork.START_UNIX_MILLIS);
         int relay = 3 - silent;
-        assertTrue(IntStream.range(0, sent.size()).anyMatch(i -> sent.get(i)[1] == 3 && to.get(i) == relay), "the relay is asked for an indirect probe");
-        member.onDatagram(now + 160 * MS, SimulatedNetwork.START_UNIX_MILLIS, relay, named ? encodeDatagram(relay, 2, 8, ByteCursor.allocate(6).put(silent, 2).put(number, 4))
+        assertTrue(IntStream.range(0, sent.size()).anyMatch(i -> sent.get(i)[1] == 3 && to.get(i) == relay),
+                "the relay is asked for an indirect probe");
+        member.onDatagram(now + 160 * MS, SimulatedNetwork.START_UNIX_MILLIS, relay, named
+                ? encodeDatagram(relay, 2, 8, ByteCursor.allocate(6).put(silent, 2).put(number, 4))
                 : encodeDatagram(relay, 2, 2, ByteCursor.allocate(4).put(number, 4)));
         member.tick(now + 600 * MS, SimulatedNetwork.START_UNIX_MILLIS);
         assertEquals(named ? 0 : 1, member.fact(0, silent).version() % 4, "state of the silent member: 0 alive, 1 suspected");
     }
 
     private static byte[] encodeDatagram(int sender, int sequence, int type, ByteCursor body) {
-        return new DatagramAuthenticator(new byte[0]).appendTag(ByteCursor.allocate(200).put(1, 1).put(type, 1).put(new Roster(0, 3, "f", new byte[0]).fleetTag(), 4)
-                .put(sender, 2).put(SimulatedNetwork.START_UNIX_MILLIS, 6).put(sequence, 4).put(body.toByteArray()).toByteArray());
+        return new DatagramAuthenticator(new byte[0])
+                .appendTag(ByteCursor.allocate(200).put(1, 1).put(type, 1).put(new Roster(0, 3, "f", new byte[0]).fleetTag(), 4)
+                .put(sender, 2).put(SimulatedNetwork.START_UNIX_MILLIS, 6).put(sequence, 4).put(body.toByteArray())
+                .toByteArray());
     }
 }
--- a/src/test/java/cinderhollow/policy/DiscoveryOverloadTest.java
+++ b/src/test/java/cinderhollow/policy/DiscoveryOverloadTest.java
@@ -91,7 +91,8 @@
         for (int g = 0; g < GATEWAYS; g++) {
             new Gateway(seed * GATEWAYS + g);
         }
-        for (ScheduledTask next = tasks.poll(); next != null && next.dueAt < DISCOVERY_DOWN_NANOS + RULES.discoveryRetryWithinNanos(); next = tasks.poll()) {
+        for (ScheduledTask next = tasks.poll(); next != null && next.dueAt < DISCOVERY_DOWN_NANOS
+                + RULES.discoveryRetryWithinNanos(); next = tasks.poll()) {
             now = next.dueAt;
             next.work.run();
         }
@@ -102,6 +103,7 @@
         long maxCallsInWindow = calls.stream().filter(at -> at > SECOND).mapToLong(at ->
                 calls.stream().filter(other -> other >= at && other < at + CALL_WINDOW_NANOS).count()).max().orElse(0);
         assertTrue(maxCallsInWindow <= GATEWAYS / 2, maxCallsInWindow + " calls at once");
-        assertTrue(calls.get(calls.size() - 1) <= DISCOVERY_DOWN_NANOS + RULES.discoveryRetryWithinNanos() / 2 + SECOND, "the last at " + calls.get(calls.size() - 1));
+        assertTrue(calls.get(calls.size() - 1) <= DISCOVERY_DOWN_NANOS + RULES.discoveryRetryWithinNanos() / 2 + SECOND,
+                "the last at " + calls.get(calls.size() - 1));
     }
 }
--- a/src/test/java/cinderhollow/policy/HeldRequestTest.java
+++ b/src/test/java/cinderhollow/policy/HeldRequestTest.java
@@ -86,7 +86,8 @@
             }
             String id = submitAndEndAtAllServers(READ, outcome);
             List<Recorder.Action> actions = gateway.recorder.take();
-            assertTrue(filterByCall(actions, "refuse", "fail").stream().anyMatch(action -> action.id().equals(id)), actions::toString);
+            assertTrue(filterByCall(actions, "refuse", "fail").stream().anyMatch(action -> action.id().equals(id)),
+                    actions::toString);
         }
     }
 
--- a/src/test/java/cinderhollow/policy/LargeFleetTest.java
+++ b/src/test/java/cinderhollow/policy/LargeFleetTest.java
@@ -102,7 +102,8 @@
             inFlight.add(new String[] {gateway.submit(READ), gateway.takeSendTarget()});
             if (random.nextInt(3) > 0) {
                 String[] one = inFlight.remove(random.nextInt(inFlight.size()));
-                gateway.endAttempt(one[0], 0, one[1], List.of(Outcome.SERVED, Outcome.SERVED, Outcome.NOT_SENT, Outcome.CONNECT_FAILED)
+                gateway.endAttempt(one[0], 0, one[1],
+                        List.of(Outcome.SERVED, Outcome.SERVED, Outcome.NOT_SENT, Outcome.CONNECT_FAILED)
                         .get(random.nextInt(4)), 20 * MS, true);
             }
             if (i % 20 == 0) {
@@ -141,7 +142,8 @@
         }
         double examinedPerDraw = (gateway.balancer.examinedServers - before) / (double) asked;
         System.out.println(perServer + " requests a server and tick: " + examinedPerDraw + " servers looked at a draw");
-        assertTrue(examinedPerDraw < 16, perServer + " requests a server and tick: " + examinedPerDraw + " servers looked at a draw");
+        assertTrue(examinedPerDraw < 16, perServer + " requests a server and tick: " + examinedPerDraw
+                + " servers looked at a draw");
     }
 
     /** Draws both ways, compares them by chi-square and returns how many servers were drawn. */
@@ -157,7 +159,8 @@
             chiSquare += (a - b) * (a - b) / (a + b);
         }
         double degreesOfFreedom = both.size() - 1;
-        assertTrue(chiSquare < degreesOfFreedom + 4.5 * Math.sqrt(2 * degreesOfFreedom), "seed " + seed + ": " + chiSquare + ", " + degreesOfFreedom);
+        assertTrue(chiSquare < degreesOfFreedom + 4.5 * Math.sqrt(2 * degreesOfFreedom), "seed " + seed + ": " + chiSquare
+                + ", " + degreesOfFreedom);
         return both.size();
     }
 
@@ -353,7 +356,8 @@
         expected.addAll(reads);
         List<String> sent = new ArrayList<>();
         inFlight.forEach((id, at) -> gateway.endAttempt(id, 0, at, Outcome.SERVED, 5 * MS, true));
-        for (List<Recorder.Action> sends = gateway.recorder.take("send"); !sends.isEmpty(); sends = gateway.recorder.take("send")) {
+        for (List<Recorder.Action> sends = gateway.recorder.take("send"); !sends.isEmpty(); sends =
+                gateway.recorder.take("send")) {
             for (Recorder.Action send : sends) {
                 sent.add(send.id());
                 gateway.endAttempt(send.id(), 0, send.server(), Outcome.SERVED, 5 * MS, true);
--- a/src/test/java/cinderhollow/policy/LearnedStateTest.java
+++ b/src/test/java/cinderhollow/policy/LearnedStateTest.java
@@ -25,7 +25,8 @@
             String id = gateway.submit(READ);
             String to = gateway.takeSendTarget();
             if (to != null) {
-                gateway.endAttempt(id, 0, to, to.equals("s2") ? Outcome.ERROR : Outcome.SERVED, to.equals("s1") ? 90 * MS : 30 * MS, true);
+                gateway.endAttempt(id, 0, to, to.equals("s2") ? Outcome.ERROR : Outcome.SERVED, to.equals("s1") ? 90 * MS
+                        : 30 * MS, true);
             }
             gateway.now += 20 * MS;
             if (i % 50 == 49) {
@@ -44,7 +45,8 @@
         assertEquals(old.balancer.learnedState().classes(), next.balancer.learnedState().classes());
         for (int i = 0; i < 3; i++) {
             assertEquals(old.balancer.readyServers().get(i).share, next.balancer.readyServers().get(i).share, 1e-9);
-            assertEquals(old.balancer.readyServers().get(i).inFlightLimit, next.balancer.readyServers().get(i).inFlightLimit, 1e-9);
+            assertEquals(old.balancer.readyServers().get(i).inFlightLimit, next.balancer.readyServers().get(i).inFlightLimit,
+                    1e-9);
         }
         assertEquals(2, next.balancer.usableServerCount(), "it avoids the failing server from its first request on");
         assertEquals(old.balancer.usableServerCount(), next.balancer.usableServerCount());
@@ -60,7 +62,8 @@
         servers.add(new ServerEntry("s2", 0, 0.6, 2.5, 1, 0, false));
         servers.add(new ServerEntry("unheard-of", 0, 0.1, 1, 1, 0, false));
         next.balancer.handle(next.now, new LearnedStateReceived(new LearnedState(0, 0, 5, servers,
-                List.of(new ClassEntry("read", -1, 0, 5), new ClassEntry("order", 40 * MS, 30 * MS, 5), new ClassEntry("gone", 1, 1, 1)))));
+                List.of(new ClassEntry("read", -1, 0, 5), new ClassEntry("order", 40 * MS, 30 * MS, 5),
+                new ClassEntry("gone", 1, 1, 1)))));
         double total = 1 / 3.0 + 1 / 3.0 + 0.6;
         assertEquals(1 / 3.0 / total, next.balancer.readyServers().get(0).share, 1e-9);
         assertEquals(1 / 3.0 / total, next.balancer.readyServers().get(1).share, 1e-9);
@@ -96,7 +99,8 @@
         if (overlapping) {
             gateway.balancer.handle(gateway.now, new ProcessOverlapChanged(true));
         }
-        gateway.balancer.handle(gateway.now, new ListReceived(ListKind.CHANGES, List.of(server("cold", "a", Readiness.READY, gateway.now))));
+        gateway.balancer.handle(gateway.now,
+                new ListReceived(ListKind.CHANGES, List.of(server("cold", "a", Readiness.READY, gateway.now))));
         return gateway;
     }
 
@@ -107,7 +111,8 @@
         GatewayHarness first = withColdServer(true);
         GatewayHarness second = withColdServer(true);
         int alone = countSentToCold(one, 400) + countSentToCold(one, 400);
-        int both = countSentToCold(first, 400) + countSentToCold(first, 400) + countSentToCold(second, 400) + countSentToCold(second, 400);
+        int both = countSentToCold(first, 400) + countSentToCold(first, 400) + countSentToCold(second, 400)
+                + countSentToCold(second, 400);
         assertTrue(alone > 10, alone + " alone");
         assertTrue(both <= alone * 1.2 + 2, both + " by both, and " + alone + " alone");
         first.balancer.handle(first.now, new ProcessOverlapChanged(false));
@@ -120,6 +125,7 @@
         GatewayHarness old = withColdServer(false);
         GatewayHarness next = withColdServer(true);
         next.balancer.handle(next.now, new LearnedStateReceived(old.balancer.learnedState()));
-        assertEquals(0, next.balancer.readyServers().stream().filter(s -> s.info.id().equals("cold")).findFirst().orElseThrow().coldBucket.tokens);
+        assertEquals(0, next.balancer.readyServers().stream().filter(s -> s.info.id().equals("cold")).findFirst()
+                .orElseThrow().coldBucket.tokens);
     }
 }
--- a/src/test/java/cinderhollow/policy/LoadBalancerTest.java
+++ b/src/test/java/cinderhollow/policy/LoadBalancerTest.java
@@ -1,12 +1,12 @@
 package cinderhollow.policy;
 
-import static cinderhollow.policy.GatewayHarness.SUBSCRIBE_TOKEN;
 import static cinderhollow.policy.GatewayHarness.FILE;
 import static cinderhollow.policy.GatewayHarness.MS;
 import static cinderhollow.policy.GatewayHarness.ORDER;
 import static cinderhollow.policy.GatewayHarness.READ;
 import static cinderhollow.policy.GatewayHarness.SECOND;
 import static cinderhollow.policy.GatewayHarness.SHARE_UPDATE_TOKEN;
+import static cinderhollow.policy.GatewayHarness.SUBSCRIBE_TOKEN;
 import static cinderhollow.policy.GatewayHarness.SWEEP_TOKEN;
 import static cinderhollow.policy.GatewayHarness.server;
 import static cinderhollow.policy.GatewayHarness.settings;
--- a/src/test/java/cinderhollow/policy/RoutePolicyTest.java
+++ b/src/test/java/cinderhollow/policy/RoutePolicyTest.java
@@ -13,9 +13,9 @@
 
 import cinderhollow.policy.Protocol.*;
 import cinderhollow.routes.BudgetedRoutePolicy;
+import cinderhollow.routes.RouteSettings;
 import cinderhollow.routes.RouteSettings.BudgetSettings;
 import cinderhollow.routes.RouteSettings.HedgeSettings;
-import cinderhollow.routes.RouteSettings;
 import java.util.EnumSet;
 import java.util.HashMap;
 import java.util.List;
@@ -30,11 +30,14 @@
             Outcome.RESET, Outcome.TIMED_OUT);
 
     private static RoutePolicy hedging(long after) {
-        return new BudgetedRoutePolicy(0, new RouteSettings(2 * SECOND, 2 * SECOND, 4, ALL_FAILURES, 0, 0, UNLIMITED, new HedgeSettings(after, 0, 1, UNLIMITED), 0));
+        return new BudgetedRoutePolicy(0,
+                new RouteSettings(2 * SECOND, 2 * SECOND, 4, ALL_FAILURES, 0, 0, UNLIMITED,
+                new HedgeSettings(after, 0, 1, UNLIMITED), 0));
     }
 
     private static RoutePolicy retrying(long attempt, long backoff, BudgetSettings budget) {
-        return new BudgetedRoutePolicy(0, new RouteSettings(2 * SECOND, attempt, 4, ALL_FAILURES, backoff, 8 * backoff, budget, null, 30 * MS));
+        return new BudgetedRoutePolicy(0,
+                new RouteSettings(2 * SECOND, attempt, 4, ALL_FAILURES, backoff, 8 * backoff, budget, null, 30 * MS));
     }
 
     private final GatewayHarness gateway = new GatewayHarness().withServers(3);
@@ -155,7 +158,8 @@
 
     @Test
     void hedgesStayWithinTheirBudget() {
-        RoutePolicy routePolicy = new BudgetedRoutePolicy(0, new RouteSettings(2 * SECOND, 2 * SECOND, 4, ALL_FAILURES, 0, 0, UNLIMITED,
+        RoutePolicy routePolicy = new BudgetedRoutePolicy(0, new RouteSettings(2 * SECOND, 2 * SECOND, 4, ALL_FAILURES, 0, 0,
+                UNLIMITED,
                 new HedgeSettings(10 * MS, 0, 1, new BudgetSettings(0.1, 0)), 0));
         int sent = 0;
         int hedged = 0;
@@ -227,7 +231,8 @@
         gateway.endAttempt(id, 0, server, Outcome.TIMED_OUT, 60 * MS);
         List<Recorder.Action> actions = gateway.recorder.take();
         boolean answered = !filterByCall("refuse", actions).isEmpty();
-        boolean waits = filterByCall("setTimer", actions).stream().anyMatch(a -> Long.parseLong(a.id()) > GatewayHarness.SUBSCRIBE_TOKEN
+        boolean waits = filterByCall("setTimer", actions).stream()
+                .anyMatch(a -> Long.parseLong(a.id()) > GatewayHarness.SUBSCRIBE_TOKEN
                 && a.value() < 40 * MS);
         assertTrue(answered || waits, actions::toString);
         if (!answered) {
@@ -243,7 +248,8 @@
         gateway.endAttempt(id, 0, first, Outcome.ERROR, 5 * MS);
         List<Recorder.Action> actions = gateway.recorder.take();
         assertTrue(filterByCall("send", actions).isEmpty(), "the retry waits for its backoff");
-        Recorder.Action timer = filterByCall("setTimer", actions).stream().filter(a -> Long.parseLong(a.id()) > GatewayHarness.SUBSCRIBE_TOKEN)
+        Recorder.Action timer = filterByCall("setTimer", actions).stream()
+                .filter(a -> Long.parseLong(a.id()) > GatewayHarness.SUBSCRIBE_TOKEN)
                 .findFirst().orElseThrow();
         assertTrue(timer.value() >= 20 * MS && timer.value() <= 40 * MS, timer::toString);
         assertEquals(1, filterByCall("send", advance(actions, 40 * MS)).size());
--- a/src/test/java/cinderhollow/policy/RulesTest.java
+++ b/src/test/java/cinderhollow/policy/RulesTest.java
@@ -118,7 +118,8 @@
                 assertTrue(r.requestClass.dedupGroup() != DedupGroup.ZONE || at.zone().equals(s.zone()), "another zone: " + a);
                 assertTrue(r.requestClass.dedupGroup() != DedupGroup.CELL || at.cell() == s.cell(), "another cell: " + a);
             }
-            assertEquals(first != null && r.requestClass.effect() == Effect.KEYED ? first.sentAt() + r.requestClass.dedupWindowNanos() - now
+            assertEquals(first != null && r.requestClass.effect() == Effect.KEYED ? first.sentAt()
+                    + r.requestClass.dedupWindowNanos() - now
                     : Long.MAX_VALUE, recorder.startWithinNanos.get(a.id()), "may go out past its window: " + a);
             if (s.startedAtNanos() > 0 && now - s.startedAtNanos() < RULES.warmUpNanos()) {
                 coldSends.computeIfAbsent(a.server(), id -> new ArrayList<>()).add(now);
@@ -136,7 +137,8 @@
             assertTrue(now <= r.deadline + RULES.answerSlackNanos(), "answered late: " + a);
             if (a.call().equals("refuse") && r.firstThatMayRun() != null) {
                 assertTrue(r.requestClass.effect() == Effect.SAFE
-                        || r.requestClass.effect() == Effect.KEYED && r.requestClass.dedupGroup() == DedupGroup.ALL, "refused: " + a);
+                        || r.requestClass.effect() == Effect.KEYED && r.requestClass.dedupGroup() == DedupGroup.ALL, "refused: "
+                        + a);
             }
             r.answered = true;
             finalAnswers++;
@@ -147,7 +149,8 @@
             String id = String.format("r%06d", requestCount++);
             long expires = random.nextInt(20) == 0 ? random.nextLong(1, 30 * MS) : c.deadlineNanos();
             requests.put(id, new TrackedRequest(c, now + expires));
-            deliver(new RequestArrived(id, c.name(), random.nextBoolean() ? "t" : null, null, expires, 0, false, routePolicies.get(c.name())));
+            deliver(new RequestArrived(id, c.name(), random.nextBoolean() ? "t" : null, null, expires, 0, false,
+                    routePolicies.get(c.name())));
         }
 
         void endAttempts() {
@@ -245,7 +248,8 @@
         Simulation simulation = new Simulation(seed);
         simulation.run();
         assertTrue(simulation.finalAnswers > 4000, "answered: " + simulation.finalAnswers);
-        assertEquals(simulation.requestCount, simulation.finalAnswers + simulation.requests.values().stream().filter(r -> !r.answered).count());
+        assertEquals(simulation.requestCount, simulation.finalAnswers + simulation.requests.values().stream()
+                .filter(r -> !r.answered).count());
     }
 
     /** Random operator's files: whichever is accepted, the rules hold through random outcomes. */
--- a/src/test/java/cinderhollow/policy/SettingsChangedTest.java
+++ b/src/test/java/cinderhollow/policy/SettingsChangedTest.java
@@ -20,7 +20,8 @@
     }
 
     private static RequestClass withEffect(RequestClass c, Effect effect) {
-        return new RequestClass(c.name(), effect, c.dedupGroup(), c.dedupWindowNanos(), c.aimNanos(), c.deadlineNanos(), c.worth(),
+        return new RequestClass(c.name(), effect, c.dedupGroup(), c.dedupWindowNanos(), c.aimNanos(), c.deadlineNanos(),
+                c.worth(),
                 c.lateWorth(), c.stream());
     }
 
@@ -86,7 +87,8 @@
         gateway.now += SECOND / 2;
         gateway.fireTimer(GatewayHarness.SWEEP_TOKEN);
         assertEquals(5.0, gateway.balancer.remainingQuota("acme"), 1e-9, "it comes back with time");
-        gateway.balancer.handle(gateway.now, new SettingsChanged(GatewayHarness.settings(false, 1, List.of(new Tenant("other", 4)), List.of(READ))));
+        gateway.balancer.handle(gateway.now,
+                new SettingsChanged(GatewayHarness.settings(false, 1, List.of(new Tenant("other", 4)), List.of(READ))));
         assertEquals(4.0, gateway.balancer.remainingQuota("other"), 1e-9);
     }
 
--- a/src/test/java/cinderhollow/policy/SparseTrafficTest.java
+++ b/src/test/java/cinderhollow/policy/SparseTrafficTest.java
@@ -81,7 +81,8 @@
     @Test
     void aBusyFleetOfManyGatewaysServesInTime() {
         double inTime = LongStream.rangeClosed(1, 4).mapToDouble(seed -> {
-            FleetSimulation.Result result = new FleetSimulation(ServerSelection.ALL, GATEWAYS, SERVERS, SERVERS, 0.75, 20, seed).run();
+            FleetSimulation.Result result = new FleetSimulation(ServerSelection.ALL, GATEWAYS, SERVERS, SERVERS, 0.75, 20, seed)
+                    .run();
             System.out.println("seed " + seed + ": " + result);
             return result.inTimeRatio();
         }).average().orElseThrow();
--- a/src/test/java/cinderhollow/policy/ZoneWeightsTest.java
+++ b/src/test/java/cinderhollow/policy/ZoneWeightsTest.java
@@ -106,7 +106,8 @@
     void aColdServersBudgetFollowsTheReportedWarmServerRate(double perSecond) {
         GatewayHarness gateway = new GatewayHarness();
         gateway.now += 100 * SECOND;
-        gateway.receiveList(ListKind.CACHED, server("s0", "a", Readiness.READY, 0), server("s1", "a", Readiness.READY, gateway.now));
+        gateway.receiveList(ListKind.CACHED, server("s0", "a", Readiness.READY, 0),
+                server("s1", "a", Readiness.READY, gateway.now));
         gateway.balancer.handle(gateway.now, new WarmServerRateReceived(perSecond));
         int cold = 0;
         for (int i = 0; i < 20_000; i++) {
--- a/src/test/java/cinderhollow/routes/RouteTableTest.java
+++ b/src/test/java/cinderhollow/routes/RouteTableTest.java
@@ -93,7 +93,8 @@
         int furtherSegments = random.nextInt(4);
         for (int i = 0; i < furtherSegments; i++) {
             int kind = random.nextInt(5);
-            text.append(kind == 0 ? "/{x}" : kind == 1 && i == furtherSegments - 1 ? "/**" : "/" + (char) ('a' + random.nextInt(2)));
+            text.append(kind == 0 ? "/{x}" : kind == 1 && i == furtherSegments - 1 ? "/**" : "/"
+                    + (char) ('a' + random.nextInt(2)));
         }
         return text.toString();
     }
--- a/src/test/java/cinderhollow/sim/WireTest.java
+++ b/src/test/java/cinderhollow/sim/WireTest.java
@@ -116,7 +116,8 @@
         String begin = BEGIN.replace("automatic", "subscribe");
         assertEquals(1, linesWithTag(runWire(batch(1, begin + ONE_SERVER_LIST)), "SUBSCRIBE").size());
         String failed = "FLEET\tgateway=3\tscope=0\tepoch=1\tslot=0\n";
-        assertTrue(runWire(batch(1, begin + ONE_SERVER_LIST + failed)).contains("nonce=3"), "a timer for the next request of the list");
+        assertTrue(runWire(batch(1, begin + ONE_SERVER_LIST + failed)).contains("nonce=3"),
+                "a timer for the next request of the list");
     }
 
     @Test
--- a/src/test/java/cinderhollow/testing/Loopback.java
+++ b/src/test/java/cinderhollow/testing/Loopback.java
@@ -16,7 +16,8 @@
     /** Returns the loopback address of this test process, which is derived from its process id. */
     public static InetAddress processAddress() throws IOException {
         long pid = ProcessHandle.current().pid();
-        return InetAddress.getByAddress(new byte[] {127, (byte) (SECOND_OCTET_BASE + (pid >> 16) % SECOND_OCTET_BASE), (byte) (pid >> 8 & BYTE_MASK), (byte) (pid & BYTE_MASK)});
+        return InetAddress.getByAddress(new byte[] {127, (byte) (SECOND_OCTET_BASE + (pid >> 16) % SECOND_OCTET_BASE),
+                (byte) (pid >> 8 & BYTE_MASK), (byte) (pid & BYTE_MASK)});
     }
 
     /** Returns a port that is free on {@link #processAddress}. */
