--- a/src/main/java/cinderhollow/http1/DownstreamConnectionManager.java
+++ b/src/main/java/cinderhollow/http1/DownstreamConnectionManager.java
@@ -205,9 +205,9 @@
      * @param transport kind of sockets to listen with
      * @param clock clock of all times
      * @param lag lag of the event loop, by which the arrival of input is dated
-     * @param mostConnections maximum number of connections
+     * @param maxConnections maximum number of connections
      * @param listener handles the requests
-     * @param sheet ledger counters for requests, or null
+     * @param ledgerCounters ledger counters for requests, or null
      */
     public DownstreamConnectionManager(EventLoop loop, Transport transport, GatewayClock clock, EventLoopLag lag,
             int maxConnections,
--- a/src/main/java/cinderhollow/http1/RequestReader.java
+++ b/src/main/java/cinderhollow/http1/RequestReader.java
@@ -53,7 +53,7 @@
      * @param request the request, with its whole body or without one
      * @param classes classes of requests by name
      * @param routing the operator's routes, or null if there are none; then the first segment of the path names the class
-     * @param body whether the request has a body
+     * @param hasBody whether the request has a body
      * @param waitedNanos how long ago the request's last byte was received; that much of its time has passed
      * @throws BadRequest if the request is invalid, or its time has run out
      */
--- a/src/main/java/cinderhollow/http1/UpstreamPool.java
+++ b/src/main/java/cinderhollow/http1/UpstreamPool.java
@@ -60,7 +60,7 @@
          */
         void onAttemptEnded(Attempt attempt, Outcome outcome, long atNanos, LoadReport load, ByteBuf body);
 
-        /** Called when the attempt's last byte has been written. */
+        /** Called when the attempt's last byte has been written; this may also be after the attempt has ended. */
         void onRequestWritten();
 
         /**
@@ -108,7 +108,8 @@
      */
     private static final long STREAM_IDLE_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(10);
     /**
-     * Bounds of the outbound buffer of one connection, so that memory does not grow with the number of large bodies in flight.
+     * Bounds of the outbound buffer of one connection, so that memory grows with the number of large bodies in flight but not
+     * with their size.
      */
     private static final WriteBufferWaterMark WATER_MARK = new WriteBufferWaterMark(32 * 1024, 64 * 1024);
     /** Maximum number of bytes of one socket read. */
@@ -120,7 +121,7 @@
     private final int maxConnections;
     /** Ledger counters for attempts; null if no ledger is kept. */
     private final LedgerCounters ledgerCounters;
-    /** Number of attempts in flight, by account. */
+    /** Number of attempts in flight, by account; counted only if a ledger is kept. */
     private final long[] openAttempts;
     private long idleTimeoutNanos;
     private final Bootstrap bootstrap;
@@ -138,9 +139,9 @@
      * @param transport kind of sockets to connect with
      * @param clock clock of all times
      * @param dialTimeoutNanos how long a connect may take
-     * @param idleNanos idle timeout of the servers; idle connections are kept for a part of it
-     * @param mostConnections maximum number of connections, open or being dialled
-     * @param sheet ledger counters for attempts, or null
+     * @param serverIdleTimeoutNanos idle timeout of the servers; idle connections are kept for a part of it
+     * @param maxConnections maximum number of connections, open or being dialled
+     * @param ledgerCounters ledger counters for attempts, or null
      * @param accounts number of ledger accounts
      */
     public UpstreamPool(EventLoop loop, Transport transport, GatewayClock clock, long dialTimeoutNanos,
@@ -236,7 +237,7 @@
         return attempt;
     }
 
-    /** Returns the number of attempts of an account that are in flight. */
+    /** Returns the number of attempts of an account that are in flight; 0 if no ledger is kept. */
     public long openAttempts(int account) {
         return openAttempts[account];
     }
@@ -268,11 +269,12 @@
         List.copyOf(streamingConnections).forEach(connection -> connection.closeIfStalled(silent));
     }
 
+    /** Closes the longest idle connection of the first server that has an idle one; returns false if there is none. */
     private boolean closeOneIdle() {
         for (Server server : servers.values()) {
-            Connection longest = server.idleConnections.pollFirst();
-            if (longest != null) {
-                longest.channel.close();
+            Connection oldest = server.idleConnections.pollFirst();
+            if (oldest != null) {
+                oldest.channel.close();
                 return true;
             }
         }
@@ -408,8 +410,8 @@
         }
 
         /**
-         * Ends an attempt that waits for this connection, as failed to connect: none of it has been written, so it can be sent to
-         * another server.
+         * Ends an attempt that waits for this connection, as failed to connect. Unsent means here that nothing of it has been
+         * written, so it can be sent to another server.
          */
         void failUnsentAttempt() {
             Attempt unsent = attempt;
@@ -438,8 +440,8 @@
         }
 
         /**
-         * Sends the attempt now, or once the reuse delay is over. An attempt that waits for this is as unsent as one that waits
-         * for a connect.
+         * Sends the attempt now, or once the reuse delay is over. Of an attempt that waits for this, nothing has been written, as
+         * of one that waits for a connect.
          */
         void sendWhenReusable(Attempt newAttempt) {
             long delayNanos = remainingReuseDelayNanos(clock.nanos());
@@ -487,7 +489,7 @@
             newAttempt.upload.setSink(this);
         }
 
-        /** Releases the connection, for use by others, from an attempt that is not sent. */
+        /** Releases the connection, for use by others, from an attempt of which nothing has been written. */
         private void releaseUnsent(Attempt unsent) {
             attempt = null;
             unsent.connection = null;
@@ -681,6 +683,7 @@
         private final Listener listener;
         /** Upload that carries the body; null if the request already holds its whole body. */
         private final Upload upload;
+        /** When the attempt was started, connect included; once an upload has ended, the time of its end. */
         private long sentAt;
         private HttpRequest request;
         private Connection connection;
@@ -705,7 +708,10 @@
             }
         }
 
-        /** Returns how long the attempt has been in flight at the given time, in nanoseconds. */
+        /**
+         * Returns the time, in nanoseconds, from the start of the attempt, before any connect, to the given time; after an
+         * upload, from the upload's end.
+         */
         public long elapsed(long at) {
             return Math.max(0, at - sentAt);
         }
@@ -775,9 +781,9 @@
         }
 
         /**
-         * Cancels the attempt if no server can have received it whole. This cancels no work on a server, so it also applies where
-         * servers may not be asked to cancel. Without it, a request could be sent on a connection that comes up long after the
-         * client has left.
+         * Cancels the attempt if no server can have received it whole, even if a part was written. This cancels no work on a
+         * server, so it also applies where servers may not be asked to cancel. Without it, a request could be sent on a
+         * connection that comes up long after the client has left.
          */
         public void cancelIfUnsent() {
             if (!lifecycle.isEnded() && isUnsent()) {
@@ -786,8 +792,9 @@
         }
 
         /**
-         * Returns whether the last byte of the request was never handed to the operating system. In that case no server has it
-         * whole: what this process still holds of it is discarded with its connection.
+         * Returns whether the operating system had not accepted the last byte of the request when the attempt ended, or has not
+         * by now; earlier bytes may have been sent. In that case no server has it whole: what this process still holds of it is
+         * discarded with its connection.
          */
         public boolean isUnsent() {
             return !lifecycle.mayHaveRun();
--- a/src/main/java/cinderhollow/membership/Discovery.java
+++ b/src/main/java/cinderhollow/membership/Discovery.java
@@ -88,8 +88,8 @@
     /**
      * Creates a watch that is not open yet. It follows the changes after the list version {@code index}.
      *
-     * @param silenceMillis a watch without any data for this long is ended
-     * @param longestLine size limit of a list in bytes
+     * @param silenceTimeoutMillis a watch without any data for this long is ended
+     * @param maxListBytes size limit of a list in bytes
      */
     public Discovery(EventLoop loop, Transport transport, SocketAddress address, long index, long silenceTimeoutMillis,
               int maxListBytes, Listener listener, Consumer<String> log) {
--- a/src/main/java/cinderhollow/membership/Subset.java
+++ b/src/main/java/cinderhollow/membership/Subset.java
@@ -11,8 +11,9 @@
  * Selects the servers of a large fleet that one of many gateways uses. Each server picks its gateways by rendezvous hashing
  * (Thaler and Ravishankar, "Using name-based mappings to increase hit rates", 1998) over the gateways of each zone. So the
  * numbers of gateways of any two servers differ by one at most, and a server or gateway that is added or removed changes no more
- * than its own picks. All gateways compute the same picks without communication: they need only the list of servers and the
- * numbers of gateways. Does no input or output and reads no clock: the time is a parameter. Not thread-safe.
+ * than its own picks, except when it changes the picks per server (which are rounded to steps) or their split among the zones.
+ * All gateways compute the same picks without communication: they need only the list of servers and the numbers of gateways.
+ * Does no input or output and reads no clock: the time is a parameter. Not thread-safe.
  */
 public final class Subset {
     /** Minimum number of gateways per server: from 4 on, one more than the mean's whole part is at most 1.25 times the mean. */
@@ -28,7 +29,10 @@
     private static final int MIN_FAILED_ATTEMPTS = 10;
     /** Up to this fraction of failed attempts a window is healthy; a subset widens or narrows by this factor. */
     private static final double MAX_HEALTHY_FAILED_FRACTION = 0.1, WIDTH_STEP_RATIO = 2;
-    /** A widened subset narrows by a step after this healthy time, which doubles, up to the maximum, if that was too early. */
+    /**
+     * A widened subset narrows by a step after this healthy time. The time doubles, up to the maximum, whenever failures widen
+     * the subset from width 1, the first time included, and never falls again.
+     */
     private static final long MIN_NARROW_DELAY_NANOS = 30 * WINDOW_NANOS, MAX_NARROW_DELAY_NANOS = 20 * MIN_NARROW_DELAY_NANOS;
 
     /**
@@ -46,7 +50,7 @@
             Integer here = gatewaysByZone.get(zone);
             if (subsetSize < 1 || here == null || number < 0 || number >= here) {
                 throw new IllegalArgumentException("subset: no gateway " + number + " of zone '" + zone + "' among "
-                        + gatewaysByZone + ", or a size below 1");
+                        + gatewaysByZone + ", or a subset size below 1");
             }
         }
     }
@@ -114,7 +118,7 @@
      * Updates the servers of the fleet and returns which ones enter and leave the subset.
      *
      * @param usable zones by server id of servers that may be used; those known before and not named stay
-     * @param gone ids of servers that may not be used any more
+     * @param unusable ids of servers that may not be used any more
      */
     public List<Change> update(Map<String, String> usable, Collection<String> unusable) {
         List<Change> changes = new ArrayList<>();
@@ -159,7 +163,7 @@
         List<Change> changes = new ArrayList<>();
         boolean bad = failed >= MIN_FAILED_ATTEMPTS && failed > succeeded;
         if (bad && selectedCount < servers.size()) {
-            // If the subset had been narrowed, that was too early: waits longer the next time.
+            // At width 1, the last narrowing was too early, if there was one: waits longer the next time, in either case.
             narrowDelayNanos = width == 1 && healthySince > 0 ? Math.min(MAX_NARROW_DELAY_NANOS, 2 * narrowDelayNanos)
                     : narrowDelayNanos;
             width *= WIDTH_STEP_RATIO;
@@ -241,7 +245,7 @@
     private Map<String, PickRange> pickRanges() {
         Map<String, PickRange> ranges = new HashMap<>();
         serverCountByZone.forEach((zone, zoneServers) ->
-                ranges.put(zone, pickRanges(zone, zoneServers, servers.size(), meanPicksPerServer())));
+                ranges.put(zone, pickRange(zone, zoneServers, servers.size(), meanPicksPerServer())));
         return ranges;
     }
 
@@ -259,23 +263,26 @@
         return Math.pow(PICKS_STEP_RATIO, Math.rint(Math.log(value) / Math.log(PICKS_STEP_RATIO)));
     }
 
-    /** Returns the pick range of a zone's servers, which pick about half of their gateways in that zone, the rest elsewhere. */
-    private PickRange pickRanges(String zone, int zoneServers, int allServers, double picksPerServer) {
-        double ownZonePicks = 0;
-        int zoneGateways = gatewaysByZone.getOrDefault(zone, 0);
+    /**
+     * Returns the pick range of the servers of one zone, which is not always this gateway's: they pick about half of their
+     * gateways in their own zone, the rest elsewhere.
+     */
+    private PickRange pickRange(String serverZone, int zoneServers, int allServers, double picksPerServer) {
+        double serverZonePicks = 0;
+        int zoneGateways = gatewaysByZone.getOrDefault(serverZone, 0);
         if (zoneGateways == totalGateways) {
-            ownZonePicks = picksPerServer;
+            serverZonePicks = picksPerServer;
         } else if (zoneGateways > 0) {
             // If the zone has few gateways for its servers, each of them would otherwise get too many servers.
             double relativeDensity = (double) zoneGateways / zoneServers * allServers / totalGateways;
-            double ownZoneFraction = relativeDensity * CROWDING_TOLERANCE_RATIO >= 1 ? OWN_ZONE_FRACTION
+            double serverZoneFraction = relativeDensity * CROWDING_TOLERANCE_RATIO >= 1 ? OWN_ZONE_FRACTION
                     : OWN_ZONE_FRACTION * roundToStep(relativeDensity);
-            ownZonePicks = Math.min(zoneGateways, picksPerServer * ownZoneFraction);
+            serverZonePicks = Math.min(zoneGateways, picksPerServer * serverZoneFraction);
         }
-        double picksPerRemoteGateway = (picksPerServer - ownZonePicks) / Math.max(1, totalGateways - zoneGateways);
+        double picksPerRemoteGateway = (picksPerServer - serverZonePicks) / Math.max(1, totalGateways - zoneGateways);
         double start = 0;
         for (Map.Entry<String, Integer> other : gatewaysByZone.entrySet()) {
-            double zonePicks = other.getKey().equals(zone) ? ownZonePicks : picksPerRemoteGateway * other.getValue();
+            double zonePicks = other.getKey().equals(serverZone) ? serverZonePicks : picksPerRemoteGateway * other.getValue();
             if (other.getKey().equals(position.zone)) {
                 return new PickRange(start, start + zonePicks);
             }
@@ -295,9 +302,9 @@
 
     private void reselect(String id, Server server, List<Change> changes) {
         PickRange range = pickRanges.get(server.zone);
-        int ownZonePicks = range.countPicks(server.roundingOffset);
-        boolean select = server.rank < (width == 1 ? ownZonePicks
-                : Math.max(ownZonePicks, Math.ceil(width * (range.end - range.start))));
+        int picks = range.countPicks(server.roundingOffset);
+        boolean select = server.rank < (width == 1 ? picks
+                : Math.max(picks, Math.ceil(width * (range.end - range.start))));
         if (select != server.selected) {
             server.selected = select;
             selectedCount += select ? 1 : -1;
--- a/src/main/java/cinderhollow/policy/LoadBalancer.java
+++ b/src/main/java/cinderhollow/policy/LoadBalancer.java
@@ -19,15 +19,15 @@
  * Makes all decisions of one gateway: which server gets a request, whether it is retried, and what is shed. Its interface
  * (settings, events, actions) is {@link Protocol}; the state that it keeps is held by the classes of {@link State}.
  *
- * <p>The normal path is the paper's load shifting (section 4.1, Algorithm 1), which each gateway runs over its own attempts:
- * each server has a share, a server is drawn at random in proportion to its share, and a multiplicative step with
- * renormalisation updates the shares. The draw weight of a server is its share times a number of gates. A gate is a factor that
- * is 1 in normal operation and lower only under the condition that its method describes. Every send is checked by
- * {@link #maySend}, every refusal by {@link RetryRules#mayRefuse}. The class is single-threaded, reads no clock and takes all
- * randomness from one seed.
+ * <p>The normal path is the load-shifting algorithm (section 4.1, Algorithm 1 of the paper in the design documents), which each
+ * gateway runs over its own attempts: each server has a share, a server is drawn at random in proportion to its share, and a
+ * multiplicative step with renormalisation updates the shares. The draw weight of a server is its share times a number of gates.
+ * A gate is a factor of at most 1, which falls under the condition that its method describes; the queue gate is 1 only up to
+ * half of the usual latency. Every send is checked by {@link #maySend}, every refusal by {@link RetryRules#mayRefuse}. The class
+ * is single-threaded, reads no clock and takes all randomness from one seed.
  */
 public final class LoadBalancer {
-    /** The paper's learning rate. Its interval is a fifth of the paper's, to tell unlike machines apart within seconds. */
+    /** The algorithm's learning rate. Its interval is a fifth of the paper's, to tell unlike machines apart within seconds. */
     private static final double LEARNING_RATE = 0.2;
     private static final long TICK_NANOS = 1_000_000_000L;
     /** One update at most halves a share; none falls below this part of the equal share, so that updates can raise it again. */
@@ -48,20 +48,20 @@
     private static final double OVERTAKEN_AIM_FRACTION = 0.6;
     /** Upper bound, as a fraction of the aim, on the estimated time of a request: a fresh one is never taken to miss its aim. */
     private static final double MAX_WORK_AIM_FRACTION = 0.9;
-    /** Least in-flight limit of a server over all gateways (a request in work, one on its way, one waiting); initial limit. */
+    /** Least in-flight limit over all gateways (one in work, one coming, one waiting); initial limit (see adjustLimit). */
     private static final double MIN_IN_FLIGHT = 3, INITIAL_IN_FLIGHT = 1;
     /** Standard deviations above its mean that a Poisson count rarely exceeds. */
     private static final double POISSON_DEVIATIONS = 2;
     /** Weight of the newest answer in a server's failure rate: about the last five answers count. */
     private static final double HEALTH_SAMPLE_WEIGHT = 0.2;
     /**
-     * A server is suspect from the first failure rate on, since two failures among the last five are unlikely to be chance, and
-     * fails nearly always from the second on. The rates decay slowly enough to outlast several trials.
+     * A server is suspect from the first failure rate on, which two quick failures reach if at most two answers are between them
+     * (unlikely by chance), and fails nearly always from the second on. The rates decay slowly enough to outlast several trials.
      */
     private static final double SUSPECT_FAILURE_RATE = 0.3, CERTAIN_FAILURE_RATE = 0.85, FAILURE_DECAY_NANOS = 20e9;
     /** Error rate of a class at one server from which on the server is taken as unable to serve that class. */
     private static final double FAILING_CLASS_ERROR_RATE = 0.5;
-    /** Interval, over all gateways, of the trial requests that a suspect server gets so that its recovery is noticed. */
+    /** Interval of a suspect server's trials, which show its recovery, over up to 20 gateways: each one pauses 20 s at most. */
     private static final long TRIAL_INTERVAL_NANOS = 1_000_000_000L;
     /** Fraction of what the rule on cold servers allows that is used. The rest is for other gateways and long work. */
     private static final double COLD_SAFETY_FACTOR = 0.5;
@@ -74,14 +74,11 @@
      * zone, which has no others to open; below 1, so that random variation alone sheds nothing.
      */
     private static final double SHED_START_PRESSURE = 1, ONE_ZONE_MIN_PRESSURE = 0.9;
-    /** Minimum fraction of its share that a server of another zone gets, and minimum fraction of requests that is admitted. */
+    /** Minimum gate of other zones' servers; minimum base of the admission power (see shouldShed), so low priorities get less. */
     private static final double MIN_CROSS_ZONE_FRACTION = 1e-3, MIN_ADMITTED_FRACTION = 0.05;
     /** Fraction of the servers' idle timeout for which an idle connection counts as reusable. */
     private static final double REUSABLE_IDLE_FRACTION = 0.6;
-    /**
-     * Exponent with which the draw weight of servers without a reusable connection falls as traffic gets sparse, and minimum of
-     * that gate and of a zone's weight.
-     */
+    /** Exponent of the gate of servers without a reusable connection; minimum of that gate and of a zone's weight. */
     private static final double NEW_CONNECTION_GATE_EXPONENT = 3, MIN_GATE = 1e-6;
     /** A zone whose weight rises to this value or above counts as returned to service. */
     private static final double ZONE_RETURNED_WEIGHT = 0.01;
@@ -107,12 +104,13 @@
     private final Map<String, Quota> quotas = new HashMap<>();
     private final Map<String, Server> servers = new LinkedHashMap<>();
     private final List<Server> readyServers = new ArrayList<>();
-    /** Latency samples of this tick by zone and machine type, added up over their servers. */
+    /** Latency samples by zone and machine type, added up over their servers: this tick's and decayed ones of earlier ticks. */
     private final Map<String, LatencySamples> samplesByZoneAndType = new HashMap<>();
     private final Map<String, Request> openRequests = new LinkedHashMap<>();
     /** Requests without a server, by descending priority; among equals, the one that was held last comes first. */
     private final TreeSet<Request> heldRequests = new TreeSet<>(LoadBalancer::comparePriority);
     private Map<String, Double> zoneWeights = Map.of();
+    /** {@code requestRatePerServer} is a slowly decaying peak; the method of that name is its maximum with this tick's rate. */
     private double limitSum = 1, reportedWarmServerRate, observedWarmServerRate, latencyToBudgetRatio, requestRatePerServer, retryTokens =
             MAX_RETRY_TOKENS, pressure, minPressure, maxPriority;
     /** Numbers of gateways that share each server and of this gateway's overlapping processes, sharing quotas and budgets. */
@@ -256,7 +254,7 @@
         dispatch();
     }
 
-    /** Returns the weight of a zone, which is never 0: where all zones are left, all servers are used as before. */
+    /** Returns the weight of a zone, raised above 0: where all zones have the weight 0, draws go to all servers as before. */
     private double zoneWeight(String zone) {
         return Math.max(MIN_GATE, zoneWeights.getOrDefault(zone, 1.0));
     }
@@ -369,7 +367,7 @@
         return worthFactor * c.worth() / r.classState.meanLatencyNanos;
     }
 
-    /** Updates the pressure: many answers beyond half their aim mean more load than the servers in use can serve in time. */
+    /** Updates the pressure. Answers beyond half their aim, FULL, TIMED_OUT and CANCELLED are late: many mean too much load. */
     private void updatePressure(ClassState classState, Outcome outcome, long elapsedNanos) {
         boolean late = outcome != Outcome.SERVED || elapsedNanos > classState.requestClass.aimNanos() * LATE_AIM_FRACTION;
         pressure = Math.max(minPressure, Math.min(1 + SHED_START_PRESSURE - MIN_ADMITTED_FRACTION,
@@ -381,10 +379,7 @@
         return q != null && !q.bucket().tryTake(now, q.perSecond() / NANOS_PER_SECOND / processes, q.perSecond());
     }
 
-    /**
-     * Compares by descending priority, then by descending hold sequence. It is one plain method because it is called for each
-     * step through the held requests, and is not yet compiled after a start.
-     */
+    /** Compares by descending priority, then hold sequence, in one plain method: it is called often, at first uncompiled. */
     private static int comparePriority(Request a, Request b) {
         return a.priority != b.priority ? Double.compare(b.priority, a.priority) : Long.compare(b.holdSequence, a.holdSequence);
     }
@@ -526,12 +521,13 @@
                 NEW_CONNECTION_GATE_EXPONENT)));
     }
 
+    /** Returns if an unused server should have a reusable connection, inferred from its last answer: the pool is not asked. */
     private boolean hasReusableConnection(Server s) {
         return s.inFlight == 0 && s.lastAnswerAt > 0 && now - s.lastAnswerAt < settings.upstreamOptions()
                 .idleTimeoutNanos() * REUSABLE_IDLE_FRACTION;
     }
 
-    /** Returns if attempts in flight reach the limit sum plus a margin for chance: one gateway's part varies relatively more. */
+    /** Returns if the limit sum plus a margin for chance is reached: up to two Poisson deviations, 0 for a single gateway. */
     private boolean isAtLimit() {
         double chanceMargin = POISSON_DEVIATIONS * Math.sqrt(limitSum) * (1 - 1.0 / gatewaysPerServer);
         return inFlight > 0 && inFlight >= limitSum + chanceMargin;
@@ -567,15 +563,16 @@
         return s.info.zone().equals(settings.zone());
     }
 
-    /** Returns a gate that falls to 0 at the server's limit of attempts in flight, set by {@link #adjustLimit}: none is overloaded. */
+    /** Returns a gate that falls to 0 at the in-flight limit, which {@link #adjustLimit} sets; an idle server has some room. */
     private double roomGate(Server s, double coldGate) {
         return Math.min(1, s.inFlight == 0 ? s.inFlightLimit * readyServers.size() / limitSum : s.inFlightLimit * coldGate - s.inFlight);
     }
 
     /**
      * Returns a gate that falls where the last answers took more than half of the usual time, so as not to send behind a queue.
-     * Where each of many gateways meets a server about once a second, shares show a slow server only after many seconds, and its
-     * load is mostly what others sent; but a queue lasts for many requests: the last answer predicts the next.
+     * It is 0.13 at the usual time, and without recent answers. Where each of many gateways meets a server about once a
+     * second, shares show a slow server only after many seconds, and its load is mostly what others sent; but a queue lasts for
+     * many requests: the last answer predicts the next.
      */
     private double queueGate(Server s) {
         return Math.pow(Math.max(1, recentRelativeLatency(s) + 1 - NO_QUEUE_LATENCY_RATIO), -QUEUE_GATE_EXPONENT);
@@ -587,9 +584,9 @@
     }
 
     /**
-     * Returns 0 for a suspect server except for one trial per interval over all gateways, even if only that server has room. It
-     * covers servers that are silent and servers whose fast errors would gain them share. Where most servers are suspect (a lost
-     * zone), only those that fail nearly always stay excluded; where all are suspect, none is.
+     * Returns 0 for a suspect server except for trials, one per interval over all gateways, but from each one after 20 s at most,
+     * even if only that server has room. It covers servers that are silent and servers whose fast errors would gain them share.
+     * Where most are suspect (a lost zone), only those that fail nearly always stay excluded; where all are suspect, none is.
      */
     private double healthGate(Server s) {
         return now >= s.nextTrialAt || isUsedWhenMostSuspect(s) || !isSuspect(s) ? 1 : 0;
@@ -642,9 +639,9 @@
         return RetryRules.maySendTo(r, s, now);
     }
 
-    private int maxAttempts(RoutePolicy course) {
+    private int maxAttempts(RoutePolicy routePolicy) {
         int allowedAttempts = Math.min(settings.upstreamOptions().maxAttempts(), Long.SIZE - 1);
-        return course == null ? allowedAttempts : Math.min(allowedAttempts, course.maxAttempts());
+        return routePolicy == null ? allowedAttempts : Math.min(allowedAttempts, routePolicy.maxAttempts());
     }
 
     /** Returns how many requests may go to a cold server now, from the rate that a warm server was seen to bear. */
@@ -659,6 +656,7 @@
         return s.coldBucket.refill(now, perNano, Math.max(1, perNano * rules.overloadWindowNanos() / 2));
     }
 
+    /** Returns the maximum of the field, a decaying peak of earlier ticks, and of this tick's rate over at least a second. */
     private double requestRatePerServer() {
         double seconds = Math.max(1, (now - tickStart) / NANOS_PER_SECOND);
         return Math.max(requestRatePerServer, arrivals / (seconds * Math.max(1, readyServers.size())));
@@ -847,13 +845,13 @@
         if (served || outcome == Outcome.FULL || outcome == Outcome.TIMED_OUT
                 || outcome == Outcome.CANCELLED) {
             updatePressure(classState, outcome, elapsedNanos);
-            adjustLimit(s, outcome == Outcome.FULL ? 2 : elapsedNanos / latencyBudgetNanos(classState));
+            adjustLimit(s, outcome == Outcome.FULL ? 2 : elapsedNanos / latencyBudgetNanos(classState)); // FULL: twice the budget
         }
     }
 
     /**
-     * Records an attempt's latency relative to its class's mean, which is 1 ns at least: decaying samples never lose the result
-     * of a division by 0. For the queue gate, an error or a full server is no fast answer: it would pass for one without a queue.
+     * Records an attempt's latency relative to its class's mean, taken as 1 ns at least: division by 0 would give an infinite
+     * sample, which never decays. For the queue gate, neither an error nor a full server is fast: it would seem to have no queue.
      */
     private void recordLatency(Server s, ClassState classState, Outcome outcome, long elapsedNanos) {
         double relativeLatency = elapsedNanos / Math.max(1, classState.meanLatencyNanos);
@@ -886,6 +884,7 @@
     /**
      * Adjusts a server's in-flight limit by latency / budget; where its answers are rare, mostly by the fleet's. It rises only
      * while it is used and the gateway is at its limit: risen unused in calm times, it would overload the rest if a zone is lost.
+     * An initial limit below the minimum is raised to it by a first answer so slow that it would lower other limits.
      */
     private void adjustLimit(Server s, double sampleRatio) {
         s.latencyToBudgetRatio += HEALTH_SAMPLE_WEIGHT * (sampleRatio - s.latencyToBudgetRatio);
@@ -1020,7 +1019,7 @@
             actions.log("refused " + refusals + " requests in this tick, " + arrivals + " arrived");
         }
         requestRatePerServer = Math.max(requestRatePerServer * 0.95, requestRatePerServer());
-        // Per warm server only: where most are lost, the load of the rest is not what one bears, and would overload cold ones.
+        // Served, not arrived: after losses, more arrive per remaining server than it can take, and cold ones would get as much.
         long warmServers = readyServers.stream().filter(s -> coldGate(s) >= 1).count();
         observedWarmServerRate = Math.max(observedWarmServerRate * 0.95, servedByWarm / Math.max(1.0, warmServers));
         arrivals = refusals = servedByWarm = 0;
