--- a/src/main/java/cinderhollow/daemon/CommandLineConfig.java
+++ b/src/main/java/cinderhollow/daemon/CommandLineConfig.java
@@ -34,11 +34,11 @@
     /**
      * Creates the configuration. Invalid input causes an {@link IllegalArgumentException} with a one-line message.
      *
-     * @param listen address that clients connect to
-     * @param discovery address of discovery, from which the list of nodes is watched, or null
+     * @param listenAddress address that clients connect to
+     * @param discoveryAddress address of discovery, from which the list of nodes is watched, or null
      * @param nodes addresses of the nodes, where there is no discovery
      * @param classes each as {@code NAME:safe|unsafe|keyed[:AIM[:DEADLINE]]}
-     * @param operator path of the operator's file, or null
+     * @param operatorFile path of the operator's file, or null
      */
     public CommandLineConfig(String listenAddress, String discoveryAddress, List<String> nodes, List<String> classes,
             String operatorFile) {
--- a/src/main/java/cinderhollow/daemon/Gateway.java
+++ b/src/main/java/cinderhollow/daemon/Gateway.java
@@ -98,8 +98,8 @@
      */
     private static final long SHUTDOWN_MARGIN_NANOS = TimeUnit.MILLISECONDS.toNanos(250);
     /**
-     * Time after its deadline at which the gateway itself answers an unanswered request. Half a second after this the answer
-     * would be lost.
+     * Time after its deadline at which the gateway itself answers an unanswered request. By the platform's rule clients take an
+     * answer that comes more than half a second after the deadline for lost.
      */
     private static final long OVERDUE_GRACE_NANOS = TimeUnit.MILLISECONDS.toNanos(200);
     /** The same at shutdown, past the shutdown deadline, and the interval of the check for overdue requests. */
@@ -136,9 +136,9 @@
     private final SampledLog lateRefusalLog;
     private final GatewayConfig config;
     /** Null where this gateway has no peers. */
-    private final PeerTransport evacuation;
-    /** Whether any zone is usable, so that clients should come to this gateway. */
-    private boolean zoneAvailable = true;
+    private final PeerTransport peerTransport;
+    /** Whether clients should come to this gateway: false only while the evacuation finds it cut off. */
+    private boolean acceptingClients = true;
     /** Null where no operator's file sets routes. */
     private Routing routing;
     /** Null where no ledger is kept. */
@@ -212,15 +212,16 @@
                 ledger == null ? null : ledger.counters(LedgerPlace.NODES), ledger == null ? 0 : ledger.accounts().size());
         discovery = config.discoveryAddress() == null ? null : new Discovery(loop, transport, config.discoveryAddress(),
                 config.knownEndpoints().index(), Discovery.SILENCE_TIMEOUT_MILLIS,
-                // The larger limit only with an operator's file: an endless line is detected by its length alone.
+                // The large limit only with an operator's file, where large fleets are configured: a list that never ends
+                // is detected by its length alone.
                 config.routes() == null ? Discovery.MAX_LIST_BYTES : Discovery.MAX_LARGE_FLEET_LIST_BYTES,
                         new DiscoveryListener(), log);
         discoveryResolved = discovery == null && (config.eventLoops() == null || !config.eventLoops().follower());
         downstream = new DownstreamConnectionManager(loop, transport, clock, lag, connections / 2, new RequestListener(),
                 ledger == null ? null : ledger.counters(LedgerPlace.CLIENTS));
         policy = new LoadBalancer(config.settings(), config.seed(), this);
-        evacuation = config.peering() == null ? null : new PeerTransport(loop, config.peering(), config.settings().rules(), clock,
-                config.seed(), this::dispatch, clientsMayCome -> zoneAvailable = clientsMayCome, log);
+        peerTransport = config.peering() == null ? null : new PeerTransport(loop, config.peering(), config.settings().rules(),
+                clock, config.seed(), this::dispatch, clientsMayCome -> acceptingClients = clientsMayCome, log);
     }
 
     /** Starts a gateway. The future completes once it listens, or exceptionally if it cannot. */
@@ -239,10 +240,10 @@
         loop.execute(() -> {
             Gateway gateway = new Gateway(loop, config, transport, log);
             gateway.initialize();
-            if (gateway.evacuation == null) {
+            if (gateway.peerTransport == null) {
                 opened.complete(gateway);
             } else {
-                GatewayService.completeWhenDone(opened, gateway.evacuation.open(), gateway);
+                GatewayService.completeWhenDone(opened, gateway.peerTransport.open(), gateway);
             }
         });
         return opened;
@@ -272,8 +273,8 @@
         // Without discovery, the configured list is the current one and not a cached one.
         applyList(config.discoveryAddress() == null ? ListKind.WHOLE : ListKind.CACHED, cachedList);
         if (discovery != null && !config.settings().subscribe()) {
-            // The policy does not ask for a watch where the platform pushes the list, and a pushed list waits at the agent:
-            // without this the list would never change.
+            // The policy does not ask for a watch where the platform pushes the list, and a pushed list waits at the
+            // platform's discovery agent beside the gateway: without this the list would never change.
             discovery.watch();
         }
     }
@@ -288,8 +289,8 @@
             if (lateNanos >= LATENESS_LOG_THRESHOLD_NANOS) {
                 log("the event loop was late by " + TimeUnit.NANOSECONDS.toMillis(lateNanos) + " ms");
             }
-            if (evacuation != null) {
-                evacuation.updateLateness(lag.recentPeakLag(now));
+            if (peerTransport != null) {
+                peerTransport.updateLateness(lag.recentPeakLag(now));
             }
             if (now >= nextOverdueCheckNanos || shuttingDown) {
                 nextOverdueCheckNanos = now + OVERDUE_CHECK_INTERVAL_NANOS;
@@ -429,8 +430,8 @@
     }
 
     /**
-     * Restores a predecessor's snapshot. Its list is used only where discovery has not sent one yet: discovery's is newer
-     * than any process's.
+     * Restores a predecessor's snapshot. Its list is ignored where discovery has sent one, which is newer than any process's,
+     * where the watch has failed or ended, and where changes of the list are applied in portions; an empty one is ignored too.
      */
     @Override
     public CompletableFuture<Void> restore(Snapshot snapshot) {
@@ -477,7 +478,8 @@
 
     /**
      * Shuts down gracefully: serves on existing client connections for as long as a request can still be answered within its
-     * target latency, answers every accepted request, and then completes the future. Clients are not sent away earlier,
+     * target latency, answers every accepted request, and then completes the future. Without an inherited listener, new
+     * connections are accepted too, for 0.5 to 1 s; with one they go to the successor. Clients are not sent away earlier,
      * because no other gateway may be available for them: in a rolling restart whose starts take long, or where the others
      * are full or fail. The time is bounded, because a successor may have to wait for the end of this process. May be called
      * from any thread.
@@ -520,7 +522,7 @@
     void checkRoutes(GatewayConfig next) {
         if (config.routes() != null && !next.routes().stream().map(Object::toString).toList()
                 .equals(config.routes().stream().map(Object::toString).toList())) {
-            throw new IllegalArgumentException("with it the operator's file has other routes, which count at a start only");
+            throw new IllegalArgumentException("the operator's file's routes changed, which needs a restart");
         }
     }
 
@@ -534,6 +536,8 @@
             }
             classes.clear();
             next.settings().classes().forEach(c -> classes.put(c.name(), c));
+            // checkRoutes compares methods, patterns and classes; the routes' settings may differ and apply from now on. The
+            // state of their policies, such as budgets, begins anew.
             routing = next.routes() == null ? null : new Routing(next.routes());
             upstreamPool.setTimeouts(next.dialTimeoutNanos(), next.idleTimeoutNanos());
             dispatch(new SettingsChanged(next.settings()));
@@ -567,8 +571,8 @@
             if (discovery != null) {
                 discovery.close();
             }
-            if (evacuation != null) {
-                evacuation.close();
+            if (peerTransport != null) {
+                peerTransport.close();
             }
             if (ledger != null) {
                 checkLedger();
@@ -596,16 +600,16 @@
 
     @Override
     public CompletableFuture<ZoneStatus> zoneStatus() {
-        return CompletableFuture.supplyAsync(() -> evacuation == null ? null : evacuation.zoneStatus(), loop);
+        return CompletableFuture.supplyAsync(() -> peerTransport == null ? null : peerTransport.zoneStatus(), loop);
     }
 
     @Override
     public CompletableFuture<Void> order(String zone, Order.Action what, long forMillis) {
         return CompletableFuture.runAsync(() -> {
-            if (evacuation == null) {
+            if (peerTransport == null) {
                 throw new IllegalArgumentException("this gateway talks with no other: there is no [peers] in its operator's file");
             }
-            evacuation.order(zone, what, forMillis);
+            peerTransport.order(zone, what, forMillis);
         }, loop);
     }
 
@@ -673,8 +677,8 @@
     }
 
     /**
-     * Lets the module handle an event. A fault is logged and fails the request that arrived, so that it does not end the
-     * process.
+     * Lets the module handle an event. A fault is logged, so that it does not end the process. On {@link RequestArrived} it also
+     * fails the request; on any other event, {@link RequestHeadArrived} among them, no request is answered here.
      */
     private void decide(Event event) {
         try {
@@ -820,8 +824,8 @@
 
     private void applyList(ListKind kind, EndpointList list) {
         upstreamPool.update(list);
-        if (evacuation != null) {
-            evacuation.traffic().updateServers(list.servers(), kind != ListKind.CHANGES);
+        if (peerTransport != null) {
+            peerTransport.traffic().updateServers(list.servers(), kind != ListKind.CHANGES);
         }
         dispatch(new ListReceived(kind, list.servers()));
     }
@@ -830,7 +834,7 @@
     private final class RequestListener implements DownstreamConnectionManager.Listener {
         @Override
         public boolean isReady() {
-            return discoveryResolved && !shuttingDown && !standby && zoneAvailable;
+            return discoveryResolved && !shuttingDown && !standby && acceptingClients;
         }
 
         @Override
@@ -872,7 +876,7 @@
         }
     }
 
-    /** A request's entry in the ledger; null where no ledger is kept. */
+    /** A request's entry in the ledger. */
     private final class LedgerEntry {
         private final String id;
         private final int account;
@@ -917,7 +921,7 @@
         private final Reply reply;
         private final List<UpstreamPool.Attempt> attempts = new ArrayList<>(1);
         private final List<String> attemptServers = new ArrayList<>(1);
-        /** Null where no ledger is kept. */
+        /** The request's entry in the ledger; null where no ledger is kept. */
         private final LedgerEntry entry;
         private final long openedAtNanos = clock.nanos();
         private int attemptsInFlight;
@@ -928,7 +932,8 @@
 
         OpenRequest(RequestArrived arrived, FullHttpRequest request, Upload upload, Reply reply, LedgerEntry entry) {
             id = arrived.id();
-            zoneTraffic = evacuation == null ? null : evacuation.traffic().onRequestReceived(classes.get(arrived.requestClass()));
+            zoneTraffic = peerTransport == null ? null
+                    : peerTransport.traffic().onRequestReceived(classes.get(arrived.requestClass()));
             expiresInNanos = arrived.expiresInNanos();
             lifecycle = upload == null ? RequestLifecycle.pending(id, clock.nanos() + expiresInNanos, monitor)
                     : RequestLifecycle.receiving(id, monitor);
@@ -1105,6 +1110,8 @@
         @Override
         public SendDecision decideSend(BooleanSupplier serverAvailable) {
             return lifecycle.decideSend(clock.nanos(), reply::isClientPresent, () -> {
+                // After a stall, changes of the list may wait unread on the watch's socket: they are read before the server is
+                // looked up, so that nothing is sent to a server that takes no new requests.
                 if (discovery != null && lag.isStale(clock.nanos())) {
                     discovery.readNow();
                 }
@@ -1129,7 +1136,7 @@
         }
 
         void answerOverdue() {
-            log("request " + id + " was not answered by its deadline; answered by the gateway itself");
+            log("request " + id + " was not answered by its deadline or the shutdown deadline; answered by the gateway itself");
             boolean sent = !attempts.isEmpty();
             if (entry != null) {
                 entry.recordEnd(sent ? RequestEnd.FAILED : RequestEnd.REFUSED);
--- a/src/main/java/cinderhollow/evacuation/AttemptWindow.java
+++ b/src/main/java/cinderhollow/evacuation/AttemptWindow.java
@@ -87,8 +87,8 @@
      * Records that an attempt was sent and returns its slot, to be passed on when it ends; -1 if the zone is unknown.
      *
      * @param zone number of the server's zone, or -1 if it is not configured
-     * @param host number that identifies the server, such as a hash of its id
-     * @param patienceNanos time after which a missing answer counts as a failure
+     * @param serverHash number that identifies the server, such as a hash of its id
+     * @param silenceLimitNanos time after which a missing answer counts as a failure
      */
     public int onAttemptSent(long now, int zone, int serverHash, long silenceLimitNanos) {
         if (zone < 0) {
--- a/src/main/java/cinderhollow/evacuation/Evacuation.java
+++ b/src/main/java/cinderhollow/evacuation/Evacuation.java
@@ -42,7 +42,10 @@
         /** Sets how many requests per second of this gateway one warm server can take; 0 if that is unknown. */
         void setWarmServerRate(double perSecond);
 
-        /** Sets whether clients should connect here: not while cut off from half of the fleet and from all sound zones. */
+        /**
+         * Sets whether clients should connect here: not while cut off, that is while at most half of the fleet is alive as seen
+         * from here and by this gateway's own observations no zone is sound and its own zone is bad.
+         */
         void setAcceptingClients(boolean accepting);
 
         /** Writes a log line for operators. */
@@ -68,7 +71,10 @@
      * keeps the traffic from growing with the fleet; and all members together send about this many normal digests per second.
      */
     private static final int MAX_URGENT_REPORTERS = 16, MAX_DIGESTS_PER_SECOND = 100;
-    /** Attempts that ended this shortly before a suspicion still count for it; an unconfirmed suspicion ends after the second. */
+    /**
+     * Attempts that ended this shortly before a suspicion still count for it; an unconfirmed suspicion ends after
+     * the second constant's time.
+     */
     private static final long SUSPICION_LOOKBACK_NANOS = 300 * MS, SUSPICION_TIMEOUT_NANOS = 2 * SECOND;
     /**
      * How long a condition must hold before a decision, so that at least two evaluations see it; the additional wait of each
@@ -91,8 +97,18 @@
      * time since the zone was left that gives the least length of a hold.
      */
     private static final int INDEPENDENT_TRIAL_HOLDS = 8, OUT_TIME_DIVISOR = 8;
+    /**
+     * Digests give utilisation in units of one part in so many; attempts sought of a vantage, shared by its living gateways, and
+     * of each gateway at least, by which the length of the window is chosen; failures from which a zone may be suspected, and
+     * attempts from which it counts as tried.
+     */
     private static final int UTILISATION_SCALE = 200, MIN_ATTEMPTS_PER_VANTAGE = 30, MIN_ATTEMPTS_PER_GATEWAY = 3,
             MIN_SUSPICIOUS_FAILURES = 2;
+    /**
+     * Weight at most of a zone that this gateway alone avoids, of which twice the value is also the threshold at which a step
+     * down goes to its target at once; change of a weight from which weights are passed on; part of the newest value in a
+     * smoothed rate.
+     */
     private static final double RESIDUAL_WEIGHT = 0.05, MIN_WEIGHT_CHANGE = 0.005, RATE_SMOOTHING_FACTOR = 0.3;
 
     private record ReceivedDigest(Digest digest, long receivedAtNanos) { }
@@ -364,13 +380,19 @@
 
     private static long hash(int zone, long epoch, int member) {
         // The finaliser of SplitMix64: the order of the members differs from one zone and epoch to the next.
+        // The constant serves only as a factor that keeps the zones of one epoch apart. A build with another value would order
+        // the deciders differently from its peers and have other hashes of the orders.
         long h = (epoch * MAX_DIGESTS_PER_SECOND + zone) * 0x9e3779b97f4a7c15L + member;
         h = (h ^ h >>> 30) * 0xbf58476d1ce4e5b9L;
         h = (h ^ h >>> 27) * 0x94d049bb133111ebL;
         return h ^ h >>> 31;
     }
 
-    /** Assesses a zone by the fresh digests of the living gateways of a vantage. */
+    /**
+     * Assesses a zone by the fresh digests of the living gateways of a vantage. Fresh here: received within 1.5 digest intervals,
+     * and during a suspicion, trial or return more
+     * recently. {@link #reportedUtilisation} has another meaning of it.
+     */
     private ZoneAssessment assess(int zone, int vantage) {
         Zone z = zones[zone];
         long freshSince = now - 3 * digestIntervalNanos() / 2;
@@ -442,6 +464,7 @@
             // Attempts of the previous phase say nothing about the new one.
             z.suspectedSinceNanos = NEVER;
             attemptWindow.discardBefore(now, newest.zone());
+            // The evidence is this gateway's last assessment, also where another gateway (by=) decided.
             callbacks.log(String.format(Locale.ROOT,
                     "zone=%s seen-from=%s phase=%s weight=%.2f epoch=%d by=%d flaps=%d evidence=\"%s\"",
                     settings.zones().get(newest.zone()), settings.zones().get(newest.vantage()), newest.phaseName(),
@@ -621,8 +644,8 @@
 
     /** Returns the phase of a zone as decided by its own gateways. */
     private Phase residentPhase(int zone) {
-        ZoneDecision course = knownDecision(zone, zone);
-        return course == null ? Phase.IN : course.phase();
+        ZoneDecision decision = knownDecision(zone, zone);
+        return decision == null ? Phase.IN : decision.phase();
     }
 
     /** Returns the weight of a trial: enough traffic for an assessment within part of a second, so that few requests are lost. */
@@ -657,7 +680,10 @@
         return movedLoad <= 0 ? 0 : Math.max(0, Math.min(1, (movedLoad - spareCapacity) / movedLoad));
     }
 
-    /** Returns the mean utilisation of a zone by all fresh digests, or 0 if none reports it, so that all traffic may move. */
+    /**
+     * Returns the mean utilisation of a zone by all fresh digests, or 0 if none reports it, so that all traffic may move. Fresh
+     * here: received within 3 digest intervals, of dead members too. {@link #assess} has another meaning of it.
+     */
     private double reportedUtilisation(int zone) {
         double sum = 0;
         int count = 0;
@@ -701,7 +727,10 @@
                 && isEvacuatedOrOrderedOut(z)) < settings.maxRegionsOut();
     }
 
-    /** Returns whether a zone is left, by automatic decision or by an operator's order. */
+    /**
+     * Returns whether a zone is left, by automatic decision or by an operator's order. The maximum of regions out is ignored:
+     * a decision counts also where {@link #isEvacuated} does not apply it.
+     */
     private boolean isEvacuatedOrOrderedOut(int zone) {
         return zones[zone].decision.phase() != Phase.IN || orderedAction(zones[zone]) == Order.Action.LEAVE;
     }
@@ -712,12 +741,12 @@
     }
 
     /**
-     * Returns whether the other vantages show that a zone fails, so that a vantage without attempts there need not try it: two
-     * of them agree and none but perhaps the zone itself calls it sound, or the zone's own gateways have left it and all
-     * attempts from here failed.
+     * Returns whether the other vantages show that a zone fails, so that a vantage with too few attempts there need not try it.
+     * None of them but perhaps the zone's own calls it sound, and at least two of them call it bad or have decided to stay out,
+     * or the zone's own gateways have left it and all attempts from here, by at least two gateways, failed.
      *
-     * @param byCourse whether decisions of others to stay out count; not during a trial, or each would stay out because of the
-     *     others
+     * @param countDecisions whether decisions of others to stay out count; not during a trial, or each would stay out
+     *     because of the others
      */
     private boolean isBadForOthers(int zone, boolean countDecisions) {
         int vantagesAgainst = 0;
@@ -737,8 +766,8 @@
     }
 
     private boolean isOutFrom(int zone, int vantage) {
-        ZoneDecision course = knownDecision(zone, vantage);
-        return course != null && course.phase() == Phase.OUT;
+        ZoneDecision decision = knownDecision(zone, vantage);
+        return decision != null && decision.phase() == Phase.OUT;
     }
 
     /**
@@ -754,6 +783,7 @@
             hasAlternative |= z != zone && now >= zones[z].avoidedUntilNanos && assessLocally(z).verdict() == Verdict.SOUND;
         }
         if (hasAlternative && assessLocally(zone).verdict() == Verdict.BAD) {
+            // The maximum of regions out may still keep this from taking effect, see isAvoided.
             zones[zone].avoidedUntilNanos = now + settings.holdNanos();
             attemptWindow.discardBefore(now, zone);
             callbacks.log("zone=" + settings.zones().get(zone)
@@ -786,7 +816,8 @@
         if (cutOff == acceptingClients) {
             acceptingClients = !cutOff;
             callbacks.setAcceptingClients(acceptingClients);
-            callbacks.log(cutOff ? "cut off from half of the fleet and from all sound zones: clients are sent to other gateways"
+            callbacks.log(cutOff ? "cut off: at most half of the fleet is alive, no zone is sound and the own zone is bad: "
+                    + "clients are sent to other gateways"
                     : "no longer cut off: clients are accepted again");
         }
     }
@@ -833,6 +864,7 @@
             if (appliedWeight(z) >= MIN_IN_USE_WEIGHT) {
                 warmCapacity += traffic.warmCapacity(z);
                 double utilisation = reportedUtilisation(z);
+                // 0 may mean unknown and counts as full.
                 usedCapacity += traffic.warmCapacity(z) * Math.max(MIN_ASSUMED_UTILISATION, utilisation == 0 ? 1 : utilisation);
             }
         }
@@ -841,6 +873,7 @@
             double ratePerWarmServer = fleetWarmServedRate / usedCapacity * peers.aliveCount() / reporters;
             warmServerRate = ratePerWarmServer * trafficShare(fleetArrivalRate, reporters);
         }
+        // Passed on only if it differs by more than a third of the smoothing factor, a tenth, from the rate applied now.
         if (Math.abs(warmServerRate - appliedWarmServerRate) > appliedWarmServerRate * RATE_SMOOTHING_FACTOR / 3) {
             appliedWarmServerRate = warmServerRate;
             callbacks.setWarmServerRate(warmServerRate);
--- a/src/main/java/cinderhollow/ledger/JournalRecovery.java
+++ b/src/main/java/cinderhollow/ledger/JournalRecovery.java
@@ -12,7 +12,8 @@
 /**
  * Rebuilds totals and open requests from the frames of a journal, read in order. Memory grows with the number of requests open
  * at the same time, not with the length of the journal. An invalid entry causes an {@link IllegalArgumentException}; the
- * entries before it stay applied.
+ * entries before it stay applied, and so may a part of the invalid one: an end of a request may have removed the request, and a
+ * second opening may have replaced the first.
  */
 public final class JournalRecovery {
     /** A request that was open when the journal ended, so that its end is not known. */
@@ -180,19 +181,23 @@
     }
 
     /**
-     * Returns how many entries of the run were never written. If it is not 0, requests that are read as open may have ended,
-     * and more requests may have been open.
+     * Returns how many entries of the run were known to be lost, that is never written, at the last checkpoint. The checkpoint
+     * lists the requests open at its time anew. Entries lost after it are not counted: because of them requests that are read as
+     * open may have ended, and more requests may have been open.
      */
     public long lostEntries() {
         return lostEntries;
     }
 
-    /** Returns the requests that were open at the end of the journal, in the order in which they began. */
+    /**
+     * Returns the requests that were open at the end of the journal: first those that the last checkpoint lists, which are in
+     * no particular order, then later ones in the order in which they began.
+     */
     public List<Orphan> orphans() {
         return openRequests.values().stream().map(o -> new Orphan(accountNames.get(o.account), o.id)).toList();
     }
 
-    /** Returns the totals of all runs including this one, by account, with open requests counted as orphaned. */
+    /** Returns the totals of all runs up to the one that wrote this journal, by account, with its open requests as orphaned. */
     public Collection<EarlierRunTotals> totalsIncludingThisRun() {
         Map<String, EarlierRunTotals> merged = new TreeMap<>(earlierTotals);
         totalsByAccount.forEach((account, totals) -> {
--- a/src/main/java/cinderhollow/ledger/Ledger.java
+++ b/src/main/java/cinderhollow/ledger/Ledger.java
@@ -62,9 +62,9 @@
     /**
      * Returns a copy of all metrics as they are now, which other threads may read.
      *
-     * @param open counts what is open now
-     * @param earlier totals of earlier runs of the process
-     * @param lost number of journal entries that never reached the disk
+     * @param openCounter counts what is open now
+     * @param earlierTotals totals of earlier runs of the process
+     * @param lostEntries number of journal entries that never reached the disk
      */
     public LedgerMetrics collectMetrics(OpenCounter openCounter, List<EarlierRunTotals> earlierTotals, long lostEntries) {
         List<LedgerMetrics.PlaceCounts> placeCounts = new ArrayList<>();
@@ -98,7 +98,7 @@
     /**
      * Compares all sums and returns the breaches that the previous check did not find.
      *
-     * @param open counts what is open now at a place, independently of the counters of this ledger
+     * @param openCounter counts what is open now at a place, independently of the counters of this ledger
      */
     public List<Breach> findNewBreaches(OpenCounter openCounter) {
         List<Breach> newBreaches = new ArrayList<>();
--- a/src/main/java/cinderhollow/ledger/OpenMetrics.java
+++ b/src/main/java/cinderhollow/ledger/OpenMetrics.java
@@ -28,7 +28,7 @@
     /**
      * Returns the metrics as text.
      *
-     * @param loops metrics of each event loop; the index in the list is the value of the label {@code loop}
+     * @param loopMetrics metrics of each event loop; the index in the list is the value of the label {@code loop}
      * @param epoch identifies this run of the process, as the label {@code epoch} of {@code cinderhollow_ledger_info}
      */
     public static String write(List<LedgerMetrics> loopMetrics, String epoch) {
--- a/src/main/java/cinderhollow/peers/GossipSettings.java
+++ b/src/main/java/cinderhollow/peers/GossipSettings.java
@@ -9,7 +9,8 @@
  * @param fastGossipIntervalNanos interval of sending new facts during fast gossip
  * @param fanout number of members that get new facts at once, and that are asked for an indirect probe
  * @param syncIntervalNanos interval at which a member compares its facts with those of another one
- * @param suspicionTimeout number of probe intervals that a suspect has at least to refute, for each factor of ten in members
+ * @param suspicionTimeoutProbes number of probe intervals that a suspect has at least to refute, for each factor of ten in
+ *     members
  * @param maxSuspicionFactor factor by which that time is longer while nobody else confirms the suspicion
  */
 public record GossipSettings(long probeIntervalNanos, long pingTimeoutNanos, long gossipIntervalNanos,
--- a/src/main/java/cinderhollow/routes/RouteTable.java
+++ b/src/main/java/cinderhollow/routes/RouteTable.java
@@ -25,7 +25,7 @@
      * Creates a table.
      *
      * @param routes routes with a pattern; where two of them match the same request, one must be more specific than the other
-     * @param byClass the route of each class without a pattern, by the name of the class
+     * @param routesByClass the route of each class without a pattern, by the name of the class
      */
     public RouteTable(List<Route> routes, Map<String, Route> routesByClass) {
         this.routesByClass = Map.copyOf(routesByClass);
