--- a/src/main/java/cinderhollow/emulator/EmulatedGateway.java
+++ b/src/main/java/cinderhollow/emulator/EmulatedGateway.java
@@ -77,6 +77,7 @@
         private final long sentAt = scheduler.now();
         private Node.Job job;
         private int connectionGeneration = -1;
+        /** Whether the request counts as written, so that the timeout ends the attempt as timed out and not as connect failed. */
         private boolean written;
         private boolean hasEnded;
 
@@ -105,8 +106,8 @@
                 }
             }
             List<Attempt> attempts = attemptsByRequest.get(request);
-            boolean isFirstAnswer = attempts != null && !concludedRequests.contains(request);
-            if (outcome == Outcome.SERVED && isFirstAnswer) {
+            boolean awaitsAnswer = attempts != null && !concludedRequests.contains(request);
+            if (outcome == Outcome.SERVED && awaitsAnswer) {
                 concludedRequests.add(request);
                 invariants.onAnswered(scheduler.now(), request, false);
                 environment.onAnswered(request, true, false);
@@ -159,6 +160,7 @@
         List<String> zoneNames = IntStream.range(0, scenario.zones()).mapToObj(i -> Emulation.zoneName(i, scenario.zones()))
                 .toList();
         Roster roster = new Roster(settings.gatewayNumber(), settings.gateways(), "emulated", new byte[0]);
+        // The number of gateways is given for no zone, hence 0 for each.
         return new Evacuation(EvacuationSettings.withDefaults(zoneNames, zoneNames.indexOf(zone),
                 Collections.nCopies(zoneNames.size(), 0)), settings.rules(), roster, GossipSettings.DEFAULT, seed,
                 unixMillis(), new Evacuation.Callbacks() {
@@ -179,8 +181,9 @@
                 deliver(new WarmServerRateReceived(perSecond));
             }
 
+            /** Ignored: the emulation assigns clients to gateways, and has no readiness check that they could follow. */
             @Override
-            public void setAcceptingClients(boolean clients) { }
+            public void setAcceptingClients(boolean accepting) { }
 
             @Override
             public void log(String line) {
@@ -193,6 +196,7 @@
         return invariants.gateway();
     }
 
+    /** Returns the virtual time in milliseconds, which stands in for the Unix time that the evacuation module expects. */
     private long unixMillis() {
         return scheduler.now() / 1_000_000;
     }
@@ -330,6 +334,7 @@
         });
         if (!environment.canReach(this, node)) {
             // No error is reported: a request on an idle connection is lost, and a new connection is never established.
+            // Nothing will arrive, so that this is decided now: with an idle connection it counts as written at once.
             attempt.written = idleConnections.containsKey(server) && !idleConnections.get(server).isEmpty();
             return;
         }
@@ -364,6 +369,7 @@
         if (attempt.hasEnded) {
             return;
         }
+        // Set on arrival, not at sending: a timeout before it ends the attempt as not connected, even on a reused connection.
         attempt.written = true;
         double workNanos = environment.workNanos(attempt.request, attempt.number) + handshakeNanos;
         attempt.job = attempt.node.offer(workNanos, result -> {
@@ -384,7 +390,7 @@
     }
 
     @Override
-    public void refuse(String request, long pauseNanos) {
+    public void refuse(String request, long retryAfterNanos) {
         conclude(request, true);
     }
 
@@ -395,6 +401,7 @@
 
     /** Answers a request that was not served. */
     private void conclude(String request, boolean refused) {
+        // Before the guard, so that a repeated answer is recorded as a breach.
         invariants.onAnswered(scheduler.now(), request, refused);
         if (attemptsByRequest.containsKey(request) && concludedRequests.add(request)) {
             environment.onAnswered(request, false, refused);
@@ -405,6 +412,8 @@
     @Override
     public void cancel(String request, int attempt) {
         Attempt cancelledAttempt = attemptsByRequest.get(request).get(attempt);
+        // At the same instant, but after the module's call: the end of the attempt may remove the request, which the module is
+        // still handling.
         scheduler.scheduleAfter(0, () -> {
             if (!cancelledAttempt.hasEnded) {
                 dropAtNode(cancelledAttempt);
@@ -418,11 +427,13 @@
         scheduler.scheduleAfter(delayNanos, () -> deliver(new TimerFired(token)));
     }
 
+    /** Does nothing: the emulation delivers server lists unasked. */
     @Override
     public void subscribe() { }
 
     @Override
     public void log(String line) {
+        // Depends on the text of the line that LoadBalancer logs when it suspects a silent server.
         silenceDetections += line.contains(" is silent") ? 1 : 0;
     }
 }
--- a/src/main/java/cinderhollow/lab/Auditor.java
+++ b/src/main/java/cinderhollow/lab/Auditor.java
@@ -13,13 +13,14 @@
 import java.util.TreeSet;
 
 /**
- * Checks the observations of a fleet against the four rules and records each breach with the request's timeline. It follows
- * requests at the clients and at the nodes, and knows nothing of a gateway's internal state.
+ * Checks the observations of a fleet against the four rules and records each breach with the request's timeline. The rules: no
+ * request lost; no effect twice; no request sent to a draining node; no cold node overloaded. The members of {@link Breach.Rule}
+ * refine them. The auditor follows requests at the clients and at the nodes, and knows nothing of a gateway's internal state.
  *
  * <p>Observations arrive in causal order: what a node observed of a request comes before what its client observed as a result.
- * Memory is bounded by the requests of the last seconds, and by {@link #MAX_TRACKED_REQUESTS} in any case. Requests that can't be checked
- * are counted in {@link #unaudited}, and a run with any of them is not reported as clean. Time limits are extended by the
- * lateness of the lab itself ({@link Sighting.LabLate}), so that it is not attributed to the gateway.
+ * Memory is bounded by the requests of the last seconds, and by {@link #MAX_TRACKED_REQUESTS} in any case. Requests that can't be
+ * checked are counted in {@link #unaudited}, and a run with any of them is not reported as clean. Time limits are extended by the
+ * lateness of the lab itself ({@link Observation.LabLate}), so that it is not attributed to the gateway.
  */
 final class Auditor {
     /** The effect of a second run of a class's requests, and where and for how long nodes drop repeats. */
@@ -34,18 +35,28 @@
     /** The zone and cell of a node. */
     record NodeLocation(String zone, int cell) { }
 
-    /** The time limits of the rules: slack of answers past the client's deadline, and the grace after a drain. */
+    /**
+     * The time limits of the rules.
+     *
+     * @param answerSlackNanos slack of answers past the client's deadline, and of the other comparisons of times that have no
+     *     limit of their own: dedup windows, attempts after an answer or a drain, and kills at a shutdown
+     * @param drainGraceNanos how long a gateway may go on sending to a node after it was notified that the node is draining
+     */
     record Limits(long answerSlackNanos, long drainGraceNanos) { }
 
-    /** Numbers of requests by their outcome, and of what was excused or could not be checked. */
+    /**
+     * Numbers of requests by their outcome, and of what was excused or could not be checked. {@code unanswered} counts two ends:
+     * the gateway closed the connection without a complete answer, and the client closed long after its deadline. Requests that
+     * have not ended are counted in {@code open} while they are tracked.
+     */
     record Counts(long requests, long served, long refused, long failed, long abandoned, long unanswered, long excused,
                   long unaudited, long unjudgedOverloadCrashes, long open) { }
 
-    /** An answer up to this long after its client's deadline is late and earns nothing; after that it counts as lost. */
+    /** An answer past the slack and up to this long after its client's deadline only counts as late; after that also as lost. */
     private static final long LOST_ANSWER_DELAY_NANOS = 500_000_000L;
     /** An attempt that reaches a node longer than this after its client left is a breach, even if the gateway was paused. */
     private static final long ABANDONMENT_GRACE_NANOS = 100_000_000L;
-    /** Requests are kept this long after their end, since further attempts may reach nodes. */
+    /** Requests are kept this long after the later of deadline and end, since further attempts may reach nodes. */
     private static final long RETENTION_AFTER_END_NANOS = 2_000_000_000L;
     /** Allowance after a process was resumed: it first has to read all that arrived meanwhile. */
     private static final long RESUME_GRACE_NANOS = 300_000_000L;
@@ -259,7 +270,7 @@
                     + abbreviate(s.body()) + "'");
         }
         if (outcome == RequestOutcome.REFUSED && isRefusalForbidden(request)) {
-            recordBreach(Rule.REFUSED_THOUGH_RAN, s.id(), request, "refused, which promises that a retry is harmless");
+            recordBreach(Rule.REFUSED_THOUGH_RAN, s.id(), request, "refused, although a node may have run it");
         }
     }
 
@@ -295,6 +306,7 @@
     private void onAttemptReceived(Observation.AttemptReceived s) {
         TrackedRequest request = trackedRequests.get(s.id());
         if (request == null) {
+            // With any unaudited request, an id that was sent proves nothing: it may be that of a request that was never tracked.
             if (unaudited == 0 || LabNames.sequenceOf(s.id()) < 0 || LabNames.sequenceOf(s.id()) > newestSequence) {
                 boolean sentEarlier = LabNames.sequenceOf(s.id()) >= 0 && LabNames.sequenceOf(s.id()) <= newestSequence;
                 recordBreach(sentEarlier ? Rule.SENT_AFTER_ANSWER : Rule.UNKNOWN_REQUEST, s.id(), null,
@@ -397,7 +409,10 @@
                 .forEach(request -> addTimelineEntry(request, s.atNanos(), LabNames.gatewayName(s.gateway()) + " is killed"));
     }
 
-    /** Nothing excuses requests that such a kill finds unanswered: the gateway got SIGTERM, and knows when the kill may come. */
+    /**
+     * Nothing excuses requests that such a kill finds unanswered: the gateway got SIGTERM, and knows when the kill may come.
+     * Only those sent within the answer slack before the kill are spared here, and judged like any other.
+     */
     private void onGatewayKilledAtShutdown(Observation.GatewayKilledAtShutdown s) {
         boolean wasPaused = pauses.stream()
                 .anyMatch(p -> p.gateway == s.gateway() && p.untilNanos > s.atNanos() - MAX_SHUTDOWN_NANOS);
@@ -432,8 +447,10 @@
     }
 
     /**
-     * Judges a request whose time is over. Rules that depend on time are checked here and not at the observation, because the
-     * lab's lateness is reported only after the observations that it delayed.
+     * Judges a request whose time is over. {@link Rule#LOST}, {@link Rule#SENT_AFTER_LEAVING}, {@link Rule#SENT_AFTER_DRAIN} and,
+     * while the request is tracked, {@link Rule#SENT_AFTER_ANSWER} are judged here and not at the observation, because they
+     * depend on time, and the lab's lateness is reported only after the observations that it delayed. All other rules are judged
+     * at the observation, among them {@link Rule#OUTSIDE_GROUP}, with the lateness that is known by then.
      */
     private void closeRequest(TrackedRequest request) {
         checkTimes(request);
@@ -451,7 +468,6 @@
         } else if (request.outcome == RequestOutcome.NONE) {
             recordBreach(Rule.LOST, request.id, request, "no answer came");
         } else if (request.outcome == RequestOutcome.TIMED_OUT) {
-            // An answer may have waited unread in the lab until its client closed; that is not the gateway's fault.
             if (pausedNanos(request, request.sentAtNanos, request.endedAtNanos) > 0) {
                 excused++;
             } else if (request.endedAtNanos > request.deadlineNanos + limits.answerSlackNanos()
@@ -459,13 +475,15 @@
                 recordBreach(Rule.LOST, request.id, request, "no answer until "
                         + formatMillis(request.endedAtNanos - request.deadlineNanos) + " after its deadline");
             } else {
+                // An answer may have waited unread in the lab until its client closed; that is not the gateway's fault.
                 unaudited++;
             }
         } else if (!request.attempts.isEmpty()) {
+            // That the gateway had accepted the request is inferred from an attempt that a node saw.
             recordBreach(Rule.LOST, request.id, request,
                     "the gateway had accepted it and closed the connection without an answer");
         }
-        // Otherwise the request was sent while its connection was being closed, and the gateway never accepted it.
+        // Otherwise no node saw it: it is taken for a request sent while its connection was closing, and never accepted.
     }
 
     /**
--- a/src/main/java/cinderhollow/operator/OperatorFile.java
+++ b/src/main/java/cinderhollow/operator/OperatorFile.java
@@ -32,8 +32,9 @@
 import org.tomlj.TomlParseResult;
 
 /**
- * The contents of an operator's file. A file without findings has routes, ledger, peer and scaling settings; of a file that
- * violates a rule nothing is used, and {@link #findings()} has all its violations.
+ * The contents of an operator's file. A file without findings has routes and scaling settings, and a ledger, an admin address
+ * and peers only if it configures them; of a file that violates a rule nothing is used, and {@link #findings()} has its
+ * violations.
  */
 public final class OperatorFile {
     private static final int MAX_FILE_BYTES = 1 << 20, MAX_ROUTES = 10_000;
@@ -101,7 +102,7 @@
     }
 
     /**
-     * Returns the routes; the last ones are the defaults of the classes.
+     * Returns the routes. The last rows, one per class and without a pattern, take the requests that no pattern matches.
      *
      * @throws IllegalStateException if the file has findings
      */
@@ -195,12 +196,13 @@
         if (members != null && peersTable.has("members")) {
             List<String> malformed = members.stream().filter(m -> !PEER_ADDRESS_PATTERN.matcher(m).matches()).toList();
             if (!malformed.isEmpty() || members.stream().distinct().count() < members.size() || members.size() < 2) {
-                peersTable.addFinding("members", Rule.PEERS_PLACE, malformed.isEmpty() ? members.size() + " members" : "'"
+                peersTable.addFinding("members", Rule.PEERS_PLACE, malformed.isEmpty() ? members.size()
+                        + " members: there are duplicates, or fewer than two" : "'"
                         + malformed.get(0) + "'");
             }
             if (memberNumber == null || memberNumber >= members.size()) {
-                peersTable.addFinding(peersTable.has("number") ? "number" : "members", Rule.PEERS_PLACE, "there is no member "
-                        + memberNumber);
+                peersTable.addFinding(peersTable.has("number") ? "number" : "members", Rule.PEERS_PLACE,
+                        "no valid member number is given, counted from 0: " + memberNumber);
             }
         }
         if (peersTable.has("listen") && listenAddress != null && !PEER_ADDRESS_PATTERN.matcher(listenAddress).matches()) {
@@ -212,7 +214,8 @@
         }
         String secretFile = peersTable.text("secret");
         if (secretFile != null && !Files.isRegularFile(Path.of(secretFile))) {
-            peersTable.addFinding("secret", Rule.FILE_FORM, "there is no file '" + secretFile + "'");
+            peersTable.addFinding("secret", Rule.FILE_FORM, "the secret file '" + secretFile
+                    + "' does not exist or is not a regular file");
         }
         String fleet = peersTable.text("fleet");
         peersConfig = readZones(zonesTable, fleet == null ? "" : fleet, listenAddress, members == null ? List.of() : members,
@@ -661,8 +664,7 @@
             }
             Long afterNanos = hedgeTable.duration("after");
             if (afterNanos != null && afterNanos < MILLISECOND_NANOS) {
-                hedgeTable.addFinding("after", Rule.TIME_TOO_SHORT,
-                        "the second copy would be sent at the same time as the first attempt");
+                hedgeTable.addFinding("after", Rule.TIME_TOO_SHORT, "the duration is shorter than 1ms");
             }
             if (afterNanos != null && afterNanos >= Math.min(attemptTimeoutNanos, totalNanos)) {
                 hedgeTable.addFinding("after", Rule.COPY_TOO_LATE, formatNanos(afterNanos)
@@ -682,6 +684,7 @@
                     budgetTable == null ? DEFAULT_HEDGE_BUDGET : resolveBudget(budgetTable, DEFAULT_HEDGE_BUDGET));
         }
 
+        /** Checks resend_within and the total time of keyed requests. resend_within is only checked, and not passed on. */
         private void checkKeyed(long totalNanos, int maxAttempts, HedgeSettings hedge) {
             TomlTableReader table = resolveTable("resend_within");
             String groupName = table == null ? null : table.text("resend_within");
@@ -693,7 +696,8 @@
                     default -> null;
                 };
                 if (group == null) {
-                    addFinding("resend_within", Rule.WRONG_TYPE, "'" + groupName + "' is neither all, zone nor cell");
+                    addFinding("resend_within", Rule.WRONG_TYPE, "unknown group '" + groupName
+                            + "': must be all, zone or cell");
                 } else if (requestClass.effect() == Effect.KEYED && group.compareTo(requestClass.dedupGroup()) < 0) {
                     addFinding("resend_within", Rule.KEYED_OUTSIDE_GROUP, "a repeat is dropped only if it stays within one "
                             + label(requestClass.dedupGroup()) + ", the class's dedup group");
@@ -745,7 +749,10 @@
         return nanos % MILLISECOND_NANOS == 0 ? nanos / MILLISECOND_NANOS + "ms" : nanos / 1000 + "us";
     }
 
-    /** Returns a text with the settings and the policy of each route, and the source of each value: default or a line. */
+    /**
+     * Returns a text with the settings and the policy of each route, and the source of each row: default, or a line of the route
+     * or class. The row of the backoff has two values and shows the source of backoff, not that of backoff_max.
+     */
     public String explain() {
         List<String> output = new ArrayList<>(scalingConfig.describe());
         if (ledgerConfig != null) {
@@ -761,7 +768,7 @@
                     + (peersConfig.members().isEmpty() ? "the peers in the deployment's settings"
                     : (peersConfig.members().size() - 1) + " others")
                     + (peersConfig.secretFile() == null ? ", without a secret" : "") + "; evacuates up to "
-                    + peersConfig.maxRegionsOut() + " of zones "
+                    + peersConfig.maxRegionsOut() + " regions of zones "
                     + String.join(", ", peersConfig.zones()) + ", for " + formatNanos(peersConfig.holdNanos()) + " to "
                     + formatNanos(peersConfig.maxHoldNanos()));
         }
--- a/src/test/java/cinderhollow/operator/OperatorFileTest.java
+++ b/src/test/java/cinderhollow/operator/OperatorFileTest.java
@@ -44,7 +44,8 @@
         assertEquals(List.of(), file.findings());
         assertEquals(List.of(5, 0, 0), file.peersConfig().gatewaysByZone());
         assertTrue(file.explain()
-                .contains("exchanges datagrams with 1 others, without a secret; evacuates up to 1 of zones a, b, c, for 2000ms to 60000ms"),
+                .contains("exchanges datagrams with 1 others, without a secret; "
+                        + "evacuates up to 1 regions of zones a, b, c, for 2000ms to 60000ms"),
                 file::explain);
         PlatformConstraints withoutPeers = new PlatformConstraints(PLATFORM.classes(), 5, true, 0, 7, 3, "a", false);
         assertEquals(Rule.PEERS_NOT_ALLOWED, OperatorFile.parse(PEERS + ZONES, withoutPeers).findings().get(0).rule());
